--- a/crates/wv-access/src/leaving.rs
+++ b/crates/wv-access/src/leaving.rs
@@ -1,7 +1,7 @@
 //! Databases that leave: until when this node gives them new work, and what it does with work that is then still waiting.
 //!
 //! Invariant: no statement on its own, and no first statement of a transaction, is written to a database that is known here
-//! to have said that it leaves longer ago than the bound (`wv_inner::new_work_us`). It is asked where a database is chosen
+//! to have said that it leaves longer ago than the bound (`wv_internal_protocol::new_work_us`). It is asked where a database is chosen
 //! and once more when a transaction that was begun in advance stands.
 use crate::core::Core;
 use wv_health::Spot;
--- a/crates/wv-access/src/returns.rs
+++ b/crates/wv-access/src/returns.rs
@@ -117,7 +117,7 @@
         let is_read = client.txn.is_none() && client.request.verb() == Verb::Read;
         self.end_hand(id);
         if is_read {
-            return self.fail(id, wv_wire_protocol::Code::Expired, "over the route's limit", b'I');
+            return self.fail(id, wv_wire_protocol::ErrorCode::Expired, "over the route's limit", b'I');
         }
         self.strand_request(id, number);
     }
@@ -130,14 +130,14 @@
             first if ask > first => return self.break_hand(hand),
             _ => out.buf.extend_from_slice(bytes),
         }
-        if out.buf.len() > wv_wire_protocol::MESSAGE_MAX * 2 {
+        if out.buf.len() > wv_wire_protocol::MAX_MESSAGE_BYTES * 2 {
             return self.break_hand(hand);
         }
         while let Some(out) = self.hands.out.get_mut(&hand) {
-            let Some((line, len)) = wv_wire_protocol::cut_line(&out.buf) else { return };
-            let parsed = match wv_wire_protocol::DbLine::parse(line) {
-                wv_wire_protocol::DbLine::Idle(state, pos) => Some((state, pos)),
-                wv_wire_protocol::DbLine::Error(code, text) => {
+            let Some((line, len)) = wv_wire_protocol::split_line(&out.buf) else { return };
+            let parsed = match wv_wire_protocol::DatabaseLine::parse(line) {
+                wv_wire_protocol::DatabaseLine::Idle(state, pos) => Some((state, pos)),
+                wv_wire_protocol::DatabaseLine::Error(code, text) => {
                     out.error = Some((code, text.to_vec()));
                     None
                 }
@@ -179,9 +179,9 @@
         &mut self,
         id: u64,
         hand: u64,
-        error: Option<(wv_wire_protocol::Code, Vec<u8>)>,
+        error: Option<(wv_wire_protocol::ErrorCode, Vec<u8>)>,
         state: u8,
-        pos: Option<wv_wire_protocol::Pos>,
+        pos: Option<wv_wire_protocol::LogPosition>,
     ) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.is_open) else { return };
         if client.request.hand != Some(hand) {
--- a/crates/wv-consensus/examples/store.rs
+++ b/crates/wv-consensus/examples/store.rs
@@ -1,4 +1,4 @@
-//! What changes of a long configuration cost a voter's store: `cargo run --release -p wv-reg --example store`.
+//! What changes of a long configuration cost a voter's store: `cargo run --release -p wv-consensus --example store`.
 //! One line a run: changes, bytes on the disk (at the end, and the most), bytes written and microseconds a change, with
 //! files in memory; microseconds to open it again.
 use wv_consensus::{cell, Files, MemFiles, State, Store};
--- a/crates/wv-shard-forecast/examples/backtest.rs
+++ b/crates/wv-shard-forecast/examples/backtest.rs
@@ -1,4 +1,4 @@
-//! The methods against each other on generated histories: `cargo run -p wv-fill --example backtest`.
+//! The methods against each other on generated histories: `cargo run -p wv-shard-forecast --example backtest`.
 #[path = "../tests/histories/mod.rs"]
 mod histories;
 
