--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -90,7 +90,7 @@
         });
         for msg in sent {
             let mut frame = Vec::new();
-            wv_inner::put_frame(&mut frame, &msg);
+            wv_inner::encode_frame(&mut frame, &msg);
             let take = timed(|| access.feed(msg, now).expect("no gap"));
             if at > 0 {
                 bytes += frame.len();
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -80,8 +80,8 @@
     for (key, held) in shown {
         println!(
             "{key}: version {}, {} bytes, round {}",
-            held.cell.version,
-            held.cell.value.len(),
+            held.value.version,
+            held.value.bytes.len(),
             held.accepted.round
         );
     }
--- a/crates/wv-access/src/ends.rs
+++ b/crates/wv-access/src/ends.rs
@@ -85,9 +85,9 @@
 
     pub(crate) fn close_client(&mut self, id: u64) {
         if let Some((link, last)) = self.take_guest_out(id) {
-            if let wv_inner::Hand::Return { hand, .. } = last {
+            if let wv_inner::ForwardMessage::Response { session: hand, .. } = last {
                 self.acts.push(Act::SendHand { link, msg: last });
-                self.acts.push(Act::SendHand { link, msg: wv_inner::Hand::End { hand } });
+                self.acts.push(Act::SendHand { link, msg: wv_inner::ForwardMessage::Close { session: hand } });
             }
             return self.client_gone(id, self.now);
         }
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -16,7 +16,8 @@
     pub clients: Rc<RefCell<hashbrown::HashMap<u64, Rc<Sock>, ahash::RandomState>>>,
     pub dbs: Rc<RefCell<hashbrown::HashMap<u64, Rc<Sock>, ahash::RandomState>>>,
     /// Links to other access nodes.
-    pub hands: Rc<RefCell<hashbrown::HashMap<u64, tokio::sync::mpsc::Sender<wv_inner::Hand>, ahash::RandomState>>>,
+    pub hands:
+        Rc<RefCell<hashbrown::HashMap<u64, tokio::sync::mpsc::Sender<wv_inner::ForwardMessage>, ahash::RandomState>>>,
     pub wake: Rc<tokio::sync::Notify>,
     /// Told when sightings changed, so that the session sends them at once.
     pub sights: Rc<tokio::sync::Notify>,
--- a/crates/wv-access/src/guests.rs
+++ b/crates/wv-access/src/guests.rs
@@ -2,7 +2,7 @@
 use crate::core::Core;
 use crate::types::Act;
 use crate::types::Guest;
-use wv_inner::{Hand, HandId};
+use wv_inner::{ForwardMessage, ForwardedSessionId};
 use wv_wire::{Code, Text};
 
 const GUESTS_MAX: usize = 8192;
@@ -15,18 +15,20 @@
     }
 
     /// A message on a link between access nodes.
-    pub fn hand(&mut self, link: u64, msg: Hand, now: u64) {
+    pub fn hand(&mut self, link: u64, msg: ForwardMessage, now: u64) {
         self.now = self.now.max(now);
         match msg {
-            Hand::Open { hand, host, who } => self.open_guest(link, hand, host, who),
-            Hand::Request { hand, ask, lines } => self.guest_request(link, (hand, ask), &lines),
-            Hand::Return { hand, ask, bytes } => {
+            ForwardMessage::Open { session: hand, host, user: who } => self.open_guest(link, hand, host, who),
+            ForwardMessage::Request { session: hand, request: ask, lines } => {
+                self.guest_request(link, (hand, ask), &lines)
+            }
+            ForwardMessage::Response { session: hand, request: ask, bytes } => {
                 self.own_hand(link, hand).into_iter().for_each(|hand| self.hand_returned(hand, ask, &bytes));
             }
-            Hand::Refused { hand, ask } => {
+            ForwardMessage::Rejected { session: hand, request: ask } => {
                 self.own_hand(link, hand).into_iter().for_each(|hand| self.hand_refused(hand, ask));
             }
-            Hand::End { hand } => match self.hands.guests.get(&(link, hand)).copied() {
+            ForwardMessage::Close { session: hand } => match self.hands.guests.get(&(link, hand)).copied() {
                 Some(client) => self.client_gone(client, now),
                 None => self.own_hand(link, hand).into_iter().for_each(|hand| self.hand_ended(hand)),
             },
@@ -35,18 +37,18 @@
 
     /// A hand that this life opened on this link. Another node's hand, or one that went over another link, may have the
     /// same number.
-    fn own_hand(&self, link: u64, hand: HandId) -> Option<u64> {
+    fn own_hand(&self, link: u64, hand: ForwardedSessionId) -> Option<u64> {
         let is_own = |number: &u64| self.hands.out.get(number).is_some_and(|out| out.link == link);
-        Some(hand.number).filter(|number| hand.life == self.slots.life && is_own(number))
+        Some(hand.number).filter(|number| hand.incarnation == self.slots.life && is_own(number))
     }
 
-    fn open_guest(&mut self, link: u64, hand: HandId, host: String, who: String) {
+    fn open_guest(&mut self, link: u64, hand: ForwardedSessionId, host: String, who: String) {
         if self.hands.guests.contains_key(&(link, hand)) {
             return;
         }
         let is_known = self.conf.as_ref().is_some_and(|conf| conf.route(&host).is_some());
         if !is_known || self.hands.guests.len() >= GUESTS_MAX {
-            return self.acts.push(Act::SendHand { link, msg: Hand::Refused { hand, ask: 0 } });
+            return self.acts.push(Act::SendHand { link, msg: ForwardMessage::Rejected { session: hand, request: 0 } });
         }
         let id = self.client_open(self.now);
         if let Some(client) = self.clients.get_mut(&id) {
@@ -58,18 +60,20 @@
         }
     }
 
-    fn refuse_guest(&mut self, link: u64, (hand, ask): (HandId, u64), id: u64) {
-        self.acts.push(Act::SendHand { link, msg: Hand::Refused { hand, ask } });
+    fn refuse_guest(&mut self, link: u64, (hand, ask): (ForwardedSessionId, u64), id: u64) {
+        self.acts.push(Act::SendHand { link, msg: ForwardMessage::Rejected { session: hand, request: ask } });
         // Forgotten first: a client that leaves is not to be told of its end as well.
         self.clients.get_mut(&id).into_iter().for_each(|client| client.guest = None);
         self.hands.guests.remove(&(link, hand));
         self.client_gone(id, self.now);
     }
 
-    fn guest_request(&mut self, link: u64, (hand, ask): (HandId, u64), lines: &[u8]) {
+    fn guest_request(&mut self, link: u64, (hand, ask): (ForwardedSessionId, u64), lines: &[u8]) {
         let Some(id) = self.hands.guests.get(&(link, hand)).copied() else {
             // Refused before, or unknown: nothing of this has run or will.
-            return self.acts.push(Act::SendHand { link, msg: Hand::Refused { hand, ask } });
+            return self
+                .acts
+                .push(Act::SendHand { link, msg: ForwardMessage::Rejected { session: hand, request: ask } });
         };
         let Some(client) = self.clients.get_mut(&id) else { return };
         let Some(guest) = client.guest.as_mut().filter(|guest| guest.ask < ask) else { return };
@@ -109,9 +113,9 @@
     }
 
     /// What a guest would have heard goes back to the node that handed it over.
-    pub fn take_guest_out(&mut self, id: u64) -> Option<(u64, Hand)> {
+    pub fn take_guest_out(&mut self, id: u64) -> Option<(u64, ForwardMessage)> {
         let client = self.clients.get_mut(&id)?;
         let Guest { link, hand, ask } = client.guest?;
-        Some((link, Hand::Return { hand, ask, bytes: std::mem::take(&mut client.out) }))
+        Some((link, ForwardMessage::Response { session: hand, request: ask, bytes: std::mem::take(&mut client.out) }))
     }
 }
--- a/crates/wv-access/src/hands.rs
+++ b/crates/wv-access/src/hands.rs
@@ -2,7 +2,7 @@
 use crate::core::{Core, Map};
 use crate::types::{Act, Verb};
 use wv_conf::Category;
-use wv_inner::{Hand, HandId, Owner};
+use wv_inner::{ForwardMessage, ForwardedSessionId, Owner};
 use wv_wire::put_query;
 
 /// What was asked of an owner in one go: answers that are nothing of the client's, and then the client's, if any.
@@ -42,7 +42,7 @@
     pub out: Map<u64, Out>,
     pub ways: Map<String, Way>,
     /// Sessions here of other nodes' clients: by link and hand, the client they are here.
-    pub guests: Map<(u64, HandId), u64>,
+    pub guests: Map<(u64, ForwardedSessionId), u64>,
     /// Requests handed over since the start.
     pub count: u64,
 }
@@ -131,14 +131,14 @@
             client.hand = Some(hand);
             let (host, who) = (client.database.clone().unwrap_or_default(), client.who.clone());
             let hand = self.hand_id(hand);
-            self.acts.push(Act::SendHand { link, msg: Hand::Open { hand, host, who } });
+            self.acts.push(Act::SendHand { link, msg: ForwardMessage::Open { session: hand, host, user: who } });
         }
         hand
     }
 
     /// How the owner knows a session that was opened there.
-    pub(crate) fn hand_id(&self, number: u64) -> HandId {
-        HandId { life: self.slots.life, number }
+    pub(crate) fn hand_id(&self, number: u64) -> ForwardedSessionId {
+        ForwardedSessionId { incarnation: self.slots.life, number }
     }
 
     /// The client's session values and shapes, the beginning of its transaction where it is none yet, and its request.
@@ -165,7 +165,7 @@
         self.hands.count += 1;
         out.ask += 1;
         out.open.push_back(Asked { ask: out.ask, own, is_client: true });
-        let msg = Hand::Request { hand: name, ask: out.ask, lines };
+        let msg = ForwardMessage::Request { session: name, request: out.ask, lines };
         self.acts.push(Act::SendHand { link: out.link, msg });
     }
 
@@ -178,7 +178,7 @@
     pub(crate) fn drop_hand(&mut self, hand: u64) {
         if let Some(out) = self.hands.out.remove(&hand) {
             let hand = self.hand_id(hand);
-            self.acts.push(Act::SendHand { link: out.link, msg: Hand::End { hand } });
+            self.acts.push(Act::SendHand { link: out.link, msg: ForwardMessage::Close { session: hand } });
         }
     }
 
@@ -190,7 +190,7 @@
             put_query(&mut lines, b"-", &[b"ABORT"]);
             out.ask += 1;
             out.open.push_back(Asked { ask: out.ask, own: 1, is_client: false });
-            let msg = Hand::Request { hand: name, ask: out.ask, lines };
+            let msg = ForwardMessage::Request { session: name, request: out.ask, lines };
             self.acts.push(Act::SendHand { link: out.link, msg });
         }
     }
--- a/crates/wv-access/src/link.rs
+++ b/crates/wv-access/src/link.rs
@@ -40,7 +40,7 @@
 impl Known {
     /// Those that vote keep what they know on a disk and are the larger machines: others are followed where no voter
     /// is known.
-    fn learn(&mut self, addrs: &[String], zones: &[String], zone: &str, voters: &wv_inner::Voters) {
+    fn learn(&mut self, addrs: &[String], zones: &[String], zone: &str, voters: &wv_inner::VoterSet) {
         let is_voter = |addr: &str| voters.members.iter().any(|member| member.addr == addr);
         let has_voters = addrs.iter().any(|addr| is_voter(addr));
         let parsed = |(addr, its): (&String, &String)| Some((addr.parse::<SocketAddr>().ok()?, its == zone));
@@ -127,9 +127,9 @@
         place: place.borrow().hands.clone(),
         life,
     };
-    wv_inner::put_frame(&mut out, &hello);
-    wv_inner::put_frame(&mut out, &Msg::Follow { life: follow_life, place: follow_place });
-    wv_inner::put_frame(&mut out, &Msg::Sights(node.core.borrow_mut().take_sights(Telling::Whole)));
+    wv_inner::encode_frame(&mut out, &hello);
+    wv_inner::encode_frame(&mut out, &Msg::Follow { life: follow_life, place: follow_place });
+    wv_inner::encode_frame(&mut out, &Msg::Sights(node.core.borrow_mut().take_sights(Telling::Whole)));
     put_reports(node, &mut out, true);
     let (mut buf, mut is_heard, mut beats) = (Vec::new(), false, 0u32);
     let mut heard = tokio::time::Instant::now();
@@ -161,24 +161,24 @@
                     return End::Moved;
                 }
                 beats += 1;
-                wv_inner::put_frame(&mut out, &Msg::Here { leaving: node.core.borrow().is_leaving() });
+                wv_inner::encode_frame(&mut out, &Msg::Here { leaving: node.core.borrow().is_leaving() });
                 let telling = if beats % ROUND_EVERY == 0 { Telling::Round } else { Telling::Beat };
                 let sights = node.core.borrow_mut().take_sights(telling);
                 if !sights.is_empty() {
-                    wv_inner::put_frame(&mut out, &Msg::Sights(sights));
+                    wv_inner::encode_frame(&mut out, &Msg::Sights(sights));
                 }
                 put_reports(node, &mut out, false);
             }
             _ = node.sights.notified() => {
                 let sights = node.core.borrow_mut().take_sights(Telling::Changes);
                 if !sights.is_empty() {
-                    wv_inner::put_frame(&mut out, &Msg::Sights(sights));
+                    wv_inner::encode_frame(&mut out, &Msg::Sights(sights));
                 }
                 put_reports(node, &mut out, false);
             }
         }
         loop {
-            match wv_inner::cut_frame(&buf) {
+            match wv_inner::decode_frame(&buf) {
                 Ok(None) => break,
                 Err(_) => return over(is_heard),
                 Ok(Some((msg, len))) => {
@@ -197,7 +197,7 @@
                         }
                         msg => {
                             if node.with(|core, now| core.feed(msg, now)).is_err() {
-                                wv_inner::put_frame(&mut out, &Msg::Follow { life: 0, place: 0 });
+                                wv_inner::encode_frame(&mut out, &Msg::Follow { life: 0, place: 0 });
                             }
                         }
                     }
@@ -209,5 +209,5 @@
 
 fn put_reports(node: &Node, out: &mut Vec<u8>, is_start: bool) {
     let reports = node.core.borrow_mut().take_reports(is_start);
-    reports.iter().for_each(|msg| wv_inner::put_frame(out, msg));
+    reports.iter().for_each(|msg| wv_inner::encode_frame(out, msg));
 }
--- a/crates/wv-access/src/links.rs
+++ b/crates/wv-access/src/links.rs
@@ -1,6 +1,6 @@
 //! Links between access nodes, for work handed over to the owners of shards.
 use crate::exec::Node;
-use wv_inner::Hand;
+use wv_inner::ForwardMessage;
 
 const CONNECT: std::time::Duration = std::time::Duration::from_millis(300);
 /// Acknowledged by the far end's system within this, or the link is cut.
@@ -10,7 +10,7 @@
 const LINKS_MAX: usize = 512;
 
 impl Node {
-    pub(crate) fn send_hand(&self, link: u64, msg: Hand) {
+    pub(crate) fn send_hand(&self, link: u64, msg: ForwardMessage) {
         let is_stuck = self.hands.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
         if is_stuck {
             self.hands.borrow_mut().remove(&link);
@@ -28,7 +28,7 @@
         self.with(|core, now| core.hand_down(link, now));
     }
 
-    fn enter_hand(&self, link: u64) -> tokio::sync::mpsc::Receiver<Hand> {
+    fn enter_hand(&self, link: u64) -> tokio::sync::mpsc::Receiver<ForwardMessage> {
         let (sender, receiver) = tokio::sync::mpsc::channel(QUEUE_MAX);
         self.hands.borrow_mut().insert(link, sender);
         receiver
@@ -54,7 +54,12 @@
         }
     }
 
-    async fn carry_hands(&self, link: u64, stream: tokio::net::TcpStream, receiver: tokio::sync::mpsc::Receiver<Hand>) {
+    async fn carry_hands(
+        &self,
+        link: u64,
+        stream: tokio::net::TcpStream,
+        receiver: tokio::sync::mpsc::Receiver<ForwardMessage>,
+    ) {
         wv_http::tune(&stream, SILENT);
         let hear = |msg| self.with(|core, now| core.hand(link, msg, now));
         wv_proc::carry(stream, receiver, SILENT, None, hear).await;
--- a/crates/wv-access/src/open.rs
+++ b/crates/wv-access/src/open.rs
@@ -90,6 +90,6 @@
         _ => return Default::default(),
     };
     let (thing, data) = wv_wire::cut_word(rest);
-    let slot = (!thing.is_empty()).then(|| wv_inner::slot(thing));
+    let slot = (!thing.is_empty()).then(|| wv_inner::slot_for_key(thing));
     crate::slots::Named { thing: thing.to_vec(), slot, bytes: data.len() as u32 }
 }
--- a/crates/wv-access/src/reports.rs
+++ b/crates/wv-access/src/reports.rs
@@ -1,8 +1,8 @@
 //! What this node tells the holder of a planned shard's split: marks, sampled things, names. One report of a kind is on
 //! its way at a time, and is sent again until it is taken.
 use crate::core::Core;
-use wv_fill::{hash, slot, Entry, Sample};
-use wv_inner::{Fill, Marks, Msg, Phase};
+use wv_fill::{hash, slot_for_key, KeySample, Sample};
+use wv_inner::{Msg, ShardReport, SplitPhase, WriteMarks};
 
 const AGAIN_US: u64 = 700_000;
 /// Marks and names of one report.
@@ -35,7 +35,7 @@
     is_last: bool,
     serial: u64,
     /// On its way since when.
-    sent: Option<(u64, Marks)>,
+    sent: Option<(u64, WriteMarks)>,
 }
 
 impl Marking {
@@ -82,13 +82,13 @@
 #[derive(Default)]
 pub(crate) struct Filling {
     sample: Sample,
-    entries: std::collections::BTreeMap<u64, Entry>,
+    entries: std::collections::BTreeMap<u64, KeySample>,
     names: std::collections::BTreeSet<String>,
     /// Names that the holder keeps, as it said.
     kept: hashbrown::HashSet<u64, ahash::RandomState>,
     is_awaited: bool,
     serial: u64,
-    sent: Option<(u64, Fill)>,
+    sent: Option<(u64, ShardReport)>,
     next: u64,
     retold: u64,
 }
@@ -97,7 +97,7 @@
     pub fn note(&mut self, thing: &[u8], bytes: Option<u32>) {
         let hash = hash(thing);
         if let Some(bytes) = bytes {
-            let entry = Entry { hash, slot: slot(thing), bytes };
+            let entry = KeySample { hash, slot: slot_for_key(thing), bytes };
             if self.sample.offer(entry) {
                 self.entries.insert(hash, entry);
             }
@@ -142,18 +142,18 @@
             marks.settle(now, is_open);
             // What was meant for an earlier try is of no use to anyone, its names are.
             if let Some((_, old)) = marks.sent.take_if(|(_, sent)| sent.attempt != attempt) {
-                marks.names.extend(old.names);
+                marks.names.extend(old.keys);
             }
-            if marks.sent.is_none() && marks.is_wanted && shard.map.phase != Phase::Resting {
+            if marks.sent.is_none() && marks.is_wanted && shard.map.phase != SplitPhase::Resting {
                 marks.serial += 1;
                 let names: Vec<String> = marks.names.iter().take(NAMES_MAX).cloned().collect();
                 names.iter().for_each(|name| {
                     marks.names.remove(name);
                 });
                 marks.is_wanted = !marks.names.is_empty();
-                let is_last = marks.is_last && shard.map.phase == Phase::Sealed && marks.names.is_empty();
+                let is_last = marks.is_last && shard.map.phase == SplitPhase::Sealed && marks.names.is_empty();
                 let (shard, serial) = (name.clone(), marks.serial);
-                marks.sent = Some((0, Marks { shard, attempt, life, serial, names, is_last }));
+                marks.sent = Some((0, WriteMarks { shard, attempt, incarnation: life, serial, keys: names, is_last }));
             }
             if let Some((at, sent)) = marks.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
@@ -174,7 +174,16 @@
                 });
                 fill.is_awaited = fill.is_awaited && !fill.names.is_empty();
                 let entries = std::mem::take(&mut fill.entries).into_values().collect();
-                fill.sent = Some((0, Fill { shard: name.clone(), life, serial: fill.serial, entries, names }));
+                fill.sent = Some((
+                    0,
+                    ShardReport {
+                        shard: name.clone(),
+                        incarnation: life,
+                        serial: fill.serial,
+                        samples: entries,
+                        keys: names,
+                    },
+                ));
             }
             if let Some((at, sent)) = fill.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
@@ -210,7 +219,7 @@
         if fill.kept.len() >= KEPT_MAX {
             fill.kept.clear();
         }
-        fill.kept.extend(sent.names.iter().map(|name| hash(name.as_bytes())));
+        fill.kept.extend(sent.keys.iter().map(|name| hash(name.as_bytes())));
         self.slots.is_due |= fill.is_due();
         self.serve_stranded();
     }
--- a/crates/wv-access/src/returns.rs
+++ b/crates/wv-access/src/returns.rs
@@ -101,7 +101,7 @@
     /// What came makes no sense: nothing more on this hand can be trusted, and what is open there ends.
     fn break_hand(&mut self, hand: u64) {
         if let Some(out) = self.hands.out.get(&hand) {
-            let msg = wv_inner::Hand::End { hand: self.hand_id(hand) };
+            let msg = wv_inner::ForwardMessage::Close { session: self.hand_id(hand) };
             self.acts.push(crate::Act::SendHand { link: out.link, msg });
         }
         self.strand_hand(hand);
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -3,7 +3,7 @@
 use crate::types::{Verb, What};
 use std::rc::Rc;
 use wv_check::Spot;
-use wv_inner::{Phase, SlotMap};
+use wv_inner::{SlotMap, SplitPhase};
 
 /// A plan that is this young may not have a map yet: its shard is served as before meanwhile.
 const YOUNG_US: u64 = 10_000_000;
@@ -63,7 +63,7 @@
     pub(crate) fn place_of(&self, service: &str, slot: Option<u16>) -> Rc<str> {
         let mut place = service;
         for _ in 0..HOPS_MAX {
-            let next = slot.and_then(|slot| self.slots.shards.get(place).map(|shard| shard.map.place(slot)));
+            let next = slot.and_then(|slot| self.slots.shards.get(place).map(|shard| shard.map.service_for(slot)));
             match next.filter(|next| *next != place) {
                 Some(next) => place = next,
                 None => break,
@@ -111,9 +111,9 @@
         let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
         let is_shut = is_moving
             && match shard.map.phase {
-                Phase::Resting => false,
-                Phase::Copying => shard.joined != shard.map.attempt,
-                Phase::Sealed => true,
+                SplitPhase::Resting => false,
+                SplitPhase::Copying => shard.joined != shard.map.attempt,
+                SplitPhase::Sealed => true,
             };
         let is_named = named.thing.is_empty() || shard.fill.knows(&named.thing);
         self.slots.is_due |= !is_named && shard.fill.is_due();
@@ -130,7 +130,7 @@
         let (named, is_write) = (&client.request.named, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service) else { return };
         let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
-        if is_write && is_moving && shard.map.phase == Phase::Copying {
+        if is_write && is_moving && shard.map.phase == SplitPhase::Copying {
             let txn = client.txn.as_ref().map(|txn| txn.at);
             shard.marks.begin(&named.thing, id, client.request.number, txn);
         }
@@ -194,7 +194,7 @@
     /// A map came: what it takes from this node binds at once, and what waited for it goes on.
     pub(crate) fn take_slots(&mut self, map: SlotMap) {
         let name = map.shard.clone();
-        if self.slots.shards.get(&name).is_some_and(|shard| shard.map.number >= map.number) {
+        if self.slots.shards.get(&name).is_some_and(|shard| shard.map.version >= map.version) {
             return;
         }
         self.slots.awaited.remove(&name);
@@ -203,8 +203,8 @@
         let map = &shard.map;
         // The holder hears that this node writes, or that it writes no more.
         let is_told = old.attempt != map.attempt || old.phase != map.phase;
-        if map.phase != Phase::Resting && is_told {
-            shard.marks.tell(map.phase == Phase::Sealed);
+        if map.phase != SplitPhase::Resting && is_told {
+            shard.marks.tell(map.phase == SplitPhase::Sealed);
             self.slots.is_due = true;
         }
         // Sightings of a target from before rows came to it say nothing of them.
--- a/crates/wv-access/src/types.rs
+++ b/crates/wv-access/src/types.rs
@@ -22,7 +22,7 @@
     },
     SendHand {
         link: u64,
-        msg: wv_inner::Hand,
+        msg: wv_inner::ForwardMessage,
     },
 }
 
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Guest {
     pub link: u64,
-    pub hand: wv_inner::HandId,
+    pub hand: wv_inner::ForwardedSessionId,
     pub ask: u64,
 }
 
--- a/crates/wv-access/tests/common/mod.rs
+++ b/crates/wv-access/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 use wv_access::{Act, Core, Lost};
-use wv_inner::{Hand, HandId, Inst, Lead, Msg, News, Owner, SlotMap};
+use wv_inner::{ForwardMessage, ForwardedSessionId, Inst, Lead, Msg, News, Owner, SlotMap};
 
 pub const MS: u64 = 1_000;
 const CONF: &str = r#"{"issue":1,"routing":[
@@ -24,7 +24,7 @@
     /// What each client was told.
     pub told: BTreeMap<u64, String>,
     pub closed: Vec<u64>,
-    pub hands: Vec<(u64, Hand)>,
+    pub hands: Vec<(u64, ForwardMessage)>,
     pub links: Vec<u64>,
 }
 
@@ -185,15 +185,15 @@
         self.obey();
     }
 
-    pub fn hand(&mut self, link: u64, msg: Hand) {
+    pub fn hand(&mut self, link: u64, msg: ForwardMessage) {
         self.core.hand(link, msg, self.now);
         self.obey();
     }
 
     /// The hand and ask that this node last asked on, and over which link.
-    pub fn asked(&self) -> (u64, HandId, u64) {
+    pub fn asked(&self) -> (u64, ForwardedSessionId, u64) {
         let last = self.hands.iter().rev().find_map(|(link, msg)| match msg {
-            Hand::Request { hand, ask, .. } => Some((*link, *hand, *ask)),
+            ForwardMessage::Request { session: hand, request: ask, .. } => Some((*link, *hand, *ask)),
             _ => None,
         });
         last.expect("something was handed over")
--- a/crates/wv-access/tests/hands.rs
+++ b/crates/wv-access/tests/hands.rs
@@ -3,17 +3,17 @@
 
 use common::{Bare, LIFE};
 use googletest::prelude::*;
-use wv_inner::{Hand, HandId};
+use wv_inner::{ForwardMessage, ForwardedSessionId};
 
 const OK: &[u8] = b"COMPLETE stamp-1\r\nIDLE I 3.9\r\n";
 const WRONG: &[u8] = b"COMPLETE wrong\r\nIDLE I 3.8\r\n";
 
-fn ret(hand: HandId, ask: u64, bytes: &[u8]) -> Hand {
-    Hand::Return { hand, ask, bytes: bytes.to_vec() }
+fn ret(hand: ForwardedSessionId, ask: u64, bytes: &[u8]) -> ForwardMessage {
+    ForwardMessage::Response { session: hand, request: ask, bytes: bytes.to_vec() }
 }
 
 /// A write of a client, handed over: the client, and the link, hand and ask it went by.
-fn handed(bare: &mut Bare, query: &str) -> (u64, u64, HandId, u64) {
+fn handed(bare: &mut Bare, query: &str) -> (u64, u64, ForwardedSessionId, u64) {
     let client = bare.client("shop");
     bare.say(client, query);
     let (link, hand, ask) = bare.asked();
@@ -24,12 +24,12 @@
 fn given_answers_and_ends_of_another_life_or_link_then_what_is_handed_over_under_that_number_goes_on() {
     let mut bare = Bare::partner();
     let (client, link, hand, ask) = handed(&mut bare, "QUERY w1 WRITE k d");
-    let (stranger, elsewhere) = (HandId { life: LIFE + 1, ..hand }, bare.core.hand_in(bare.now));
+    let (stranger, elsewhere) = (ForwardedSessionId { incarnation: LIFE + 1, ..hand }, bare.core.hand_in(bare.now));
     for (by, hand) in [(link, stranger), (elsewhere, hand), (elsewhere, stranger)] {
         bare.hand(by, ret(hand, ask, WRONG));
-        bare.hand(by, Hand::Refused { hand, ask });
+        bare.hand(by, ForwardMessage::Rejected { session: hand, request: ask });
         // A node that hands over here may use the same number: its end is not this one's.
-        bare.hand(by, Hand::End { hand });
+        bare.hand(by, ForwardMessage::Close { session: hand });
     }
     expect_that!(bare.heard(client), eq(""));
     bare.hand(link, ret(hand, ask, OK));
@@ -59,7 +59,7 @@
         let (client, link, hand, _) = handed(&mut bare, "QUERY w1 WRITE k d");
         bare.hand(link, ret(hand, ask, bytes));
         expect_that!(bare.heard(client), starts_with("ERROR INDETERM"));
-        expect_that!(bare.hands.last(), some(eq(&(link, Hand::End { hand }))));
+        expect_that!(bare.hands.last(), some(eq(&(link, ForwardMessage::Close { session: hand }))));
         expect_that!(bare.count("WRITE"), eq(0));
     }
 }
@@ -71,14 +71,14 @@
     bare.hand(link, ret(hand, first, OK));
     bare.heard(client);
     bare.say(client, "QUERY w2 WRITE k e");
-    bare.hand(link, Hand::Refused { hand, ask: first });
+    bare.hand(link, ForwardMessage::Rejected { session: hand, request: first });
     expect_that!(bare.heard(client), starts_with("ERROR INDETERM"));
     let (client, link, hand, ask) = handed(&mut bare, "QUERY t1 BEGIN\r\nQUERY t2 WRITE k d");
     let begun = [&b"COMPLETE -\r\nIDLE T -\r\n"[..], b"COMPLETE stamp-1\r\nIDLE T 3.9\r\n"].concat();
     bare.hand(link, ret(hand, ask, &begun));
     bare.heard(client);
     bare.say(client, "QUERY t3 WRITE l d");
-    bare.hand(link, Hand::Refused { hand, ask: ask + 1 });
+    bare.hand(link, ForwardMessage::Rejected { session: hand, request: ask + 1 });
     expect_that!(bare.heard(client), starts_with("ERROR ABORTED"));
     expect_that!(bare.count("WRITE"), eq(0), "half a transaction is none");
 }
@@ -87,8 +87,8 @@
 fn given_a_refusal_of_the_open_ask_then_it_is_done_here_once() {
     let mut bare = Bare::partner();
     let (_, link, hand, ask) = handed(&mut bare, "QUERY w1 WRITE k d");
-    bare.hand(link, Hand::Refused { hand, ask });
-    bare.hand(link, Hand::Refused { hand, ask });
+    bare.hand(link, ForwardMessage::Rejected { session: hand, request: ask });
+    bare.hand(link, ForwardMessage::Rejected { session: hand, request: ask });
     expect_that!(bare.count("QUERY w1 WRITE k d"), eq(1));
 }
 
@@ -117,22 +117,22 @@
 }
 
 /// The same node as the owner, with another one's link.
-fn owner() -> (Bare, u64, HandId) {
+fn owner() -> (Bare, u64, ForwardedSessionId) {
     let mut bare = Bare::new();
     let link = bare.core.hand_in(bare.now);
-    let hand = HandId { life: LIFE + 1, number: 5 };
-    bare.hand(link, Hand::Open { hand, host: "shop".to_owned(), who: "me".to_owned() });
+    let hand = ForwardedSessionId { incarnation: LIFE + 1, number: 5 };
+    bare.hand(link, ForwardMessage::Open { session: hand, host: "shop".to_owned(), user: "me".to_owned() });
     (bare, link, hand)
 }
 
-fn write(hand: HandId, ask: u64, tag: &str) -> Hand {
-    Hand::Request { hand, ask, lines: format!("QUERY {tag} WRITE k d\r\n").into_bytes() }
+fn write(hand: ForwardedSessionId, ask: u64, tag: &str) -> ForwardMessage {
+    ForwardMessage::Request { session: hand, request: ask, lines: format!("QUERY {tag} WRITE k d\r\n").into_bytes() }
 }
 
 #[gtest]
 fn given_an_ask_that_comes_twice_then_the_owner_runs_it_once_while_it_is_open_and_after() {
     let (mut bare, link, hand) = owner();
-    bare.hand(link, Hand::Open { hand, host: "shop".to_owned(), who: "me".to_owned() });
+    bare.hand(link, ForwardMessage::Open { session: hand, host: "shop".to_owned(), user: "me".to_owned() });
     bare.hand(link, write(hand, 1, "w1"));
     bare.hand(link, write(hand, 1, "w1"));
     let db = bare.busy().expect("it was sent");
@@ -148,15 +148,15 @@
         let (mut bare, link, hand) = owner();
         asks.iter().for_each(|ask| bare.hand(link, write(hand, *ask, &format!("w{ask}"))));
         expect_that!(bare.count("QUERY w2"), eq(0));
-        expect_that!(bare.hands.last(), some(eq(&(link, Hand::End { hand }))));
+        expect_that!(bare.hands.last(), some(eq(&(link, ForwardMessage::Close { session: hand }))));
     }
 }
 
 #[gtest]
 fn given_two_nodes_with_one_hand_number_on_one_link_then_each_has_its_own_session() {
     let (mut bare, link, hand) = owner();
-    let other = HandId { life: LIFE + 2, ..hand };
-    bare.hand(link, Hand::Open { hand: other, host: "shop".to_owned(), who: "me".to_owned() });
+    let other = ForwardedSessionId { incarnation: LIFE + 2, ..hand };
+    bare.hand(link, ForwardMessage::Open { session: other, host: "shop".to_owned(), user: "me".to_owned() });
     bare.hand(link, write(hand, 1, "w1"));
     bare.hand(link, write(other, 1, "w2"));
     let second = bare.ran.iter().find(|(_, line)| line.starts_with("QUERY w2")).map(|(db, _)| *db);
--- a/crates/wv-access/tests/reports.rs
+++ b/crates/wv-access/tests/reports.rs
@@ -3,21 +3,23 @@
 
 use common::{Bare, LIFE};
 use googletest::prelude::*;
-use wv_inner::{Msg, Phase, Range, SlotMap};
+use wv_inner::{Msg, SlotMap, SlotRange, SplitPhase};
 
 #[gtest]
 fn given_word_to_reports_of_an_earlier_life_or_try_then_a_write_waits_for_that_to_its_own() {
-    let moving = Some(Range { from: 0, until: 1024, target: "t".to_owned() });
-    let (shard, phase) = ("s".to_owned(), Phase::Copying);
-    let map = SlotMap { shard, phase, moving, number: 9, term: 3, attempt: 5, ..SlotMap::default() };
+    let moving = Some(SlotRange { from: 0, until: 1024, target: "t".to_owned() });
+    let (shard, phase) = ("s".to_owned(), SplitPhase::Copying);
+    let map = SlotMap { shard, phase, moving, version: 9, term: 3, attempt: 5, ..SlotMap::default() };
     let mut bare = Bare::planned(map);
     let client = bare.client("shop");
     bare.say(client, "QUERY w1 WRITE k d");
     let (mut marks, mut fill) = (0, 0);
     for msg in bare.core.take_reports(false) {
         match msg {
-            Msg::Marks(sent) => (marks, _) = (sent.serial, expect_that!((sent.life, sent.attempt), eq((LIFE, 5)))),
-            Msg::Fill(sent) => (fill, _) = (sent.serial, expect_that!(sent.life, eq(LIFE))),
+            Msg::Marks(sent) => {
+                (marks, _) = (sent.serial, expect_that!((sent.incarnation, sent.attempt), eq((LIFE, 5))))
+            }
+            Msg::Fill(sent) => (fill, _) = (sent.serial, expect_that!(sent.incarnation, eq(LIFE))),
             _ => {}
         }
     }
--- a/crates/wv-access/tests/stale.rs
+++ b/crates/wv-access/tests/stale.rs
@@ -155,7 +155,7 @@
         let (service, node, place) = ("s".to_owned(), node.to_owned(), "10.0.0.9:9".to_owned());
         News::Owner(Owner { service, node, place, number })
     };
-    let map = |number| News::Slots(SlotMap { shard: "s".to_owned(), number, ..SlotMap::default() });
+    let map = |number| News::Slots(SlotMap { shard: "s".to_owned(), version: number, ..SlotMap::default() });
     let mut node = Node::new(vec![conf(1, "p"), owner("a2", 4), map(9)]);
     node.feed(Msg::Snapshot { life: 2, place: 1, news: vec![owner("a1", 3), map(8)] });
     node.change(2, owner("a1", 3));
--- a/crates/wv-access/tests/terms.rs
+++ b/crates/wv-access/tests/terms.rs
@@ -25,7 +25,7 @@
 }
 
 fn map(number: u64, term: u64) -> News {
-    News::Slots(SlotMap { shard: "s".to_owned(), number, term, ..SlotMap::default() })
+    News::Slots(SlotMap { shard: "s".to_owned(), version: number, term, ..SlotMap::default() })
 }
 
 /// One access node before databases `d1` and `d2`, whose rows this story says.
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -77,7 +77,7 @@
             (Waiting::Put(order), Outcome::Written(cell) | Outcome::Held(cell)) => {
                 self.ordered(done.token, &order, &cell)
             }
-            (Waiting::Get, Outcome::Read(cell)) if cell.version == 0 && cell.value.is_empty() => {
+            (Waiting::Get, Outcome::Read(cell)) if cell.version == 0 && cell.bytes.is_empty() => {
                 self.ret(done.token, 404, "{\"cause\":\"no configuration has been taken yet\"}")
             }
             (Waiting::Get, Outcome::Read(cell)) => {
@@ -92,7 +92,7 @@
     }
 
     /// What came of an order, by what stands in the register now.
-    fn ordered(&mut self, token: u64, order: &Order, cell: &wv_inner::Cell) {
+    fn ordered(&mut self, token: u64, order: &Order, cell: &wv_inner::RegisterValue) {
         match Decided::read(cell).verdict(order) {
             // An older number that was never taken is acknowledged and changes nothing.
             Verdict::Taken | Verdict::Overtaken => self.ret(token, 200, "{}"),
@@ -107,7 +107,7 @@
 
     /// Another node says under which ballot what stands was accepted: a voter has it, or reads it.
     pub(crate) fn committed(&mut self, accepted: wv_inner::Ballot) {
-        let held = self.store.get(CONF).filter(|held| held.accepted == accepted).map(|held| held.cell.clone());
+        let held = self.store.get(CONF).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
         match held {
             Some(cell) => self.in_force(&cell),
             None => self.sync_conf(),
@@ -115,14 +115,14 @@
     }
 
     /// A configuration that is known to stand on a majority enters the feed, never an older one.
-    pub(crate) fn in_force(&mut self, cell: &wv_inner::Cell) {
+    pub(crate) fn in_force(&mut self, cell: &wv_inner::RegisterValue) {
         let decided = Decided::read(cell);
         let digest = decided.taken.last().map_or(0, |order| order.digest);
         if cell.version == self.published && digest != self.published_digest {
             // Cannot be while registers are decided once: a fault to be looked into, not passed over.
             log::error!("number {} stands with two contents: {digest:x}, {:x}", cell.version, self.published_digest);
         }
-        if cell.version > self.published && !cell.value.is_empty() {
+        if cell.version > self.published && !cell.bytes.is_empty() {
             match self.packs.unpack(&decided.body, crate::core::BODY_MAX) {
                 Ok(body) => self.enter_conf(cell.version, decided.body, &body),
                 Err(error) => {
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -163,7 +163,7 @@
     /// Whether a majority of voters has told what it holds in memory, this node counted where it is one.
     fn has_recap(&self) -> bool {
         let voters = self.quorum.voters();
-        let told = self.contact.told.iter().filter(|addr| voters.has(addr)).count();
+        let told = self.contact.told.iter().filter(|addr| voters.contains(addr)).count();
         usize::from(self.sits()) + told >= self.quorum.majority()
     }
 
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -205,8 +205,14 @@
     }
 
     /// Whoever held the duty before may have a call under way, unless it was this life's own last claim.
-    pub(crate) fn duty_claimed(&mut self, service: String, turn: u64, outcome: Outcome, before: &wv_inner::Cell) {
-        let is_mine = |cell: &wv_inner::Cell| cell.value == self.me.as_bytes();
+    pub(crate) fn duty_claimed(
+        &mut self,
+        service: String,
+        turn: u64,
+        outcome: Outcome,
+        before: &wv_inner::RegisterValue,
+    ) {
+        let is_mine = |cell: &wv_inner::RegisterValue| cell.bytes == self.me.as_bytes();
         let fence = match outcome {
             Outcome::Written(cell) if is_mine(&cell) => Some(cell.version),
             _ => None,
@@ -221,7 +227,7 @@
     /// Whether the register still names this node under its own last fence.
     pub(crate) fn is_ours(&self, service: &str, outcome: &Outcome) -> bool {
         let fence = self.fences.get(service).copied();
-        matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.value == self.me.as_bytes())
+        matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
     }
 
     pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
--- a/crates/wv-control/src/fills.rs
+++ b/crates/wv-control/src/fills.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
-use wv_fill::{advise, forecast, Advice, Entry, History, Need, Outlook, Sample, METHOD};
+use wv_fill::{advise, forecast, Advice, History, KeySample, Need, Outlook, Sample, METHOD};
 use wv_inner::Msg;
 
 /// What was measured is written no more often than this.
@@ -20,7 +20,7 @@
 /// What the register holds of a shard's measures.
 #[derive(SerBin, DeBin, Clone, Default, Debug)]
 pub struct Kept {
-    pub entries: Vec<Entry>,
+    pub entries: Vec<KeySample>,
     pub history: History,
     pub advice: Option<Advice>,
     /// Until when a requested split may run, 0 for none.
@@ -87,7 +87,7 @@
     pub(crate) fn wanted_until(&self, shard: &str, held: &Shard) -> Option<u64> {
         let plan = self.shard_plan(shard)?;
         let now = self.epoch_us();
-        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.moved_us);
+        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
         if held.fill.wanted_until_us > now {
             return Some(held.fill.wanted_until_us);
         }
@@ -103,7 +103,7 @@
             return;
         }
         let Some(mut held) = self.shards.remove(shard) else { return };
-        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.moved_us);
+        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
         let fill = &mut held.fill;
         // The split that was asked for is done, or its time is over.
         if fill.wanted_until_us > 0 && (fill.wanted_until_us <= epoch || moved_us + REQUEST_US > fill.wanted_until_us) {
@@ -211,16 +211,16 @@
     }
 
     /// A node's report: to the holder, or into what is held here.
-    pub(crate) fn take_fill(&mut self, node: &str, fill: wv_inner::Fill) {
+    pub(crate) fn take_fill(&mut self, node: &str, fill: wv_inner::ShardReport) {
         let holder = self.shard_holder(&fill.shard);
         if holder != self.me {
             self.send_peer(&holder, Msg::PeerFill { node: node.to_owned(), fill });
             return;
         }
         let Some(held) = self.shards.get_mut(&fill.shard).filter(|held| held.split.has_ballot()) else { return };
-        held.fill.is_due |= held.fill.sample.merge(fill.entries) > 0;
-        fill.names.iter().for_each(|name| held.split.names.add(name));
-        let ack = (node.to_owned(), fill.life, fill.serial);
+        held.fill.is_due |= held.fill.sample.merge(fill.samples) > 0;
+        fill.keys.iter().for_each(|name| held.split.names.add(name));
+        let ack = (node.to_owned(), fill.incarnation, fill.serial);
         if held.split.names.is_kept() && !held.fill.is_putting {
             return self.tell_filled(&fill.shard, ack);
         }
--- a/crates/wv-control/src/force.rs
+++ b/crates/wv-control/src/force.rs
@@ -51,7 +51,7 @@
     }
 
     fn tell_thin(&mut self) {
-        let is_other = |addr: &&String| !self.quorum.voters().has(addr);
+        let is_other = |addr: &&String| !self.quorum.voters().contains(addr);
         let others: Vec<String> = self.peers.keys().filter(is_other).cloned().collect();
         let news = self.feed.conf_since(self.conf_base);
         for addr in others {
--- a/crates/wv-control/src/handover.rs
+++ b/crates/wv-control/src/handover.rs
@@ -1,6 +1,6 @@
 //! The steps of a change of voters between those that take part: claimed, sealed, handed over, settled.
 use crate::core::Core;
-use wv_inner::{Handover, Held, Known, Msg};
+use wv_inner::{AcceptorState, Handover, Msg, RegisterSummary};
 use wv_reg::{parts, RegError};
 
 fn noted(error: RegError) {
@@ -15,8 +15,8 @@
         let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
         for (voter, mut msg) in others {
             match &mut msg {
-                Msg::Handover(Handover::Seal { sum, .. }) => *sum = parts::total(&sums),
-                Msg::Handover(Handover::Fetch { sums: told, .. }) => *told = sums.clone(),
+                Msg::Handover(Handover::Seal { digest: sum, .. }) => *sum = parts::total(&sums),
+                Msg::Handover(Handover::Fetch { digests: told, .. }) => *told = sums.clone(),
                 _ => {}
             }
             self.send_peer(&voter, msg);
@@ -66,29 +66,29 @@
 
     pub(crate) fn hear_handover(&mut self, link: u64, addr: &str, msg: Handover) {
         match msg {
-            Handover::Seal { request, set, fence, sum } => {
+            Handover::Seal { request, set, fence, digest: sum } => {
                 let Some(ok) = self.seal(set, fence) else { return };
                 let sums = parts::sums(&self.store);
                 let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                self.send(link, Msg::Handover(Handover::Sealed { request, ok, sums }));
+                self.send(link, Msg::Handover(Handover::Sealed { request, ok, digests: sums }));
             }
-            Handover::Sealed { request, ok, sums } => {
+            Handover::Sealed { request, ok, digests: sums } => {
                 let open = parts::differing(&self.store, &sums);
                 match self.seat.voters.number {
                     set if ok && !open.is_empty() => self.ask_rest(link, (request, set, false), &open),
                     _ => self.sealed(addr, request, ok),
                 }
             }
-            Handover::Fetch { request, set, next, sums } => {
+            Handover::Fetch { request, set, next, digests: sums } => {
                 if self.seat.is_named(&self.me, set, &next) {
                     let open = parts::differing(&self.store, &sums);
                     self.rest(link, addr, (request, set, true), Vec::new(), &open);
                 }
             }
-            Handover::Lacking { request, set, is_member, ranges, others } => {
+            Handover::CompareRanges { request, set, is_member, ranges, other_ranges: others } => {
                 self.lacking(link, (request, set, is_member), &ranges, others);
             }
-            Handover::Rest { request, set, is_member, cells, left } => {
+            Handover::NewerRegisters { request, set, is_member, registers: cells, remaining_ranges: left } => {
                 self.rest(link, addr, (request, set, is_member), cells, &left);
             }
             Handover::Fetched { request } => self.fetched(addr, request),
@@ -99,7 +99,10 @@
         let ranges = parts::listed(&self.store, open);
         let is_asked = |range: &u32| ranges.iter().any(|asked| asked.0 == *range);
         let others = open.iter().copied().filter(|range| !is_asked(range)).collect();
-        self.send(link, Msg::Handover(Handover::Lacking { request, set, is_member, ranges, others }));
+        self.send(
+            link,
+            Msg::Handover(Handover::CompareRanges { request, set, is_member, ranges, other_ranges: others }),
+        );
     }
 
     /// Told is only what is final: by a voter that is sealed, or by the one to which a sealed majority has told all.
@@ -107,7 +110,7 @@
         &mut self,
         link: u64,
         (request, set, is_member): (u64, u64, bool),
-        ranges: &[(u32, Vec<Known>)],
+        ranges: &[(u32, Vec<RegisterSummary>)],
         others: Vec<u32>,
     ) {
         let is_handing = || self.change.as_ref().is_some_and(|change| change.is_handing(request));
@@ -118,7 +121,16 @@
         let (cells, is_whole) = parts::part(&self.store, ranges);
         let again = ranges.iter().map(|range| range.0).filter(|_| !is_whole);
         let left = again.chain(others).collect();
-        self.send(link, Msg::Handover(Handover::Rest { request, set, is_member, cells, left }));
+        self.send(
+            link,
+            Msg::Handover(Handover::NewerRegisters {
+                request,
+                set,
+                is_member,
+                registers: cells,
+                remaining_ranges: left,
+            }),
+        );
     }
 
     /// More of what was lacking here; what cannot be kept was not told.
@@ -127,7 +139,7 @@
         link: u64,
         addr: &str,
         (request, set, is_member): (u64, u64, bool),
-        cells: Vec<(String, Held)>,
+        cells: Vec<(String, AcceptorState)>,
         left: &[u32],
     ) {
         if set != self.seat.voters.number || self.store.adopt(cells).map_err(noted).is_err() {
--- a/crates/wv-control/src/judge.rs
+++ b/crates/wv-control/src/judge.rs
@@ -61,8 +61,8 @@
     pub(crate) fn judged(&mut self, token: u64, shard: &str, outcome: Outcome) {
         let Some(at) = self.pending.iter().position(|pending| pending.token == token) else { return };
         let map = match outcome {
-            Outcome::Read(cell) if cell.value.is_empty() => Some(SlotMap::default()),
-            Outcome::Read(cell) => nanoserde::DeBin::deserialize_bin(&cell.value).ok(),
+            Outcome::Read(cell) if cell.bytes.is_empty() => Some(SlotMap::default()),
+            Outcome::Read(cell) => nanoserde::DeBin::deserialize_bin(&cell.bytes).ok(),
             _ => None,
         };
         let Some(map) = map else {
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::shards::key;
 use crate::types::Waiting;
-use wv_inner::{Cell, Msg, News, SlotMap};
+use wv_inner::{Msg, News, RegisterValue, SlotMap};
 use wv_reg::{Edit, Outcome};
 
 /// Steps that a shard's registers go through.
@@ -26,24 +26,24 @@
 
 /// A map that lets nothing start: there is one, and who wrote it is not known to stand.
 fn locked(map: &SlotMap) -> SlotMap {
-    SlotMap { shard: map.shard.clone(), number: 1, term: u64::MAX, ..SlotMap::default() }
+    SlotMap { shard: map.shard.clone(), version: 1, term: u64::MAX, ..SlotMap::default() }
 }
 
 /// Names as they were written, a line each.
-fn names(cell: &Cell) -> String {
-    let text = wv_pack::unpack(&cell.value, wv_conf::BODY_MAX * 16).map(|text| text.into_owned());
+fn names(cell: &RegisterValue) -> String {
+    let text = wv_pack::unpack(&cell.bytes, wv_conf::BODY_MAX * 16).map(|text| text.into_owned());
     String::from_utf8(text.unwrap_or_default()).unwrap_or_default()
 }
 
 /// Raises a register to the ballot above the one it was written under, its value as it is.
 fn next() -> Edit {
-    Box::new(|held| Some(Cell { version: ((held.version >> 16) + 1) << 16, ..held.clone() }))
+    Box::new(|held| Some(RegisterValue { version: ((held.version >> 16) + 1) << 16, ..held.clone() }))
 }
 
 /// The same to a ballot that is held already, unless a later one was there.
 fn raise_to(ballot: u64) -> Edit {
     Box::new(move |held| {
-        let raised = Cell { version: held.version.max(ballot << 16), ..held.clone() };
+        let raised = RegisterValue { version: held.version.max(ballot << 16), ..held.clone() };
         (held.version >> 16 <= ballot).then_some(raised)
     })
 }
@@ -75,7 +75,7 @@
     }
 
     pub(crate) fn put_slots(&mut self, shard: &str, version: u64, map: SlotMap) {
-        let map = SlotMap { number: version, ..map };
+        let map = SlotMap { version, ..map };
         let value = nanoserde::SerBin::serialize_bin(&map);
         self.put_keep(shard, "slots", Keep::SlotsPut(map), (version, value));
     }
@@ -96,11 +96,11 @@
 
     pub(crate) fn kept(&mut self, shard: String, keep: Keep, outcome: Outcome) {
         match (keep, outcome) {
-            (Keep::SyncSlots(spell), Outcome::Read(cell)) if cell.value.is_empty() => self.slots_synced(&shard, spell),
+            (Keep::SyncSlots(spell), Outcome::Read(cell)) if cell.bytes.is_empty() => self.slots_synced(&shard, spell),
             (Keep::SyncSlots(spell), Outcome::Read(cell)) => {
-                match <SlotMap as nanoserde::DeBin>::deserialize_bin(&cell.value) {
+                match <SlotMap as nanoserde::DeBin>::deserialize_bin(&cell.bytes) {
                     Ok(map) => {
-                        let is_standing = map.number >> 16 == cell.version >> 16;
+                        let is_standing = map.version >> 16 == cell.version >> 16;
                         self.slots_told(if is_standing { map } else { locked(&map) });
                         self.slots_synced(&shard, spell);
                     }
@@ -113,7 +113,7 @@
             (Keep::SyncSlots(_), _) => {}
             (Keep::Slots, Outcome::Written(cell)) => self.ballot_had(&shard, &cell),
             (Keep::Fill, Outcome::Written(cell)) => {
-                let fill = nanoserde::DeBin::deserialize_bin(&cell.value).ok();
+                let fill = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
                 self.shard_read(&shard, |read| read.fill = fill);
             }
             (Keep::Things, Outcome::Written(cell)) => {
@@ -134,9 +134,9 @@
     }
 
     /// The map is this node's to write: the rest is raised under the same ballot, and read.
-    fn ballot_had(&mut self, shard: &str, cell: &Cell) {
+    fn ballot_had(&mut self, shard: &str, cell: &RegisterValue) {
         let ballot = cell.version >> 16;
-        let map = (!cell.value.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.value).ok()).flatten();
+        let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
         let held = self.shards.entry(shard.to_owned()).or_default();
         (held.ballot, held.step, held.reading) = (ballot, 0, 2 + wv_split::CHUNKS);
         held.read = crate::shards::Read { map, ..Default::default() };
@@ -169,9 +169,9 @@
 
     /// A map that stands: followers hear of it.
     pub(crate) fn slots_told(&mut self, map: SlotMap) {
-        let held = self.feed.slots().get(&map.shard).map_or(0, |held| held.number);
-        if map.number > held {
-            log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.number);
+        let held = self.feed.slots().get(&map.shard).map_or(0, |held| held.version);
+        if map.version > held {
+            log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.version);
             self.publish(News::Slots(map));
         }
     }
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -95,7 +95,7 @@
         let others_up = self.peers.values().filter(|peer| peer.is_up).count();
         let quota = Quota {
             is_own_vote: self.sits(),
-            is_voter: &|addr| voters.has(addr),
+            is_voter: &|addr| voters.contains(addr),
             majority: self.quorum.majority(),
             others: self.tolerate.min(others_up),
         };
--- a/crates/wv-control/src/leaving.rs
+++ b/crates/wv-control/src/leaving.rs
@@ -43,7 +43,7 @@
             return self.is_fresh();
         }
         let own = Member { addr: self.me.clone(), disk: self.seat.disk };
-        let is_kept = |next: wv_inner::Voters| next.members.contains(&own);
+        let is_kept = |next: wv_inner::VoterSet| next.members.contains(&own);
         let is_sealed = self.seat.votes_in(&self.me) == 0;
         !is_sealed && !self.is_changing() && self.planned().is_none_or(is_kept)
     }
--- a/crates/wv-control/src/order.rs
+++ b/crates/wv-control/src/order.rs
@@ -1,6 +1,6 @@
 //! Orders of operators, known by the number and the digest of their bytes, and what was decided of them.
 use nanoserde::{DeBin, SerBin};
-use wv_inner::Cell;
+use wv_inner::RegisterValue;
 
 /// What the register of the configuration begins with since it tells the orders decided last; no body does.
 const MARK: u8 = 2;
@@ -46,17 +46,17 @@
 
 impl Decided {
     /// Reads a register's cell; in one from before orders were told its own body says which it was.
-    pub fn read(cell: &Cell) -> Decided {
-        let told = cell.value.split_first().filter(|(mark, _)| **mark == MARK);
+    pub fn read(cell: &RegisterValue) -> Decided {
+        let told = cell.bytes.split_first().filter(|(mark, _)| **mark == MARK);
         if let Some(decided) = told.and_then(|(_, told)| DeBin::deserialize_bin(told).ok()) {
             return decided;
         }
-        let body = wv_pack::unpack(&cell.value, crate::core::BODY_MAX).unwrap_or_default();
+        let body = wv_pack::unpack(&cell.bytes, crate::core::BODY_MAX).unwrap_or_default();
         let taken = (cell.version > 0).then(|| Order { number: cell.version, digest: digest(&body) });
-        Decided { taken: taken.into_iter().collect(), body: cell.value.clone() }
+        Decided { taken: taken.into_iter().collect(), body: cell.bytes.clone() }
     }
 
-    fn cell(&self, number: u64) -> Cell {
+    fn cell(&self, number: u64) -> RegisterValue {
         let mut value = vec![MARK];
         self.ser_bin(&mut value);
         wv_reg::cell(number, value)
--- a/crates/wv-control/src/outlook.rs
+++ b/crates/wv-control/src/outlook.rs
@@ -59,7 +59,7 @@
             })),
             "split": {
                 "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.step_name(),
-                "number": map.map_or(0, |map| map.number), "term": map.map_or(0, |map| map.term),
+                "number": map.map_or(0, |map| map.version), "term": map.map_or(0, |map| map.term),
                 "moving": moving.map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })),
                 "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.why,
             },
--- a/crates/wv-control/src/own.rs
+++ b/crates/wv-control/src/own.rs
@@ -77,7 +77,7 @@
     pub(crate) fn own_kept(&mut self, service: &str, outcome: Outcome) {
         self.owning.retain(|held| held != service);
         let (Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return };
-        let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.value) else { return };
+        let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
         self.send_peers(&Msg::Owner(told.clone()));
         self.owner_told(told);
     }
@@ -92,8 +92,11 @@
 
     /// After a restart what this disk holds is a hint good enough: an owner that is none any more says so.
     pub(crate) fn recall_owners(&mut self) {
-        let is_own = |(key, held): &(&str, &wv_inner::Held)| key.starts_with("own/") && !held.cell.value.is_empty();
-        let read = |(_, held): (&str, &wv_inner::Held)| <Owner as nanoserde::DeBin>::deserialize_bin(&held.cell.value);
+        let is_own =
+            |(key, held): &(&str, &wv_inner::AcceptorState)| key.starts_with("own/") && !held.value.bytes.is_empty();
+        let read = |(_, held): (&str, &wv_inner::AcceptorState)| {
+            <Owner as nanoserde::DeBin>::deserialize_bin(&held.value.bytes)
+        };
         let owners: Vec<Result<Owner, _>> = self.store.iter().filter(is_own).map(read).collect();
         for owner in owners {
             match owner {
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -153,7 +153,7 @@
                 self.roster.peer_sessions(addr, nodes, self.now);
             }
             Msg::Ping { asker, request } => {
-                let conf = self.store.get(crate::core::CONF).map_or(0, |held| held.cell.version);
+                let conf = self.store.get(crate::core::CONF).map_or(0, |held| held.value.version);
                 let disk = self.is_core.then_some(self.seat.disk);
                 let set = self.seat.votes_in(&self.me);
                 let ready = self.is_ready();
--- a/crates/wv-control/src/recall.rs
+++ b/crates/wv-control/src/recall.rs
@@ -95,7 +95,7 @@
     pub(crate) fn recall_table(&mut self) {
         self.recall_owners();
         let kept: Option<Kept> =
-            self.store.get(&key()).and_then(|held| nanoserde::DeBin::deserialize_bin(&held.cell.value).ok());
+            self.store.get(&key()).and_then(|held| nanoserde::DeBin::deserialize_bin(&held.value.bytes).ok());
         let Some(kept) = kept else { return };
         // Until all had time to come back the nodes share the connections as before: all returning at once,
         // each with a share counted over the few that are already here, would overrun the databases.
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,7 +1,7 @@
 //! Planned shards: who drives their splits, and what the machine of each one reads and orders.
 use crate::core::{Act, Core};
 use std::collections::BTreeMap;
-use wv_inner::{Marks, Msg, SlotMap};
+use wv_inner::{Msg, SlotMap, WriteMarks};
 use wv_split::{Event, Names, Order, Plan, Side, Split, View};
 
 /// A holder that has just started, or was out of contact, first hears who is there.
@@ -70,7 +70,7 @@
             .filter(|range| range.target == shard)
             .map(|range| (range.from, range.until))
             .next()
-            .unwrap_or((0, wv_inner::SLOTS))
+            .unwrap_or((0, wv_inner::SLOT_COUNT))
     }
 
     /// Drives all shards whose key is held here.
@@ -174,13 +174,13 @@
     }
 
     /// Marks of an access node: to the holder, or to the machine here.
-    pub(crate) fn take_marks(&mut self, node: &str, marks: Marks) {
+    pub(crate) fn take_marks(&mut self, node: &str, marks: WriteMarks) {
         let holder = self.shard_holder(&marks.shard);
         if holder != self.me {
             self.send_peer(&holder, Msg::PeerMarks { node: node.to_owned(), marks });
             return;
         }
-        let (shard, attempt, life, serial) = (marks.shard.clone(), marks.attempt, marks.life, marks.serial);
+        let (shard, attempt, life, serial) = (marks.shard.clone(), marks.attempt, marks.incarnation, marks.serial);
         // Before the ballot is had nobody can say what the marks are for: the node sends them again.
         if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
             return;
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -1,7 +1,7 @@
 //! Registers of services and plans that are gone: their values are dropped, their versions stay, so that a fence never
 //! goes back when a name returns.
 use crate::core::Core;
-use wv_inner::{Cell, Held, SlotMap};
+use wv_inner::{AcceptorState, RegisterValue, SlotMap};
 
 /// The key of the duty of sweeping.
 const DUTY: &str = "sweep";
@@ -23,8 +23,8 @@
 }
 
 /// Slots that have moved are found only through their map: it outlives even its plan.
-fn has_moved(key: &str, held: &Held) -> bool {
-    let map = <SlotMap as nanoserde::DeBin>::deserialize_bin(&held.cell.value);
+fn has_moved(key: &str, held: &AcceptorState) -> bool {
+    let map = <SlotMap as nanoserde::DeBin>::deserialize_bin(&held.value.bytes);
     key.starts_with("slots/") && map.map_or(true, |map| !map.moved.is_empty())
 }
 
@@ -44,9 +44,9 @@
                 conf.services.contains_key(name)
             }
         };
-        let is_gone = |(key, held): &(&str, &Held)| {
+        let is_gone = |(key, held): &(&str, &AcceptorState)| {
             let is_left = owner(key).is_some_and(|(is_plan, name)| !is_named(is_plan, name));
-            is_left && !held.cell.value.is_empty() && !has_moved(key, held)
+            is_left && !held.value.bytes.is_empty() && !has_moved(key, held)
         };
         let gone: std::collections::BTreeSet<String> =
             self.store.iter().filter(is_gone).map(|(key, _)| key.to_owned()).collect();
@@ -63,7 +63,8 @@
             // Whoever claims it at the same time finds the next version either way.
             let edit: wv_reg::Edit = Box::new(|held| {
                 let version = ((held.version >> 16) + 1) << 16;
-                (!held.value.is_empty()).then(|| Cell { version: version.max(held.version + 1), ..Cell::default() })
+                (!held.bytes.is_empty())
+                    .then(|| RegisterValue { version: version.max(held.version + 1), ..RegisterValue::default() })
             });
             self.waiting.insert(token, crate::types::Waiting::Swept);
             self.quorum.start(token, &key, Some(edit), self.now);
--- a/crates/wv-control/src/takeover.rs
+++ b/crates/wv-control/src/takeover.rs
@@ -1,7 +1,7 @@
 //! How a disk comes to hold what the voters hold: a member of a new set before it votes, and a learner beforehand.
 use crate::core::Core;
 use std::collections::BTreeSet;
-use wv_inner::{Held, Msg, Takeover};
+use wv_inner::{AcceptorState, CatchUp, Msg};
 use wv_reg::parts;
 
 /// A learner that holds everything compares again after this.
@@ -84,7 +84,7 @@
             (self.seat.voters.clone(), self.seat.before.clone(), self.quorum.next_request());
         let sum = parts::total(&parts::sums(&self.store));
         let (now, open) = (self.now, Vec::new());
-        self.send_peer(&source, Msg::Takeover(Takeover::Compare { request, voters, before, sum }));
+        self.send_peer(&source, Msg::Takeover(CatchUp::Compare { request, voters, previous: before, digest: sum }));
         self.progress.current = Some(Comparison { source, request, began: now, heard: now, set: 0, open, asked: 0 });
     }
 
@@ -104,9 +104,9 @@
     }
 
     /// The side that is asked, and the side that asks.
-    pub(crate) fn hear_takeover(&mut self, link: u64, addr: &str, msg: Takeover) {
+    pub(crate) fn hear_takeover(&mut self, link: u64, addr: &str, msg: CatchUp) {
         match msg {
-            Takeover::Compare { request, voters, before, sum } => {
+            CatchUp::Compare { request, voters, previous: before, digest: sum } => {
                 // Knowing of the set is to have left the one before: only then is what is told here final.
                 self.learn_voters(&voters, &before);
                 if self.seat.voters.number > voters.number {
@@ -117,15 +117,20 @@
                 if set > 0 {
                     let sums = parts::sums(&self.store);
                     let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                    self.send(link, Msg::Takeover(Takeover::Sums { request, set, sums }));
+                    self.send(link, Msg::Takeover(CatchUp::Digests { request, set, digests: sums }));
                 }
             }
-            Takeover::Lacking { request, ranges } => {
+            CatchUp::CompareRanges { request, ranges } => {
                 let (cells, is_whole) = parts::part(&self.store, &ranges);
-                self.send(link, Msg::Takeover(Takeover::Part { request, cells, is_whole }));
+                self.send(
+                    link,
+                    Msg::Takeover(CatchUp::NewerRegisters { request, registers: cells, is_complete: is_whole }),
+                );
+            }
+            CatchUp::Digests { request, set, digests: sums } => self.compared(addr, request, set, &sums),
+            CatchUp::NewerRegisters { request, registers: cells, is_complete: is_whole } => {
+                self.told_part(addr, request, cells, is_whole)
             }
-            Takeover::Sums { request, set, sums } => self.compared(addr, request, set, &sums),
-            Takeover::Part { request, cells, is_whole } => self.told_part(addr, request, cells, is_whole),
         }
     }
 
@@ -146,7 +151,7 @@
     }
 
     /// What came is kept at once, whoever it is from and however late: before it votes a disk may always hold more.
-    fn told_part(&mut self, addr: &str, request: u64, cells: Vec<(String, Held)>, is_whole: bool) {
+    fn told_part(&mut self, addr: &str, request: u64, cells: Vec<(String, AcceptorState)>, is_whole: bool) {
         if !self.is_taking_over() && !self.is_learner() {
             return;
         }
@@ -173,7 +178,7 @@
         let ranges = parts::listed(&self.store, &held.open);
         held.asked = ranges.len();
         let (source, request) = (held.source.clone(), held.request);
-        self.send_peer(&source, Msg::Takeover(Takeover::Lacking { request, ranges }));
+        self.send_peer(&source, Msg::Takeover(CatchUp::CompareRanges { request, ranges }));
     }
 
     /// All that the source held when it was asked stands here.
--- a/crates/wv-control/src/voter.rs
+++ b/crates/wv-control/src/voter.rs
@@ -1,40 +1,40 @@
 //! The voter's side of the registers, and the quorum's traffic.
 use crate::core::Core;
-use wv_inner::{Ballot, Msg, Step, Vote};
+use wv_inner::{Ballot, Msg, RegisterReply, RegisterRequest};
 
 impl Core {
     /// What a voter of `set` here says to a step; nobody else says anything. Nor does a disk that fails: that is no
     /// vote at all, neither for nor against. A refusal would only make the proposer try again, and never end while
     /// the disk is full.
-    pub(crate) fn vote(&mut self, set: u64, key: &str, step: &Step) -> Option<Vote> {
+    pub(crate) fn vote(&mut self, set: u64, key: &str, step: &RegisterRequest) -> Option<RegisterReply> {
         (set > 0 && self.seat.votes_in(&self.me) == set && !key.starts_with(crate::core::LOCAL)).then_some(())?;
         let noted = |error: wv_reg::RegError| log::error!("register {key} not kept: {error}");
         match step {
-            Step::Look { known } => Some(self.told(key, *known)),
-            Step::Prepare { ballot, known } => {
+            RegisterRequest::Read { known } => Some(self.told(key, *known)),
+            RegisterRequest::Prepare { ballot, known } => {
                 self.quorum.see(*ballot);
                 let is_promised = self.store.promise(key, *ballot).map_err(noted).ok()?;
                 Some(if is_promised { self.told(key, *known) } else { self.refused(key) })
             }
-            Step::Accept { ballot, cell } => {
+            RegisterRequest::Accept { ballot, value: cell } => {
                 self.quorum.see(*ballot);
                 let is_kept = self.store.accept(key, *ballot, cell).map_err(noted).ok()?;
-                Some(if is_kept { Vote::Accepted } else { self.refused(key) })
+                Some(if is_kept { RegisterReply::Accepted } else { self.refused(key) })
             }
         }
     }
 
     /// What is held here, without the cell where the asker has it. Copies of disks from before there were ballots are
     /// told whole: under the lowest ballot they may differ.
-    fn told(&self, key: &str, known: Ballot) -> Vote {
+    fn told(&self, key: &str, known: Ballot) -> RegisterReply {
         let held = self.store.get(key).cloned().unwrap_or_default();
         let is_known = held.accepted == known && known != Ballot::default();
-        Vote::Holds { accepted: held.accepted, cell: (!is_known).then_some(held.cell) }
+        RegisterReply::Current { accepted: held.accepted, value: (!is_known).then_some(held.value) }
     }
 
-    fn refused(&self, key: &str) -> Vote {
+    fn refused(&self, key: &str) -> RegisterReply {
         let promised = self.store.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted));
-        Vote::Refused { promised }
+        RegisterReply::Rejected { promised }
     }
 
     /// Carries the quorum's messages and takes up what is done.
--- a/crates/wv-control/src/voters.rs
+++ b/crates/wv-control/src/voters.rs
@@ -1,7 +1,7 @@
 //! The set of voters in change: who plans it, and how it is agreed on.
 use crate::core::{Core, FRESH_US};
 use crate::types::Peer;
-use wv_inner::{Member, Msg, Voters};
+use wv_inner::{Member, Msg, VoterSet};
 use wv_reg::{Change, End};
 
 /// The key of the duty of changing the voters.
@@ -25,19 +25,22 @@
     }
 
     fn is_named(&self, addr: &str) -> bool {
-        self.seeds.iter().any(|seed| seed == addr) || self.seat.voters.has(addr)
+        self.seeds.iter().any(|seed| seed == addr) || self.seat.voters.contains(addr)
     }
 
     pub(crate) fn forget_peers(&mut self) {
         let now = self.now;
         let (seeds, voters) = (&self.seeds, &self.seat.voters);
         self.peers.retain(|addr, peer| {
-            peer.is_up || peer.since.max(peer.contact) + FORGOTTEN_US > now || seeds.contains(addr) || voters.has(addr)
+            peer.is_up
+                || peer.since.max(peer.contact) + FORGOTTEN_US > now
+                || seeds.contains(addr)
+                || voters.contains(addr)
         });
     }
 
     /// A settled set was heard of: it counts from now on, here and for whoever is told.
-    pub(crate) fn learn_voters(&mut self, voters: &Voters, before: &Voters) {
+    pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
         let is_news = self.seat.learn(&mut self.store, &self.me, voters, before).unwrap_or_else(|error| {
             log::error!("the set of voters is not kept: {error}");
             self.is_unlearned = true;
@@ -123,9 +126,9 @@
         if !is_begun && !self.is_complete() {
             return;
         }
-        let same = || Voters { number: voters.number + 1, members: voters.members.clone() };
+        let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
         let next = self.planned().or_else(|| is_begun.then(same));
-        let is_larger = |next: &Voters| next.members.len() > voters.members.len();
+        let is_larger = |next: &VoterSet| next.members.len() > voters.members.len();
         let Some(next) = next.filter(|next| is_begun || !is_larger(next) || self.changed + GROW_US <= self.now) else {
             return;
         };
@@ -140,7 +143,7 @@
     }
 
     /// The next set, if this node sees a reason for one.
-    pub(crate) fn planned(&self) -> Option<Voters> {
+    pub(crate) fn planned(&self) -> Option<VoterSet> {
         wv_reg::plan(&self.seat.voters, &self.cores(), |addr| self.away_us(addr))
     }
 
--- a/crates/wv-control/src/words.rs
+++ b/crates/wv-control/src/words.rs
@@ -114,8 +114,8 @@
         let term = || self.known_term(service);
         let target = |map: &wv_inner::SlotMap| map.moving.as_ref().is_some_and(|range| range.target == service);
         self.feed.slots().values().any(|map| {
-            (map.shard == service && map.raise > 0 && term() <= map.raise)
-                || (target(map) && map.raise_target > 0 && term() <= map.raise_target)
+            (map.shard == service && map.superseded_term > 0 && term() <= map.superseded_term)
+                || (target(map) && map.superseded_target_term > 0 && term() <= map.superseded_target_term)
         })
     }
 }
--- a/crates/wv-control/tests/alone/mod.rs
+++ b/crates/wv-control/tests/alone/mod.rs
@@ -1,7 +1,7 @@
 //! One control node among three, whose peers answer when the story says so.
 use std::collections::BTreeMap;
 use wv_control::{Act, Core, Start};
-use wv_inner::{Ballot, Cell, Msg, Step, Vote};
+use wv_inner::{Ballot, Msg, RegisterReply, RegisterRequest, RegisterValue};
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
@@ -141,15 +141,15 @@
         }
         Msg::Call { asker, request, key, step, .. } => {
             let vote = match step {
-                Step::Accept { .. } => Vote::Accepted,
-                _ => Vote::Holds { accepted: Ballot::default(), cell: Some(Cell::default()) },
+                RegisterRequest::Accept { .. } => RegisterReply::Accepted,
+                _ => RegisterReply::Current { accepted: Ballot::default(), value: Some(RegisterValue::default()) },
             };
             Some(Msg::Voted { asker, request, key, vote })
         }
         Msg::Hello { .. } => {
             let member = |at| wv_inner::Member { addr: format!("10.0.0.{at}:80"), disk: 0 };
-            let voters = wv_inner::Voters { number: 1, members: (1..4).map(member).collect() };
-            Some(Msg::Peers { addrs: Vec::new(), zones: Vec::new(), voters, before: wv_inner::Voters::default() })
+            let voters = wv_inner::VoterSet { number: 1, members: (1..4).map(member).collect() };
+            Some(Msg::Peers { addrs: Vec::new(), zones: Vec::new(), voters, before: wv_inner::VoterSet::default() })
         }
         Msg::Recap { asker, request, .. } => Some(Msg::Recapped { asker, request }),
         Msg::Inst { asker, request, inst } if request > 0 => Some(Msg::InstHeld { asker, request, id: inst.id }),
--- a/crates/wv-control/tests/model_orders.rs
+++ b/crates/wv-control/tests/model_orders.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use register_model::{Setup, Verdict, Wish, Without, World};
 use wv_control::order::{digest, take, Decided, Order};
-use wv_inner::Cell;
+use wv_inner::RegisterValue;
 use wv_search::{search, Bound};
 
 /// As many states as take some seconds in all; `WV_MODEL_DEPTH` takes the bound away.
@@ -18,7 +18,7 @@
     Order { number, digest: digest(&[content]) }
 }
 
-fn verdict(cell: &Cell, number: u64, content: u8) -> Verdict {
+fn verdict(cell: &RegisterValue, number: u64, content: u8) -> Verdict {
     match Decided::read(cell).verdict(&order(number, content)) {
         wv_control::order::Verdict::Taken => Verdict::Taken,
         wv_control::order::Verdict::Lost => Verdict::Lost,
@@ -70,7 +70,7 @@
     let wishes: &[&[Wish]] = &[&[W(1, 1), W(2, 2), W(1, 1)]];
     let forgetful: fn(u64, u8) -> wv_reg::Edit = |number, content| {
         // As if each order were the first one.
-        let fresh = take(order(number, content), vec![content])(&Cell::default());
+        let fresh = take(order(number, content), vec![content])(&RegisterValue::default());
         Box::new(move |held| fresh.clone().filter(|_| held.version < number))
     };
     breaks(
@@ -83,7 +83,7 @@
 
 #[gtest]
 fn given_orders_known_by_their_number_alone_then_the_model_finds_a_number_acknowledged_twice() {
-    let verdict: fn(&Cell, u64, u8) -> Verdict = |cell, number, _| {
+    let verdict: fn(&RegisterValue, u64, u8) -> Verdict = |cell, number, _| {
         let is_taken = Decided::read(cell).taken.iter().any(|taken| taken.number == number);
         if is_taken {
             Verdict::Taken
--- a/crates/wv-control/tests/takeover.rs
+++ b/crates/wv-control/tests/takeover.rs
@@ -3,12 +3,12 @@
 
 use common::Node;
 use googletest::prelude::*;
-use wv_inner::{Ballot, Held, Member, Msg, Step, Takeover, Voters};
+use wv_inner::{AcceptorState, Ballot, CatchUp, Member, Msg, RegisterRequest, VoterSet};
 use wv_reg::{cell, parts};
 
-fn set(number: u64, names: &str) -> Voters {
+fn set(number: u64, names: &str) -> VoterSet {
     let member = |name: char| Member { addr: format!("{name}:80"), disk: u64::from(name == 'd') };
-    Voters { number, members: names.chars().map(member).collect() }
+    VoterSet { number, members: names.chars().map(member).collect() }
 }
 
 /// The set in which it says that it votes.
@@ -19,7 +19,7 @@
 
 /// Whether it answers a look in `set`.
 fn is_voting(node: &mut Node, set: u64) -> bool {
-    let step = Step::Look { known: Ballot::default() };
+    let step = RegisterRequest::Read { known: Ballot::default() };
     let said = node.hear("b", Msg::Call { asker: 7, request: 1, set, key: "k".to_owned(), step });
     said.iter().any(|(_, msg)| matches!(msg, Msg::Voted { .. }))
 }
@@ -27,7 +27,7 @@
 /// Whom it asks to compare, and under which request.
 fn asked(node: &Node, said: &[(u64, Msg)]) -> Option<(String, u64)> {
     said.iter().find_map(|(link, msg)| match msg {
-        Msg::Takeover(Takeover::Compare { request, .. }) => {
+        Msg::Takeover(CatchUp::Compare { request, .. }) => {
             let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
             Some((addr[..1].to_owned(), *request))
         }
@@ -35,7 +35,7 @@
     })
 }
 
-fn peers(voters: Voters, before: Voters) -> Msg {
+fn peers(voters: VoterSet, before: VoterSet) -> Msg {
     Msg::Peers { addrs: Vec::new(), zones: Vec::new(), voters, before }
 }
 
@@ -44,9 +44,9 @@
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let said = node.hear("b", Msg::Takeover(Takeover::Compare { request: 5, voters, before, sum: 0 }));
+    let said = node.hear("b", Msg::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
     let told = said.iter().find_map(|(_, msg)| match msg {
-        Msg::Takeover(Takeover::Sums { request: 5, set, .. }) => Some(*set),
+        Msg::Takeover(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
     expect_that!(told, some(eq(1)));
@@ -60,16 +60,17 @@
     let (first, request) = asked(&node, &said).expect("it asks at once");
     // The first says that it holds something else; one register of it comes, and that is all.
     let mut sums = vec![0; parts::RANGES];
-    let said = node.hear(&first, Msg::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
-    let is_lacking = |msg: &Msg| matches!(msg, Msg::Takeover(Takeover::Lacking { .. }));
+    let said = node.hear(&first, Msg::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
+    let is_lacking = |msg: &Msg| matches!(msg, Msg::Takeover(CatchUp::CompareRanges { .. }));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true));
-    let ballot = Ballot { round: (1 << 40) + 1, who: 3 };
-    let copy = Held { promised: ballot, accepted: ballot, cell: cell(4, vec![4]) };
-    let part = Takeover::Part { request, cells: vec![("k".to_owned(), copy)], is_whole: false };
+    let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
+    let copy = AcceptorState { promised: ballot, accepted: ballot, value: cell(4, vec![4]) };
+    let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
     let said = node.hear(&first, Msg::Takeover(part));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true), "not all of it");
     expect_that!(votes_in(&mut node), eq(0));
-    let said = node.hear(&first, Msg::Takeover(Takeover::Part { request, cells: Vec::new(), is_whole: true }));
+    let said =
+        node.hear(&first, Msg::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }));
     // One of three that left is no majority: another is asked.
     expect_that!(votes_in(&mut node), eq(0));
     expect_that!(is_voting(&mut node, 2), eq(false));
@@ -77,9 +78,9 @@
     expect_that!(second, not(eq(&first)));
     // A late word of the first counts for nothing.
     sums.clear();
-    node.hear(&first, Msg::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
+    node.hear(&first, Msg::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
     expect_that!(votes_in(&mut node), eq(0));
-    node.hear(&second, Msg::Takeover(Takeover::Sums { request, set: 1, sums }));
+    node.hear(&second, Msg::Takeover(CatchUp::Digests { request, set: 1, digests: sums }));
     expect_that!(votes_in(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
@@ -91,7 +92,7 @@
         let mut said = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
             if let Some((asked, request)) = asked(&node, &said) {
-                node.hear(&asked, Msg::Takeover(Takeover::Sums { request, set: told, sums: Vec::new() }));
+                node.hear(&asked, Msg::Takeover(CatchUp::Digests { request, set: told, digests: Vec::new() }));
             }
             said = node.tick();
         }
--- a/crates/wv-fill/src/lib.rs
+++ b/crates/wv-fill/src/lib.rs
@@ -9,10 +9,10 @@
 pub use forecast::{forecast, Crossing, Forecast, Outlook};
 pub use history::{History, Point, BIN_US};
 pub use methods::{Level, Method, METHOD};
-pub use sample::{Entry, Sample, KEPT};
+pub use sample::{KeySample, Sample, KEPT};
 pub use slot::hash;
 pub use warn::{advise, Advice, Need};
-pub use wv_inner::{slot, SLOTS};
+pub use wv_inner::{slot_for_key, SLOT_COUNT};
 
 pub const HOUR_US: u64 = 3_600_000_000;
 pub const DAY_US: u64 = 24 * HOUR_US;
--- a/crates/wv-fill/src/sample.rs
+++ b/crates/wv-fill/src/sample.rs
@@ -1,7 +1,7 @@
 //! A bottom-k sample of the things written: the k smallest hashes with what each adds. Taking in the same thing
 //! again, or another node's report of it, changes nothing.
 use std::collections::BTreeMap;
-pub use wv_inner::Entry;
+pub use wv_inner::KeySample;
 
 /// How many things the sample keeps; the standard error of a count is one over the root of it.
 pub const KEPT: usize = 2048;
@@ -13,7 +13,7 @@
 
 impl Sample {
     /// Takes a written thing in. `true` where that changed the sample, so that others want to hear of it.
-    pub fn offer(&mut self, entry: Entry) -> bool {
+    pub fn offer(&mut self, entry: KeySample) -> bool {
         if let Some((_, bytes)) = self.kept.get_mut(&entry.hash) {
             // The larger row counts: of two reports nobody knows which came later.
             let is_larger = entry.bytes > *bytes;
@@ -31,12 +31,12 @@
     }
 
     /// Takes in what another sample holds; what of it was news.
-    pub fn merge(&mut self, entries: impl IntoIterator<Item = Entry>) -> usize {
+    pub fn merge(&mut self, entries: impl IntoIterator<Item = KeySample>) -> usize {
         entries.into_iter().filter(|entry| self.offer(*entry)).count()
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
-        self.kept.iter().map(|(hash, (slot, bytes))| Entry { hash: *hash, slot: *slot, bytes: *bytes })
+    pub fn entries(&self) -> impl Iterator<Item = KeySample> + '_ {
+        self.kept.iter().map(|(hash, (slot, bytes))| KeySample { hash: *hash, slot: *slot, bytes: *bytes })
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/wv-fill/tests/fill.rs
+++ b/crates/wv-fill/tests/fill.rs
@@ -3,12 +3,12 @@
 
 use googletest::prelude::*;
 use wv_fill::{
-    advise, forecast, hash, slot, Crossing, Entry, Forecast, History, Method, Need, Outlook, Sample, DAY_US, HOUR_US,
-    METHOD,
+    advise, forecast, hash, slot_for_key, Crossing, Forecast, History, KeySample, Method, Need, Outlook, Sample,
+    DAY_US, HOUR_US, METHOD,
 };
 
-fn entry(name: &str) -> Entry {
-    Entry { hash: hash(name.as_bytes()), slot: slot(name.as_bytes()), bytes: 100 }
+fn entry(name: &str) -> KeySample {
+    KeySample { hash: hash(name.as_bytes()), slot: slot_for_key(name.as_bytes()), bytes: 100 }
 }
 
 #[gtest]
@@ -37,7 +37,7 @@
     let mut sample = Sample::default();
     expect_that!(sample.offer(entry("a")), eq(true));
     expect_that!(sample.offer(entry("a")), eq(false));
-    expect_that!(sample.offer(Entry { bytes: 150, ..entry("a") }), eq(true));
+    expect_that!(sample.offer(KeySample { bytes: 150, ..entry("a") }), eq(true));
     expect_that!(sample.offer(entry("a")), eq(false));
     expect_that!(sample.totals(|_| true), eq((1, 150)));
     expect_that!(sample.error(), eq(0.0));
@@ -45,11 +45,11 @@
 
 #[gtest]
 fn given_a_tag_in_a_name_then_all_things_with_it_share_a_slot() {
-    expect_that!(slot(b"{plot7}deed"), eq(slot(b"{plot7}outline")));
-    expect_that!(slot(b"{plot7}deed"), eq(slot(b"plot7")));
+    expect_that!(slot_for_key(b"{plot7}deed"), eq(slot_for_key(b"{plot7}outline")));
+    expect_that!(slot_for_key(b"{plot7}deed"), eq(slot_for_key(b"plot7")));
     // Nothing between the braces, or no end of them: the whole name counts.
-    expect_that!(slot(b"{}deed"), not(eq(slot(b"{}outline"))));
-    expect_that!(slot(b"{deed"), not(eq(slot(b"{outline"))));
+    expect_that!(slot_for_key(b"{}deed"), not(eq(slot_for_key(b"{}outline"))));
+    expect_that!(slot_for_key(b"{deed"), not(eq(slot_for_key(b"{outline"))));
 }
 
 #[gtest]
--- a/crates/wv-fleet/src/events.rs
+++ b/crates/wv-fleet/src/events.rs
@@ -145,7 +145,7 @@
         at: usize,
         link: u64,
         life: u64,
-        msg: wv_inner::Hand,
+        msg: wv_inner::ForwardMessage,
     },
 }
 
--- a/crates/wv-fleet/src/hands.rs
+++ b/crates/wv-fleet/src/hands.rs
@@ -1,7 +1,7 @@
 //! Links between access nodes in the world.
 use crate::world::{Ev, World, HOP};
 use crate::MS;
-use wv_inner::Hand;
+use wv_inner::ForwardMessage;
 
 impl World {
     pub(crate) fn with_hand(&mut self, at: usize, life: u64, event: impl FnOnce(&mut wv_access::Core, u64)) {
@@ -14,7 +14,7 @@
     pub(crate) fn note_owner(&mut self, msg: &wv_inner::Msg) {
         if let wv_inner::Msg::Change { news: wv_inner::News::Slots(map), .. } = msg {
             let held = self.owners.entry(format!("slots/{}", map.shard)).or_default();
-            if std::mem::replace(held, map.number.max(*held)) < map.number {
+            if std::mem::replace(held, map.version.max(*held)) < map.version {
                 let moving =
                     map.moving.as_ref().map(|range| format!("{}-{} to {}", range.from, range.until, range.target));
                 self.note(format!(
@@ -23,8 +23,8 @@
                     map.phase,
                     map.term,
                     moving.unwrap_or_else(|| "none".to_owned()),
-                    map.raise,
-                    map.raise_target,
+                    map.superseded_term,
+                    map.superseded_target_term,
                     map.moved.len()
                 ));
             }
@@ -57,7 +57,7 @@
     }
 
     /// What is sent over a cut is lost, and the link falls some time after.
-    pub(crate) fn send_hand(&mut self, at: usize, link: u64, msg: Hand) {
+    pub(crate) fn send_hand(&mut self, at: usize, link: u64, msg: ForwardMessage) {
         let Some((to, far)) = self.hands.get(&(at, link)).copied() else { return };
         if self.is_cut(&self.access[at].name, &self.access[to].name) {
             self.hands.remove(&(at, link));
--- a/crates/wv-fleet/src/links.rs
+++ b/crates/wv-fleet/src/links.rs
@@ -122,11 +122,11 @@
     fn weigh(&mut self, name: &str, msg: &Msg) {
         let Some(crossed) = self.crossed.as_mut() else { return };
         let mut frame = Vec::new();
-        wv_inner::put_frame(&mut frame, msg);
+        wv_inner::encode_frame(&mut frame, msg);
         let held = crossed.entry(name.to_owned()).or_default();
         held.bytes += frame.len() as u64;
         held.longest = held.longest.max(frame.len() as u64);
-        held.parts += u64::from(matches!(msg, Msg::Takeover(wv_inner::Takeover::Part { .. })));
+        held.parts += u64::from(matches!(msg, Msg::Takeover(wv_inner::CatchUp::NewerRegisters { .. })));
         let is_conf =
             |news: &wv_inner::News| matches!(news, wv_inner::News::Conf { .. } | wv_inner::News::ConfChange { .. });
         held.confs += u64::from(matches!(msg, Msg::Change { news, .. } if is_conf(news)));
--- a/crates/wv-fleet/src/splits.rs
+++ b/crates/wv-fleet/src/splits.rs
@@ -4,7 +4,7 @@
 use crate::world::{Ev, World, HOP};
 use crate::MS;
 use std::collections::BTreeMap;
-use wv_inner::{Range, SlotMap};
+use wv_inner::{SlotMap, SlotRange};
 use wv_split::Reply;
 use wv_wire::{cut_line, DbLine};
 
@@ -92,7 +92,7 @@
     pub fn slot_map(&self, shard: &str) -> SlotMap {
         let cores = self.controls.iter().filter_map(|control| control.core.as_ref());
         let maps = cores.filter_map(|core| core.slot_map(shard));
-        maps.max_by_key(|map| map.number).unwrap_or_default()
+        maps.max_by_key(|map| map.version).unwrap_or_default()
     }
 
     fn lead_of(&self, service: &str) -> Option<&crate::Base> {
@@ -101,9 +101,9 @@
 
     /// Every thing's row, where its slot now stands, is what its last write left: first those of the source's log,
     /// then those of the target's. Nothing of a client's stands in the target that the source still has.
-    pub fn judge_rows(&self, source: &str, target: &str, moved: &[Range]) -> Vec<String> {
+    pub fn judge_rows(&self, source: &str, target: &str, moved: &[SlotRange]) -> Vec<String> {
         let (Some(source), Some(target)) = (self.lead_of(source), self.lead_of(target)) else { return Vec::new() };
-        let is_moved = |thing: &str| moved.iter().any(|range| range.holds(wv_inner::slot(thing.as_bytes())));
+        let is_moved = |thing: &str| moved.iter().any(|range| range.contains(wv_inner::slot_for_key(thing.as_bytes())));
         let clients = |base: &crate::Base| -> Vec<Write> {
             base.log.iter().map(|entry| entry.write.clone()).filter(|write| write.tag != "-").collect()
         };
--- a/crates/wv-fleet/tests/common/mod.rs
+++ b/crates/wv-fleet/tests/common/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// Lets time pass until the map is in this phase; `false` if it never is.
-    pub fn comes_to(&mut self, phase: wv_inner::Phase, us: u64) -> bool {
+    pub fn comes_to(&mut self, phase: wv_inner::SplitPhase, us: u64) -> bool {
         let limit = self.world.now + us;
         while self.world.slot_map("s").phase != phase && self.world.now < limit {
             self.world.run(5 * MS);
@@ -119,7 +119,7 @@
     /// A thing of the load whose slot is meant.
     pub fn thing(&self, is_meant: impl Fn(u16) -> bool) -> String {
         let mut all = (0..200).map(|at| format!("{{{at}}}x"));
-        all.find(|name| is_meant(wv_inner::slot(name.as_bytes()))).expect("there are things in all slots")
+        all.find(|name| is_meant(wv_inner::slot_for_key(name.as_bytes()))).expect("there are things in all slots")
     }
 
     pub fn moving_thing(&self) -> String {
--- a/crates/wv-fleet/tests/hands.rs
+++ b/crates/wv-fleet/tests/hands.rs
@@ -37,10 +37,15 @@
     let (mut world, _, other) = pair();
     let core = world.access[other].core.as_mut().expect("it runs");
     let link = core.hand_in(0);
-    let hand = wv_inner::HandId { life: 9, number: 5 };
-    core.hand(link, wv_inner::Hand::Open { hand, host: "p".to_owned(), who: "u".to_owned() }, 0);
-    core.hand(link, wv_inner::Hand::Request { hand, ask: 1, lines: b"QUERY w1 WRITE k d\r\n".to_vec() }, 0);
-    let refused = wv_access::Act::SendHand { link, msg: wv_inner::Hand::Refused { hand, ask: 1 } };
+    let hand = wv_inner::ForwardedSessionId { incarnation: 9, number: 5 };
+    core.hand(link, wv_inner::ForwardMessage::Open { session: hand, host: "p".to_owned(), user: "u".to_owned() }, 0);
+    core.hand(
+        link,
+        wv_inner::ForwardMessage::Request { session: hand, request: 1, lines: b"QUERY w1 WRITE k d\r\n".to_vec() },
+        0,
+    );
+    let refused =
+        wv_access::Act::SendHand { link, msg: wv_inner::ForwardMessage::Rejected { session: hand, request: 1 } };
     expect_that!(core.take_acts(), eq(&vec![refused]));
 }
 
--- a/crates/wv-fleet/tests/learners.rs
+++ b/crates/wv-fleet/tests/learners.rs
@@ -16,11 +16,11 @@
     let files = Box::new(world.controls[control].files.copy());
     let mut store = Store::open(files).expect("it can be read");
     let seat = Seat::open(&mut store, &world.controls[control].addr, &[], false, 1).expect("it has one");
-    (seat, store.get("conf").map_or(0, |held| held.cell.version))
+    (seat, store.get("conf").map_or(0, |held| held.value.version))
 }
 
 /// The newest set known on the disk of any of `controls`.
-fn newest(world: &World, controls: &[usize]) -> wv_inner::Voters {
+fn newest(world: &World, controls: &[usize]) -> wv_inner::VoterSet {
     let known = controls.iter().map(|at| disk(world, *at).0.voters);
     known.max_by_key(|voters| voters.number).unwrap_or_default()
 }
@@ -150,5 +150,5 @@
     expect_that!(put_version(&mut world, 1, 20), eq(200));
     expect_that!(until(&mut world, 3 * S, |world| newest(world, &[1]).number > number), eq(true));
     expect_that!(world.now - started, le(7 * S));
-    expect_that!(newest(&world, &[1]).has(&world.controls[0].addr), eq(false));
+    expect_that!(newest(&world, &[1]).contains(&world.controls[0].addr), eq(false));
 }
--- a/crates/wv-fleet/tests/leaving_voters.rs
+++ b/crates/wv-fleet/tests/leaving_voters.rs
@@ -99,12 +99,12 @@
 }
 
 /// The version of the configuration on the disk of `control`, and the newest set known there.
-fn disk(world: &World, control: usize) -> (u64, wv_inner::Voters) {
+fn disk(world: &World, control: usize) -> (u64, wv_inner::VoterSet) {
     let files = Box::new(world.controls[control].files.copy());
     let mut store = wv_reg::Store::open(files).expect("it can be read");
     let addr = &world.controls[control].addr;
     let seat = wv_reg::Seat::open(&mut store, addr, &[], false, 1).expect("it has one");
-    (store.get("conf").map_or(0, |held| held.cell.version), seat.voters)
+    (store.get("conf").map_or(0, |held| held.value.version), seat.voters)
 }
 
 #[gtest]
@@ -130,10 +130,10 @@
             }
             let next = [other, missing].map(|at| disk(&world, at).1).into_iter().max_by_key(|known| known.number);
             let next = next.unwrap_or_default();
-            let is_holder = |at: &usize| next.has(&world.controls[*at].addr) && disk(&world, *at).0 >= acked;
+            let is_holder = |at: &usize| next.contains(&world.controls[*at].addr) && disk(&world, *at).0 >= acked;
             let holders = (0..4).filter(is_holder).count();
             expect_that!(next.number, eq(2), "{gone} {missing} {wait}");
-            expect_that!(next.has(&world.controls[gone].addr), eq(false), "{gone} {missing} {wait}");
+            expect_that!(next.contains(&world.controls[gone].addr), eq(false), "{gone} {missing} {wait}");
             expect_that!(holders, ge(next.majority()), "{gone} {missing} {wait}: {acked}");
             acks += u64::from(acked >= 20);
         }
--- a/crates/wv-fleet/tests/split.rs
+++ b/crates/wv-fleet/tests/split.rs
@@ -4,7 +4,7 @@
 use common::{conf, Story};
 use googletest::prelude::*;
 use wv_fleet::{World, MS, S};
-use wv_inner::Phase;
+use wv_inner::SplitPhase;
 
 #[gtest]
 fn given_live_writes_when_a_split_is_requested_then_the_upper_slots_move_and_every_record_arrives_once() {
@@ -28,7 +28,7 @@
 fn given_a_change_of_the_configuration_in_mid_copy_then_the_split_goes_on() {
     let mut story = Story::begin();
     story.request();
-    expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
+    expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
     let ret = story.call("PUT", "/configuration", &common::conf(2, |_| {}));
     expect_that!(ret.0, eq(200));
     expect_that!(story.moves_within(60 * S), eq(true));
@@ -52,7 +52,7 @@
     story.world.run(6 * S);
     expect_that!(story.moved(), eq(false));
     let map = story.world.slot_map("s");
-    expect_that!((map.phase, map.moving.is_none()), eq((Phase::Resting, true)));
+    expect_that!((map.phase, map.moving.is_none()), eq((SplitPhase::Resting, true)));
     expect_that!(story.end(), is_empty());
 }
 
@@ -125,11 +125,11 @@
     let mut story = Story::at(night - 60 * S, |plan| plan["rowsPerS"] = 3.into());
     let asked = story.world.now;
     story.request();
-    expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
+    expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
     expect_that!(story.call("DELETE", "/splits/s", b"").0, eq(200));
     story.world.run(3 * S);
     let map = story.world.slot_map("s");
-    expect_that!((map.phase, map.moving.is_none(), map.moved.is_empty()), eq((Phase::Resting, true, true)));
+    expect_that!((map.phase, map.moving.is_none(), map.moved.is_empty()), eq((SplitPhase::Resting, true, true)));
     expect_that!(story.world.now, gt(asked));
     let ret = story.call("PUT", "/configuration", &common::conf(2, |_| {}));
     expect_that!(ret.0, eq(200));
--- a/crates/wv-fleet/tests/split_faults.rs
+++ b/crates/wv-fleet/tests/split_faults.rs
@@ -4,7 +4,7 @@
 use common::Story;
 use googletest::prelude::*;
 use wv_fleet::{MS, S};
-use wv_inner::Phase;
+use wv_inner::SplitPhase;
 
 #[gtest]
 fn given_the_holder_dies_at_any_step_of_a_split_then_another_rolls_back_or_goes_on_and_no_record_is_lost() {
@@ -26,7 +26,7 @@
 
 #[gtest]
 fn given_all_power_is_lost_while_rows_are_copied_or_sealed_then_the_split_begins_anew_and_loses_nothing() {
-    for phase in [Phase::Copying, Phase::Sealed] {
+    for phase in [SplitPhase::Copying, SplitPhase::Sealed] {
         let mut story = Story::begin();
         story.request();
         expect_that!(story.comes_to(phase, 20 * S), eq(true));
@@ -46,7 +46,7 @@
     for moment in [1, 3, 7, 13] {
         let mut story = Story::begin();
         story.request();
-        expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
+        expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
         // Until it has a write of a thing that moves on its way.
         story.world.run(moment * 5 * MS);
         let client = story.world.client(1, "p");
@@ -71,7 +71,9 @@
 
 #[gtest]
 fn given_a_primary_lost_while_rows_are_copied_or_at_the_cutover_then_nothing_is_lost_on_either_side() {
-    for (service, phase) in [("s", Phase::Copying), ("s", Phase::Sealed), ("t", Phase::Copying), ("t", Phase::Sealed)] {
+    for (service, phase) in
+        [("s", SplitPhase::Copying), ("s", SplitPhase::Sealed), ("t", SplitPhase::Copying), ("t", SplitPhase::Sealed)]
+    {
         let mut story = Story::begin();
         story.request();
         expect_that!(story.comes_to(phase, 20 * S), eq(true));
@@ -114,9 +116,9 @@
         let thing = story.moving_thing();
         story.world.run(S);
         story.request();
-        expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
+        expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
         // Everything is copied, and the term is about to be left behind.
-        while story.world.slot_map("s").raise == 0 {
+        while story.world.slot_map("s").superseded_term == 0 {
             story.world.run(5 * MS);
         }
         story.world.run(wait * MS);
@@ -136,8 +138,8 @@
     for wait in [0, 60, 130, 220] {
         let mut story = Story::begin();
         story.request();
-        expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
-        while story.world.slot_map("s").raise == 0 {
+        expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
+        while story.world.slot_map("s").superseded_term == 0 {
             story.world.run(5 * MS);
         }
         story.world.run(wait * MS);
@@ -158,7 +160,7 @@
     story.world.run(S);
     story.world.take(client);
     let mut names = (0..).map(|at| format!("{{new{at}}}x"));
-    let name = names.find(|name| wv_inner::slot(name.as_bytes()) >= 512).unwrap_or_default();
+    let name = names.find(|name| wv_inner::slot_for_key(name.as_bytes()) >= 512).unwrap_or_default();
     // Nothing that the node says reaches anyone but the databases.
     for at in 0..3 {
         let pair = (story.world.access[1].name.clone(), story.world.controls[at].name.clone());
@@ -184,7 +186,7 @@
     for late in (11_000..17_600).step_by(300) {
         let mut story = Story::begin();
         story.request();
-        expect_that!(story.comes_to(Phase::Copying, 20 * S), eq(true));
+        expect_that!(story.comes_to(SplitPhase::Copying, 20 * S), eq(true));
         // The next copies are on their way for long; their holder dies meanwhile.
         story.world.copy_us = late * MS;
         story.world.run(900 * MS);
--- a/crates/wv-fleet/tests/sweep.rs
+++ b/crates/wv-fleet/tests/sweep.rs
@@ -15,7 +15,7 @@
 /// The version and the value of a register, as the disk of `control` holds it.
 fn register(world: &World, control: usize, key: &str) -> (u64, Vec<u8>) {
     let store = wv_reg::Store::open(Box::new(world.controls[control].files.copy())).expect("readable");
-    store.get(key).map(|held| (held.cell.version, held.cell.value.clone())).unwrap_or_default()
+    store.get(key).map(|held| (held.value.version, held.value.bytes.clone())).unwrap_or_default()
 }
 
 #[gtest]
--- a/crates/wv-fleet/tests/takeover.rs
+++ b/crates/wv-fleet/tests/takeover.rs
@@ -20,7 +20,7 @@
 
 fn shared(store: &Store) -> Vec<(String, u64)> {
     let shared = store.iter().filter(|(key, _)| !key.starts_with("local/"));
-    shared.map(|(key, held)| (key.to_owned(), held.cell.version)).collect()
+    shared.map(|(key, held)| (key.to_owned(), held.value.version)).collect()
 }
 
 fn is_ready(world: &World, control: usize) -> bool {
@@ -43,7 +43,7 @@
         for number in 0..count {
             // A kind of register that nobody sweeps.
             let cell = cell(1, vec![number as u8; len]);
-            store.accept(&format!("kept/{number}"), Ballot { round: (1 << 40) + 1, who: 1 }, &cell).expect("kept");
+            store.accept(&format!("kept/{number}"), Ballot { round: (1 << 40) + 1, proposer: 1 }, &cell).expect("kept");
         }
     }
     (0..3).for_each(|at| world.start_control(at, false));
--- a/crates/wv-inner/src/handover.rs
+++ b/crates/wv-inner/src/handover.rs
@@ -1,21 +1,34 @@
-//! How a set of voters hands all that it holds to the next one before that is settled.
-use crate::{Held, Known, Voters};
+//! Transfer of all register state from one voter set to the next, completed before the next set takes effect.
+use crate::{AcceptorState, RegisterSummary, VoterSet};
 use nanoserde::{DeBin, SerBin};
 
 #[derive(SerBin, DeBin, Clone, PartialEq, Debug)]
 pub enum Handover {
-    /// From here on the voter votes no more in the registers of `set`. `sum` covers all that the one that asks holds.
-    Seal { request: u64, set: u64, fence: u64, sum: u64 },
-    /// Digests over ranges of what is final now, none at all where the one that asks holds the same; `ok` false where a
-    /// higher fence was seen.
-    Sealed { request: u64, ok: bool, sums: Vec<u64> },
-    /// A sealed majority of `set` has told all, and it stands at the speaker: a member of `next` is to have it as well.
-    Fetch { request: u64, set: u64, next: Voters, sums: Vec<u64> },
-    /// What the asker holds in some ranges that differ, and which others do. `is_member`: it asks as a member of the next
-    /// set, else as the one that seals.
-    Lacking { request: u64, set: u64, is_member: bool, ranges: Vec<(u32, Vec<Known>)>, others: Vec<u32> },
-    /// What is newer in them. Ranges of which something is left, and the others, come back to be asked for again.
-    Rest { request: u64, set: u64, is_member: bool, cells: Vec<(String, Held)>, left: Vec<u32> },
-    /// All of it stands on this disk.
+    /// Stops the receiver from voting in the registers of `set`. `digest` covers all registers of the requester.
+    Seal { request: u64, set: u64, fence: u64, digest: u64 },
+    /// Digests of key ranges of the sealed state, empty if the requester's digest matches; `ok` is false if the voter
+    /// has seen a higher fence.
+    Sealed { request: u64, ok: bool, digests: Vec<u64> },
+    /// Asks a member of `next` to copy the state that the sender has collected from a sealed majority of `set`.
+    Fetch { request: u64, set: u64, next: VoterSet, digests: Vec<u64> },
+    /// The requester's registers in some of the differing ranges, and the numbers of the other differing ranges.
+    /// `is_member` is true if the requester is a member of the next set, false if it is the node that seals.
+    CompareRanges {
+        request: u64,
+        set: u64,
+        is_member: bool,
+        ranges: Vec<(u32, Vec<RegisterSummary>)>,
+        other_ranges: Vec<u32>,
+    },
+    /// Registers in those ranges that are newer than the requester's. `remaining_ranges` must be requested again: the
+    /// ranges that did not fit completely, and `other_ranges`.
+    NewerRegisters {
+        request: u64,
+        set: u64,
+        is_member: bool,
+        registers: Vec<(String, AcceptorState)>,
+        remaining_ranges: Vec<u32>,
+    },
+    /// The complete state is durable on the sender's disk.
     Fetched { request: u64 },
 }
--- a/crates/wv-inner/src/lib.rs
+++ b/crates/wv-inner/src/lib.rs
@@ -6,8 +6,9 @@
 //! all that does not match in each of these, and counts each speaker once. So an answer to an earlier question, to an
 //! earlier life or to somebody else means nothing, however late, however often and wherever it comes. A link adds one
 //! thing: what was asked over it is not answered any more once it has ended.
+mod catch_up;
+mod forwarding;
 mod frame;
-mod hand;
 mod handover;
 mod inst;
 mod leaving;
@@ -16,22 +17,21 @@
 mod register;
 mod sight;
 mod slots;
-mod takeover;
 mod voters;
 
-pub use frame::{cut_frame, put_frame, InnerError, FRAME_MAX};
-pub use hand::{Hand, HandId};
+pub use catch_up::{CatchUp, RegisterSummary};
+pub use forwarding::{ForwardMessage, ForwardedSessionId};
+pub use frame::{decode_frame, encode_frame, FrameError, MAX_FRAME_BYTES};
 pub use handover::Handover;
 pub use inst::Inst;
 pub use leaving::{new_work_us, LeavingSince, StallWatch, CONTACT_US, DRAIN_US, LONG_AGO_US};
 use nanoserde::{DeBin, SerBin};
 pub use news::News;
 pub use nodes::{Owner, Session};
-pub use register::{Ballot, Cell, Held, Step, Vote};
+pub use register::{AcceptorState, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 pub use sight::{Lead, Sight, Sighting};
-pub use slots::{slot, Entry, Fill, Marks, Phase, Range, SlotMap, SLOTS};
-pub use takeover::{Known, Takeover};
-pub use voters::{Member, Voters};
+pub use slots::{slot_for_key, KeySample, ShardReport, SlotMap, SlotRange, SplitPhase, WriteMarks, SLOT_COUNT};
+pub use voters::{Member, VoterSet};
 
 #[derive(SerBin, DeBin, Clone, PartialEq, Debug)]
 pub enum Msg {
@@ -72,8 +72,8 @@
         addrs: Vec<String>,
         /// The zone of each of `addrs`, empty where it is not known.
         zones: Vec<String>,
-        voters: Voters,
-        before: Voters,
+        voters: VoterSet,
+        before: VoterSet,
     },
     Sessions {
         nodes: Vec<Session>,
@@ -104,14 +104,14 @@
         request: u64,
         set: u64,
         key: String,
-        step: Step,
+        step: RegisterRequest,
     },
     /// The answer counts only in the life that asked, for that request and that register.
     Voted {
         asker: u64,
         request: u64,
         key: String,
-        vote: Vote,
+        vote: RegisterReply,
     },
     /// The right to name the successor of `set`, under a fence.
     Claim {
@@ -124,19 +124,19 @@
         request: u64,
         ok: bool,
         fence: u64,
-        next: Option<(u64, Voters)>,
+        next: Option<(u64, VoterSet)>,
     },
     Settle {
         request: u64,
         set: u64,
         fence: u64,
-        next: Voters,
+        next: VoterSet,
     },
     Settled {
         request: u64,
         ok: bool,
     },
-    Takeover(Takeover),
+    Takeover(CatchUp),
     Handover(Handover),
     /// The speaker is about to end: what it holds others take up now.
     Leaving,
@@ -188,10 +188,10 @@
     },
     Slots(SlotMap),
     /// A node's marks and reports, to the holder of the shard's split, and what was taken.
-    Marks(Marks),
+    Marks(WriteMarks),
     PeerMarks {
         node: String,
-        marks: Marks,
+        marks: WriteMarks,
     },
     Marked {
         node: String,
@@ -200,10 +200,10 @@
         life: u64,
         serial: u64,
     },
-    Fill(Fill),
+    Fill(ShardReport),
     PeerFill {
         node: String,
-        fill: Fill,
+        fill: ShardReport,
     },
     Filled {
         node: String,
--- a/crates/wv-inner/src/register.rs
+++ b/crates/wv-inner/src/register.rs
@@ -1,61 +1,60 @@
-//! Registers as control nodes speak of them: a value by agreement of a majority, one ballot after the other.
+//! Consensus messages for registers: each value is agreed on by a majority of control nodes, ballot by ballot.
 use nanoserde::{DeBin, SerBin};
 
-/// A register's value under its version. The tie word is drawn from the bytes.
+/// A versioned register value. The tie breaker is derived from the bytes.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Cell {
+pub struct RegisterValue {
     pub version: u64,
-    pub tie: u32,
-    pub value: Vec<u8>,
+    pub tie_breaker: u32,
+    pub bytes: Vec<u8>,
 }
 
-/// The order of proposals for one register. `who` is drawn at random for each life of a process and `round` rises in
-/// it, so that no two proposals ever share a ballot. The default is below all of them.
+/// Orders the proposals for one register. `proposer` is random for each incarnation of a process and `round` increases
+/// within it, so no two proposals share a ballot. The default is lower than every proposal's ballot.
 #[derive(SerBin, DeBin, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Ballot {
     pub round: u64,
-    pub who: u64,
+    pub proposer: u64,
 }
 
-/// What one voter keeps of a register: the ballot below which it takes nothing more, and what it accepted last.
+/// A voter's state for one register: the lowest ballot it may still accept, and the last accepted ballot and value.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Held {
+pub struct AcceptorState {
     pub promised: Ballot,
     pub accepted: Ballot,
-    pub cell: Cell,
+    pub value: RegisterValue,
 }
 
-impl Held {
-    /// The order of two copies. Those of disks from before there were ballots all have the lowest one: among them the
-    /// highest version counts, as it did then.
-    pub fn is_newer(&self, other: &Held) -> bool {
-        let rank = |held: &Held| (held.accepted, held.cell.version, held.cell.tie);
+impl AcceptorState {
+    /// Compares by ballot, then by version: copies written before ballots were introduced all have the default ballot.
+    pub fn is_newer_than(&self, other: &AcceptorState) -> bool {
+        let rank = |state: &AcceptorState| (state.accepted, state.value.version, state.value.tie_breaker);
         rank(self) > rank(other)
     }
 }
 
-/// What a proposer asks of a voter.
+/// A proposer's request to a voter.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug)]
-pub enum Step {
-    /// What do you hold? Nothing is promised. `known` is a ballot whose cell the asker has.
-    Look { known: Ballot },
-    /// Take nothing below this ballot any more, and say what you hold.
+pub enum RegisterRequest {
+    /// Reads the accepted value without a promise. `known` is the ballot of a value that the proposer already has.
+    Read { known: Ballot },
+    /// Asks for a promise to accept nothing below `ballot`, and for the accepted value.
     Prepare { ballot: Ballot, known: Ballot },
-    /// Keep this, unless more was promised.
-    Accept { ballot: Ballot, cell: Cell },
+    /// Asks the voter to accept `value`, unless it has promised a higher ballot.
+    Accept { ballot: Ballot, value: RegisterValue },
 }
 
-/// What a voter says to it.
+/// A voter's reply to a [`RegisterRequest`].
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug)]
-pub enum Vote {
-    /// To a look or a promise; no cell where the asker has that of `accepted`.
-    Holds {
+pub enum RegisterReply {
+    /// Replies to `Read` and `Prepare`; `value` is omitted if the proposer already has the one of `accepted`.
+    Current {
         accepted: Ballot,
-        cell: Option<Cell>,
+        value: Option<RegisterValue>,
     },
     Accepted,
-    /// More was promised already.
-    Refused {
+    /// The voter has already promised a higher ballot.
+    Rejected {
         promised: Ballot,
     },
 }
--- a/crates/wv-inner/src/slots.rs
+++ b/crates/wv-inner/src/slots.rs
@@ -1,114 +1,113 @@
-//! Slot maps of shards that are planned to be split, and what nodes report of such shards.
+//! Hash-slot maps of shards that are to be split, and the reports that nodes send about these shards.
 use nanoserde::{DeBin, SerBin};
 
-/// How many hash slots a shard has before it is ever split.
-pub const SLOTS: u16 = 1024;
+/// Number of hash slots of a shard.
+pub const SLOT_COUNT: u16 = 1024;
 
-/// What counts for the slot: what stands between the first `{` and the `}` after it, if anything does.
-fn tag(thing: &[u8]) -> &[u8] {
-    let inner = thing.iter().position(|byte| *byte == b'{').and_then(|start| {
-        let rest = &thing[start + 1..];
+/// Returns the non-empty part of the key between the first `{` and the next `}`, or the whole key if there is none.
+fn hash_tag(key: &[u8]) -> &[u8] {
+    let inner = key.iter().position(|byte| *byte == b'{').and_then(|start| {
+        let rest = &key[start + 1..];
         rest.iter().position(|byte| *byte == b'}').map(|end| &rest[..end])
     });
-    inner.filter(|inner| !inner.is_empty()).unwrap_or(thing)
+    inner.filter(|inner| !inner.is_empty()).unwrap_or(key)
 }
 
-/// Things with one tag share a slot, so that one transaction's things can stay together.
-pub fn slot(thing: &[u8]) -> u16 {
-    (crc32fast::hash(tag(thing)) % u32::from(SLOTS)) as u16
+/// Keys with the same hash tag share a slot, so that a transaction can use them together.
+pub fn slot_for_key(key: &[u8]) -> u16 {
+    (crc32fast::hash(hash_tag(key)) % u32::from(SLOT_COUNT)) as u16
 }
 
-/// Hash slots `from` (with) to `until` (without) that stand or are to stand at `target`.
+/// The hash slots `from` (inclusive) to `until` (exclusive) that are, or will be, at `target`.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Range {
+pub struct SlotRange {
     pub from: u16,
     pub until: u16,
     pub target: String,
 }
 
-impl Range {
-    pub fn holds(&self, slot: u16) -> bool {
+impl SlotRange {
+    pub fn contains(&self, slot: u16) -> bool {
         (self.from..self.until).contains(&slot)
     }
 }
 
-/// How far a split is.
+/// Variant names are part of the status output for operators.
 #[derive(SerBin, DeBin, Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Phase {
-    /// Nothing is under way.
+pub enum SplitPhase {
+    /// No split is in progress.
     #[default]
     Resting,
-    /// Rows are copied while the source serves; nodes mark what they write to.
+    /// Rows are copied while the source serves; nodes report the keys they write.
     Copying,
-    /// Writes to what moves wait; the last copies are made.
+    /// Writes to the moving slots wait while the last rows are copied.
     Sealed,
 }
 
-/// Where the slots of a shard stand. The highest number counts. It binds to one term of the shard's log: a node that
-/// holds it sends primary work only over connections whose database said that it is in just this term.
+/// Assignment of a shard's slots to services; the highest version is authoritative. The map is bound to one term of the
+/// shard's log: a node sends primary work only over connections whose database reported exactly this term.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
 pub struct SlotMap {
     pub shard: String,
-    pub number: u64,
-    /// 0: not bound yet, since the plan is young.
+    pub version: u64,
+    /// 0 until the map of a new plan is bound to a term.
     pub term: u64,
-    pub phase: Phase,
-    pub moving: Option<Range>,
-    /// The target's term under which copies are written.
+    pub phase: SplitPhase,
+    pub moving: Option<SlotRange>,
+    /// The target's term under which copied rows are written.
     pub target_term: u64,
-    pub moved: Vec<Range>,
-    /// The terms that the source and the target are to leave behind, 0 for none.
-    pub raise: u64,
-    pub raise_target: u64,
-    /// Until when it may go on, in microseconds since the epoch.
-    pub until_us: u64,
-    /// Which try this is: marks are made for one try.
+    pub moved: Vec<SlotRange>,
+    /// The terms that the source and the target must leave, 0 for none.
+    pub superseded_term: u64,
+    pub superseded_target_term: u64,
+    /// Deadline of the attempt, in microseconds since the Unix epoch.
+    pub deadline_us: u64,
+    /// Number of the current attempt; write marks are valid for one attempt.
     pub attempt: u64,
-    /// When the last slots moved, and how many tries it has taken.
-    pub moved_us: u64,
-    pub tries: u32,
+    /// When slots last moved, and the number of attempts so far.
+    pub last_moved_us: u64,
+    pub attempt_count: u32,
 }
 
 impl SlotMap {
-    /// Whether a write to this slot is part of what moves.
     pub fn is_moving(&self, slot: u16) -> bool {
-        self.moving.as_ref().is_some_and(|range| range.holds(slot))
+        self.moving.as_ref().is_some_and(|range| range.contains(slot))
     }
 
-    /// Which service has the slot, as this map tells.
-    pub fn place(&self, slot: u16) -> &str {
-        self.moved.iter().find(|range| range.holds(slot)).map_or(self.shard.as_str(), |range| range.target.as_str())
+    /// Returns the service that has the slot according to this map.
+    pub fn service_for(&self, slot: u16) -> &str {
+        self.moved.iter().find(|range| range.contains(slot)).map_or(self.shard.as_str(), |range| range.target.as_str())
     }
 }
 
-/// Things that a node writes to, or has written to, while they are being copied; told before the write is sent.
+/// Keys that a node writes, or has written, while they are being copied; reported before the write is sent.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Marks {
+pub struct WriteMarks {
     pub shard: String,
-    /// The try for which they were made, and the life of the node that made them.
+    /// The split attempt, and the incarnation of the reporting node.
     pub attempt: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub serial: u64,
-    pub names: Vec<String>,
-    /// The node sends no more writes to what moves, and these were its last.
+    pub keys: Vec<String>,
+    /// The node sends no further writes to the moving slots.
     pub is_last: bool,
 }
 
-/// One sampled thing: its hash, its slot, and the largest row that was written to it.
+/// A sampled key: its hash, its slot, and the size of the largest row written to it.
 #[derive(SerBin, DeBin, Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Entry {
+pub struct KeySample {
     pub hash: u64,
     pub slot: u16,
     pub bytes: u32,
 }
 
-/// What a node, or an operator, tells of a planned shard: sampled things, and names of things that stand there.
+/// A report by a node or an operator about a shard with a split plan: sampled keys, and names of keys stored there.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Fill {
+pub struct ShardReport {
     pub shard: String,
-    /// The life of the node that made it.
-    pub life: u64,
+    /// The incarnation of the reporting node.
+    pub incarnation: u64,
     pub serial: u64,
-    pub entries: Vec<Entry>,
-    pub names: Vec<String>,
+    pub samples: Vec<KeySample>,
+    pub keys: Vec<String>,
 }
--- a/crates/wv-inner/src/voters.rs
+++ b/crates/wv-inner/src/voters.rs
@@ -1,22 +1,22 @@
-//! The numbered set of voters, as control nodes speak of it.
+//! Numbered sets of the control nodes that vote on registers.
 use nanoserde::{DeBin, SerBin};
 
-/// One voter: where it is reached and which disk it is. Those of a first start have disk 0.
+/// A voter's address and the ID of its disk, which is 0 for voters of an initial start.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Member {
     pub addr: String,
     pub disk: u64,
 }
 
-/// A set of voters under its number; number 0 is none.
+/// Number 0 means that there is no set.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Voters {
+pub struct VoterSet {
     pub number: u64,
     pub members: Vec<Member>,
 }
 
-impl Voters {
-    pub fn has(&self, addr: &str) -> bool {
+impl VoterSet {
+    pub fn contains(&self, addr: &str) -> bool {
         self.members.iter().any(|member| member.addr == addr)
     }
 
--- a/crates/wv-proc/src/carry.rs
+++ b/crates/wv-proc/src/carry.rs
@@ -18,9 +18,9 @@
         tokio::select! {
             msg = receiver.recv() => {
                 let Some(msg) = msg else { return };
-                wv_inner::put_frame(&mut out, &msg);
+                wv_inner::encode_frame(&mut out, &msg);
                 while let Ok(msg) = receiver.try_recv() {
-                    wv_inner::put_frame(&mut out, &msg);
+                    wv_inner::encode_frame(&mut out, &msg);
                 }
                 match tokio::time::timeout(stuck, stream.write_all(&out)).await {
                     Ok(Ok(())) => out.clear(),
@@ -42,7 +42,7 @@
 fn take_frames<T: nanoserde::DeBin>(buf: &mut Vec<u8>, hear: &mut impl FnMut(T)) -> bool {
     let mut at = 0;
     loop {
-        match wv_inner::cut_frame(&buf[at..]) {
+        match wv_inner::decode_frame(&buf[at..]) {
             Ok(None) => {
                 buf.drain(..at);
                 return true;
--- a/crates/wv-reg/examples/store.rs
+++ b/crates/wv-reg/examples/store.rs
@@ -9,7 +9,7 @@
 const DUTIES: usize = 200;
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, who: 1 }
+    Ballot { round, proposer: 1 }
 }
 
 fn held(files: &MemFiles) -> usize {
--- a/crates/wv-reg/src/attempt.rs
+++ b/crates/wv-reg/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at one register: what voters have said so far, and what follows from it.
-use wv_inner::{Ballot, Cell, Held, Step, Vote, Voters};
+use wv_inner::{AcceptorState, Ballot, RegisterReply, RegisterRequest, RegisterValue, VoterSet};
 
 /// What a caller makes of what stands: a cell to write in its place, or none to leave it.
-pub type Edit = Box<dyn Fn(&Cell) -> Option<Cell>>;
+pub type Edit = Box<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
 
 /// Rounds of one set; those of a later set are all above them.
 const ROUNDS: u32 = 40;
@@ -18,7 +18,7 @@
 }
 
 /// An edit that copies of an attempt share.
-type Shared = std::rc::Rc<dyn Fn(&Cell) -> Option<Cell>>;
+type Shared = std::rc::Rc<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
 
 /// One caller's wish: a read where there is no edit.
 #[derive(Clone)]
@@ -27,7 +27,7 @@
     pub edit: Option<Shared>,
     pub limit: u64,
     /// What stood before the edit, and whether the edit changed it.
-    pub before: Cell,
+    pub before: RegisterValue,
     pub is_ours: bool,
 }
 
@@ -44,7 +44,7 @@
     /// A majority is to take nothing below the ballot.
     Preparing,
     /// A majority is to keep the cell.
-    Accepting { cell: Cell },
+    Accepting { cell: RegisterValue },
     /// Another proposer was met: after a pause of random length it is tried again.
     Pausing { until: u64 },
 }
@@ -53,7 +53,7 @@
 pub(crate) enum Next {
     Wait,
     /// The register holds this, on a majority.
-    Decided(Ballot, Cell),
+    Decided(Ballot, RegisterValue),
     /// Begin the next phase.
     Turn(Phase, Ballot),
     /// More was promised elsewhere: try above it.
@@ -69,13 +69,13 @@
     pub tries: u32,
     pub resend: u64,
     /// The newest copy that the asker had when the phase began; voters do not send that again.
-    pub known: Held,
-    copies: Vec<(String, Held)>,
+    pub known: AcceptorState,
+    copies: Vec<(String, AcceptorState)>,
     acks: Vec<String>,
 }
 
 impl Attempt {
-    pub fn new(ops: Vec<Op>, known: Held) -> Attempt {
+    pub fn new(ops: Vec<Op>, known: AcceptorState) -> Attempt {
         Attempt {
             ops,
             request: 0,
@@ -100,7 +100,7 @@
 
     /// Begins `phase` under `request`; what was said before counts no more, but for copies that hold the cell already.
     pub fn turn(&mut self, phase: Phase, ballot: Ballot, request: u64) {
-        let has_it = |copy: &&(String, Held)| copy.1.accepted == ballot && ballot != Ballot::default();
+        let has_it = |copy: &&(String, AcceptorState)| copy.1.accepted == ballot && ballot != Ballot::default();
         let is_repair = matches!((&self.phase, &phase), (Phase::Looking, Phase::Accepting { .. }));
         let acks = self.copies.iter().filter(|copy| is_repair && has_it(copy)).map(|(voter, _)| voter.clone());
         self.acks = acks.collect();
@@ -109,29 +109,29 @@
     }
 
     /// What `voter` is still to be asked in this phase.
-    pub fn step(&self, voter: &str) -> Option<Step> {
+    pub fn step(&self, voter: &str) -> Option<RegisterRequest> {
         let has_copy = || self.copies.iter().any(|(known, _)| known == voter);
         match &self.phase {
-            Phase::Looking => (!has_copy()).then_some(Step::Look { known: self.known.accepted }),
+            Phase::Looking => (!has_copy()).then_some(RegisterRequest::Read { known: self.known.accepted }),
             Phase::Preparing => {
-                (!has_copy()).then_some(Step::Prepare { ballot: self.ballot, known: self.known.accepted })
+                (!has_copy()).then_some(RegisterRequest::Prepare { ballot: self.ballot, known: self.known.accepted })
             }
             Phase::Accepting { cell } => (!self.acks.iter().any(|known| known == voter))
-                .then(|| Step::Accept { ballot: self.ballot, cell: cell.clone() }),
+                .then(|| RegisterRequest::Accept { ballot: self.ballot, value: cell.clone() }),
             Phase::Pausing { .. } => None,
         }
     }
 
     /// Takes a vote in.
-    pub fn hear(&mut self, voter: &str, vote: Vote, voters: &Voters) -> Next {
+    pub fn hear(&mut self, voter: &str, vote: RegisterReply, voters: &VoterSet) -> Next {
         let majority = voters.majority();
         match (&self.phase, vote) {
-            (Phase::Looking | Phase::Preparing, Vote::Holds { accepted, cell }) => {
+            (Phase::Looking | Phase::Preparing, RegisterReply::Current { accepted, value: cell }) => {
                 if self.copies.iter().any(|(known, _)| known == voter) {
                     return Next::Wait;
                 }
-                let cell = cell.unwrap_or_else(|| self.known.cell.clone());
-                self.copies.push((voter.to_owned(), Held { promised: accepted, accepted, cell }));
+                let cell = cell.unwrap_or_else(|| self.known.value.clone());
+                self.copies.push((voter.to_owned(), AcceptorState { promised: accepted, accepted, value: cell }));
                 if self.copies.len() < majority {
                     return Next::Wait;
                 }
@@ -141,7 +141,7 @@
                     self.prepared(voters)
                 }
             }
-            (Phase::Accepting { cell }, Vote::Accepted) => {
+            (Phase::Accepting { cell }, RegisterReply::Accepted) => {
                 if !self.acks.iter().any(|known| known == voter) {
                     self.acks.push(voter.to_owned());
                 }
@@ -151,43 +151,50 @@
                     Next::Wait
                 }
             }
-            (Phase::Preparing | Phase::Accepting { .. }, Vote::Refused { .. }) => Next::Met,
+            (Phase::Preparing | Phase::Accepting { .. }, RegisterReply::Rejected { .. }) => Next::Met,
             _ => Next::Wait,
         }
     }
 
-    fn newest(&self) -> Held {
-        let newest = |best: Held, (_, copy): &(String, Held)| if copy.is_newer(&best) { copy.clone() } else { best };
-        self.copies.iter().fold(Held::default(), newest)
+    fn newest(&self) -> AcceptorState {
+        let newest = |best: AcceptorState, (_, copy): &(String, AcceptorState)| {
+            if copy.is_newer_than(&best) {
+                copy.clone()
+            } else {
+                best
+            }
+        };
+        self.copies.iter().fold(AcceptorState::default(), newest)
     }
 
     /// A copy of this set that a majority holds alike is decided. One of an earlier set may have come by taking over,
     /// below a promise: a later proposal of that set may still turn up. Where nobody wrote, there is nothing to undo.
-    fn is_agreed(&self, newest: &Held, voters: &Voters) -> bool {
-        let is_same = |(_, copy): &&(String, Held)| copy.accepted == newest.accepted && copy.cell == newest.cell;
-        let is_empty = newest.cell == Cell::default() && newest.accepted == Ballot::default();
+    fn is_agreed(&self, newest: &AcceptorState, voters: &VoterSet) -> bool {
+        let is_same =
+            |(_, copy): &&(String, AcceptorState)| copy.accepted == newest.accepted && copy.value == newest.value;
+        let is_empty = newest.value == RegisterValue::default() && newest.accepted == Ballot::default();
         (is_empty || set_of(newest.accepted) == voters.number)
             && self.copies.iter().filter(is_same).count() >= voters.majority()
     }
 
-    fn looked(&mut self, voters: &Voters) -> Next {
+    fn looked(&mut self, voters: &VoterSet) -> Next {
         let newest = self.newest();
         // Nothing is shown before a majority holds it, else a later reader could miss it.
         if self.is_agreed(&newest, voters) {
-            return Next::Decided(newest.accepted, newest.cell);
+            return Next::Decided(newest.accepted, newest.value);
         }
         // A ballot has one cell for ever, so whoever sees it may help it along; nobody's proposal is disturbed by that.
         // Copies of an earlier set, or from before there were ballots, need a proposal in this one.
         if set_of(newest.accepted) != voters.number {
             return Next::Turn(Phase::Preparing, Ballot::default());
         }
-        Next::Turn(Phase::Accepting { cell: newest.cell }, newest.accepted)
+        Next::Turn(Phase::Accepting { cell: newest.value }, newest.accepted)
     }
 
     /// A majority takes nothing older any more: what may have been decided is among what it told.
-    fn prepared(&mut self, voters: &Voters) -> Next {
+    fn prepared(&mut self, voters: &VoterSet) -> Next {
         let newest = self.newest();
-        let mut cell = newest.cell.clone();
+        let mut cell = newest.value.clone();
         for op in &mut self.ops {
             op.before = cell.clone();
             let edited = op.edit.as_ref().and_then(|edit| edit(&cell));
@@ -195,7 +202,7 @@
             cell = edited.unwrap_or(cell);
         }
         // Nobody changes anything and a majority holds it already: no second round.
-        if cell == newest.cell && self.is_agreed(&newest, voters) {
+        if cell == newest.value && self.is_agreed(&newest, voters) {
             return Next::Decided(newest.accepted, cell);
         }
         Next::Turn(Phase::Accepting { cell }, self.ballot)
--- a/crates/wv-reg/src/change.rs
+++ b/crates/wv-reg/src/change.rs
@@ -1,5 +1,5 @@
 //! Agreeing on the next set of voters: by a majority of the set before it, under a fence.
-use wv_inner::{Handover, Member, Msg, Voters};
+use wv_inner::{Handover, Member, Msg, VoterSet};
 
 /// A voter that is away for this long may be replaced where another stands ready.
 pub const AWAY_US: u64 = 2_500_000;
@@ -22,7 +22,7 @@
 
 /// The next set, if one is wanted: one member is replaced, or two are added. Nobody is dropped without a newcomer, so
 /// that a set is never made smaller than what it was agreed to bear, and nobody comes in that is not ready.
-pub fn plan(voters: &Voters, cores: &[Core], away_us: impl Fn(&str) -> u64) -> Option<Voters> {
+pub fn plan(voters: &VoterSet, cores: &[Core], away_us: impl Fn(&str) -> u64) -> Option<VoterSet> {
     let is_member = |member: &Member| voters.members.contains(member);
     let mut newcomers: Vec<&Core> = cores
         .iter()
@@ -59,14 +59,14 @@
         // The same machine with another disk comes first: it keeps the zones as they were. A seat is never held by an
         // address twice.
         let own = newcomers.iter().find(|new| new.member.addr == lost.addr);
-        let others = newcomers.iter().filter(|new| !voters.has(&new.member.addr));
+        let others = newcomers.iter().filter(|new| !voters.contains(&new.member.addr));
         own.or(others.min_by_key(|new| shared(new, &rest))).map(|heir| (rest, heir.member.clone()))
     });
     if let Some((rest, heir)) = replaced {
         members = rest;
         members.push(heir);
     } else if members.len() + 2 <= VOTERS_MAX && members.iter().all(is_up) {
-        let mut others: Vec<&Core> = newcomers.into_iter().filter(|new| !voters.has(&new.member.addr)).collect();
+        let mut others: Vec<&Core> = newcomers.into_iter().filter(|new| !voters.contains(&new.member.addr)).collect();
         for _ in 0..2 {
             let at = (0..others.len()).min_by_key(|at| shared(others[*at], &members))?;
             members.push(others.remove(at).member.clone());
@@ -75,13 +75,13 @@
         return None;
     }
     members.sort();
-    Some(Voters { number: voters.number + 1, members })
+    Some(VoterSet { number: voters.number + 1, members })
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     /// A majority of the set is to let this fence name its successor.
-    Claiming { best: Option<(u64, Voters)> },
+    Claiming { best: Option<(u64, VoterSet)> },
     /// A majority of the set is to stop, and to tell what it holds.
     Sealing,
     /// A majority of the next set is to hold what was told.
@@ -93,7 +93,7 @@
 /// What became of a change.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum End {
-    Settled(Voters),
+    Settled(VoterSet),
     /// A higher fence was met, or no majority answered.
     Off {
         seen: u64,
@@ -105,8 +105,8 @@
 pub struct Change {
     request: u64,
     fence: u64,
-    from: Voters,
-    next: Voters,
+    from: VoterSet,
+    next: VoterSet,
     phase: Phase,
     /// Who has answered in this phase.
     acks: Vec<String>,
@@ -115,7 +115,7 @@
 }
 
 impl Change {
-    pub fn new(request: u64, fence: u64, from: Voters, next: Voters, now: u64) -> Change {
+    pub fn new(request: u64, fence: u64, from: VoterSet, next: VoterSet, now: u64) -> Change {
         let phase = Phase::Claiming { best: None };
         Change { request, fence, from, next, phase, acks: Vec::new(), limit: now + LIMIT_US, resend: 0 }
     }
@@ -132,10 +132,10 @@
         let (request, set, fence) = (self.request, self.from.number, self.fence);
         let msg = match &self.phase {
             Phase::Claiming { .. } => Msg::Claim { request, set, fence },
-            Phase::Sealing => Msg::Handover(Handover::Seal { request, set, fence, sum: 0 }),
+            Phase::Sealing => Msg::Handover(Handover::Seal { request, set, fence, digest: 0 }),
             Phase::Handing => {
                 let next = self.next.clone();
-                Msg::Handover(Handover::Fetch { request, set, next, sums: Vec::new() })
+                Msg::Handover(Handover::Fetch { request, set, next, digests: Vec::new() })
             }
             Phase::Settling => Msg::Settle { request, set, fence, next: self.next.clone() },
         };
@@ -144,7 +144,7 @@
     }
 
     /// Whose answers count in this phase.
-    fn asked(&self) -> &Voters {
+    fn asked(&self) -> &VoterSet {
         match self.phase {
             Phase::Handing => &self.next,
             _ => &self.from,
@@ -153,7 +153,7 @@
 
     /// One more has answered. Whether a majority has.
     fn count(&mut self, voter: &str) -> bool {
-        if self.asked().has(voter) && !self.acks.iter().any(|known| known == voter) {
+        if self.asked().contains(voter) && !self.acks.iter().any(|known| known == voter) {
             self.acks.push(voter.to_owned());
         }
         self.acks.len() >= self.asked().majority()
@@ -170,7 +170,7 @@
         request: u64,
         is_ok: bool,
         fence: u64,
-        next: Option<(u64, Voters)>,
+        next: Option<(u64, VoterSet)>,
     ) -> Option<End> {
         let Phase::Claiming { best } = &mut self.phase else { return None };
         if request != self.request {
--- a/crates/wv-reg/src/done.rs
+++ b/crates/wv-reg/src/done.rs
@@ -1,14 +1,14 @@
 //! What comes of an operation on a register.
-use wv_inner::{Ballot, Cell};
+use wv_inner::{Ballot, RegisterValue};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// What stands, on a majority.
-    Read(Cell),
+    Read(RegisterValue),
     /// The edit changed the register; this stands now, on a majority. Edits that were made at once share it.
-    Written(Cell),
+    Written(RegisterValue),
     /// The edit left it as it was; this stands, on a majority.
-    Held(Cell),
+    Held(RegisterValue),
     /// No majority answered in time: the edit may have been made or not.
     Unsure,
 }
@@ -20,7 +20,7 @@
     pub outcome: Outcome,
     /// Under which ballot that stands, and what the edit was made of.
     pub accepted: Ballot,
-    pub before: Cell,
+    pub before: RegisterValue,
 }
 
 impl Done {
--- a/crates/wv-reg/src/lib.rs
+++ b/crates/wv-reg/src/lib.rs
@@ -40,12 +40,12 @@
 pub const STORE_MAX: usize = 8 << 20;
 
 /// A cell whose tie word is drawn from its bytes.
-pub fn cell(version: u64, value: Vec<u8>) -> wv_inner::Cell {
+pub fn cell(version: u64, value: Vec<u8>) -> wv_inner::RegisterValue {
     let tie = crc32fast::hash(&value);
-    wv_inner::Cell { version, tie, value }
+    wv_inner::RegisterValue { version, tie_breaker: tie, bytes: value }
 }
 
 /// The edit that puts `cell` where nothing of its version or above stands; said again it finds itself there.
-pub fn raise(cell: wv_inner::Cell) -> Edit {
+pub fn raise(cell: wv_inner::RegisterValue) -> Edit {
     Box::new(move |held| (held.version < cell.version || *held == cell).then(|| cell.clone()))
 }
--- a/crates/wv-reg/src/parts.rs
+++ b/crates/wv-reg/src/parts.rs
@@ -1,7 +1,7 @@
 //! A store in parts: digests over ranges of keys, and what is newer in those that differ, in pieces of bounded length.
 use crate::{Store, LOCAL};
 use std::collections::{BTreeMap, HashMap};
-use wv_inner::{Ballot, Held, Known};
+use wv_inner::{AcceptorState, Ballot, RegisterSummary};
 
 /// Keys of duties, and all others but the configuration, each fall into so many ranges.
 const SPREAD: usize = 64;
@@ -31,8 +31,8 @@
     }
 }
 
-fn rank(copy: &Held) -> (Ballot, u64, u32) {
-    (copy.accepted, copy.cell.version, copy.cell.tie)
+fn rank(copy: &AcceptorState) -> (Ballot, u64, u32) {
+    (copy.accepted, copy.value.version, copy.value.tie_breaker)
 }
 
 /// One digest a range, over what each register was accepted under: a ballot has one cell for ever.
@@ -41,7 +41,7 @@
     for (key, copy) in store.iter() {
         let Some(sum) = range(key).map(|range| &mut sums[range]) else { continue };
         let ((accepted, version, tie), len) = (rank(copy), key.len() as u64);
-        let words = [len, accepted.round, accepted.who, version, u64::from(tie)];
+        let words = [len, accepted.round, accepted.proposer, version, u64::from(tie)];
         *sum = words.iter().fold(fnv(*sum, key.as_bytes()), |sum, word| fnv(sum, &word.to_le_bytes()));
     }
     sums
@@ -60,15 +60,15 @@
 }
 
 /// As many of the `open` ranges, from the first on, as can be listed in one message, and what is held in each.
-pub fn listed(store: &Store, open: &[u32]) -> Vec<(u32, Vec<Known>)> {
-    let mut lists: BTreeMap<u32, Vec<Known>> = open.iter().map(|range| (*range, Vec::new())).collect();
+pub fn listed(store: &Store, open: &[u32]) -> Vec<(u32, Vec<RegisterSummary>)> {
+    let mut lists: BTreeMap<u32, Vec<RegisterSummary>> = open.iter().map(|range| (*range, Vec::new())).collect();
     for (key, copy) in store.iter() {
         let list = range(key).and_then(|range| lists.get_mut(&(range as u32)));
         let (accepted, version, tie) = rank(copy);
         list.into_iter().for_each(|list| list.push((key.to_owned(), accepted, version, tie)));
     }
     let mut bytes = 0;
-    let is_short = |(_, list): &(u32, Vec<Known>)| {
+    let is_short = |(_, list): &(u32, Vec<RegisterSummary>)| {
         let is_first = bytes == 0;
         bytes += 16 + list.iter().map(|known| known.0.len() + 40).sum::<usize>();
         is_first || bytes <= LIST_BYTES
@@ -77,14 +77,14 @@
 }
 
 /// What is newer here than what an asker listed, up to the length of a part, and whether that is all of it.
-pub fn part(store: &Store, ranges: &[(u32, Vec<Known>)]) -> (Vec<(String, Held)>, bool) {
+pub fn part(store: &Store, ranges: &[(u32, Vec<RegisterSummary>)]) -> (Vec<(String, AcceptorState)>, bool) {
     let asked: HashMap<u32, HashMap<&str, (Ballot, u64, u32)>> = ranges
         .iter()
         .map(|(range, list)| {
             (*range, list.iter().map(|known| (known.0.as_str(), (known.1, known.2, known.3))).collect())
         })
         .collect();
-    let mut news: Vec<(u32, &str, &Held)> = Vec::new();
+    let mut news: Vec<(u32, &str, &AcceptorState)> = Vec::new();
     for (key, copy) in store.iter() {
         let Some(range) = range(key).map(|range| range as u32) else { continue };
         let Some(list) = asked.get(&range) else { continue };
@@ -94,12 +94,12 @@
     }
     news.sort_by_key(|(range, ..)| *range);
     let mut bytes = 0;
-    let is_fitting = |(_, key, copy): &&(u32, &str, &Held)| {
+    let is_fitting = |(_, key, copy): &&(u32, &str, &AcceptorState)| {
         let is_first = bytes == 0;
-        bytes += OVERHEAD + key.len() + copy.cell.value.len();
+        bytes += OVERHEAD + key.len() + copy.value.bytes.len();
         is_first || bytes <= PART_BYTES
     };
-    let cells: Vec<(String, Held)> =
+    let cells: Vec<(String, AcceptorState)> =
         news.iter().take_while(is_fitting).map(|(_, key, copy)| ((*key).to_owned(), (*copy).clone())).collect();
     let is_whole = cells.len() == news.len();
     (cells, is_whole)
--- a/crates/wv-reg/src/quorum.rs
+++ b/crates/wv-reg/src/quorum.rs
@@ -5,7 +5,7 @@
 use crate::line::Line;
 use crate::Edit;
 use std::collections::BTreeMap;
-use wv_inner::{Ballot, Cell, Held, Msg, Vote, Voters};
+use wv_inner::{AcceptorState, Ballot, Msg, RegisterReply, RegisterValue, VoterSet};
 
 /// How long one quorum operation may take; callers of the operator wait a second.
 const LIMIT_US: u64 = 900_000;
@@ -26,7 +26,7 @@
 /// Runs reads and edits over the voters; the caller carries the messages.
 #[derive(Clone, Debug)]
 pub struct Quorum {
-    voters: Voters,
+    voters: VoterSet,
     /// Drawn at random for this life: ballots and answers of another one never pass for ours.
     who: u64,
     /// Above every round that was heard of.
@@ -34,7 +34,7 @@
     next_request: u64,
     seed: u64,
     lines: BTreeMap<String, Line>,
-    known: BTreeMap<String, Held>,
+    known: BTreeMap<String, AcceptorState>,
     out: Vec<(String, Msg)>,
     done: Vec<Done>,
 }
@@ -42,7 +42,7 @@
 impl Quorum {
     pub fn new(who: u64) -> Quorum {
         Quorum {
-            voters: Voters::default(),
+            voters: VoterSet::default(),
             who,
             round: 0,
             next_request: first_request(who),
@@ -56,7 +56,7 @@
 
     /// A newer set counts from now on: whatever is under way begins again there. What it wrote to too few of the set
     /// before is either found again or was never promised.
-    pub fn set_voters(&mut self, voters: Voters) {
+    pub fn set_voters(&mut self, voters: VoterSet) {
         // What is proposed in a later set is above all that any straggler of an earlier one still holds.
         self.round = self.round.max(first_round(voters.number));
         self.voters = voters;
@@ -64,7 +64,7 @@
         keys.iter().for_each(|key| self.restart(key));
     }
 
-    pub fn voters(&self) -> &Voters {
+    pub fn voters(&self) -> &VoterSet {
         &self.voters
     }
 
@@ -98,8 +98,13 @@
         if self.voters.members.is_empty() || self.lines.values().map(Line::count).sum::<usize>() >= OPS_MAX {
             return self.done.push(Done::unsure(token, key));
         }
-        let op =
-            Op { token, edit: edit.map(Into::into), limit: now + LIMIT_US, before: Cell::default(), is_ours: false };
+        let op = Op {
+            token,
+            edit: edit.map(Into::into),
+            limit: now + LIMIT_US,
+            before: RegisterValue::default(),
+            is_ours: false,
+        };
         self.lines.entry(key.to_owned()).or_default().waiting.push(op);
         self.begin(key, now);
     }
@@ -113,7 +118,7 @@
             return attempt.turn(Phase::Looking, Ballot::default(), request);
         }
         self.round = round;
-        attempt.turn(Phase::Preparing, Ballot { round, who: self.who }, request);
+        attempt.turn(Phase::Preparing, Ballot { round, proposer: self.who }, request);
     }
 
     fn draw(&mut self) -> u64 {
@@ -124,14 +129,14 @@
     }
 
     /// A voter's word. What was not asked in this life, for this request and this register is passed over.
-    pub fn voted(&mut self, voter: &str, (asker, request): (u64, u64), key: &str, vote: Vote, now: u64) {
-        if asker != self.who || !self.voters.has(voter) {
+    pub fn voted(&mut self, voter: &str, (asker, request): (u64, u64), key: &str, vote: RegisterReply, now: u64) {
+        if asker != self.who || !self.voters.contains(voter) {
             return;
         }
         match &vote {
-            Vote::Holds { accepted, .. } => self.see(*accepted),
-            Vote::Refused { promised } => self.see(*promised),
-            Vote::Accepted => {}
+            RegisterReply::Current { accepted, .. } => self.see(*accepted),
+            RegisterReply::Rejected { promised } => self.see(*promised),
+            RegisterReply::Accepted => {}
         }
         let attempt = self.lines.get_mut(key).and_then(|line| line.active.as_mut());
         let Some(attempt) = attempt.filter(|attempt| attempt.request == request) else { return };
@@ -158,7 +163,7 @@
     fn prepare(&mut self, key: &str) {
         let request = self.next_request();
         self.round += 1;
-        let ballot = Ballot { round: self.round, who: self.who };
+        let ballot = Ballot { round: self.round, proposer: self.who };
         let attempt = self.lines.get_mut(key).and_then(|line| line.active.as_mut());
         attempt.into_iter().for_each(|attempt| attempt.turn(Phase::Preparing, ballot, request));
     }
@@ -172,9 +177,9 @@
         attempt.turn(Phase::Pausing { until: now + 1_000 + drawn % span }, Ballot::default(), request);
     }
 
-    fn decided(&mut self, key: &str, accepted: Ballot, cell: Cell, now: u64) {
-        if cell.value.len() >= LONG && accepted != Ballot::default() {
-            self.known.insert(key.to_owned(), Held { promised: accepted, accepted, cell: cell.clone() });
+    fn decided(&mut self, key: &str, accepted: Ballot, cell: RegisterValue, now: u64) {
+        if cell.bytes.len() >= LONG && accepted != Ballot::default() {
+            self.known.insert(key.to_owned(), AcceptorState { promised: accepted, accepted, value: cell.clone() });
         }
         let attempt = self.lines.get_mut(key).and_then(|line| line.active.take());
         for op in attempt.into_iter().flat_map(|attempt| attempt.ops) {
@@ -196,7 +201,7 @@
             self.lines.remove(key);
             return;
         }
-        line.active = Some(Attempt::new(ops, Held::default()));
+        line.active = Some(Attempt::new(ops, AcceptorState::default()));
         self.restart(key);
         self.send(key, now);
     }
--- a/crates/wv-reg/src/record.rs
+++ b/crates/wv-reg/src/record.rs
@@ -1,7 +1,7 @@
 //! What stands in a store's files, byte for byte; also as it stood there before registers had ballots.
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
-use wv_inner::{Ballot, Cell, Held};
+use wv_inner::{AcceptorState, Ballot, RegisterValue};
 
 /// Slots and records of the present format begin with this; the first word of an older one is a small number.
 const MARK: u64 = u64::from_le_bytes(*b"wvreg-2\0");
@@ -12,7 +12,7 @@
     pub me: String,
     /// Voters as disks named them before sets had numbers.
     pub voters: Vec<String>,
-    pub cells: BTreeMap<String, Held>,
+    pub cells: BTreeMap<String, AcceptorState>,
 }
 
 #[derive(SerBin, DeBin)]
@@ -21,7 +21,7 @@
     generation: u64,
     me: String,
     voters: Vec<String>,
-    cells: Vec<(String, Held)>,
+    cells: Vec<(String, AcceptorState)>,
 }
 
 /// One change of one register: a promise alone, or also what was accepted.
@@ -29,15 +29,15 @@
 pub struct Change {
     pub key: String,
     pub promised: Ballot,
-    pub accepted: Option<(Ballot, Cell)>,
+    pub accepted: Option<(Ballot, RegisterValue)>,
 }
 
 impl Change {
-    pub fn apply(self, cells: &mut BTreeMap<String, Held>) {
+    pub fn apply(self, cells: &mut BTreeMap<String, AcceptorState>) {
         let held = cells.entry(self.key).or_default();
         held.promised = held.promised.max(self.promised);
         if let Some((accepted, cell)) = self.accepted {
-            (held.accepted, held.cell) = (accepted, cell);
+            (held.accepted, held.value) = (accepted, cell);
         }
     }
 }
@@ -54,14 +54,14 @@
 struct OldState {
     me: String,
     voters: Vec<String>,
-    cells: Vec<(String, Cell)>,
+    cells: Vec<(String, RegisterValue)>,
 }
 
 #[derive(SerBin, DeBin)]
 struct OldEntry {
     generation: u64,
     key: String,
-    cell: Cell,
+    cell: RegisterValue,
 }
 
 fn seal(body: &[u8]) -> Vec<u8> {
@@ -99,7 +99,7 @@
         return Some((slot.generation, state, true));
     }
     let (generation, old): (u64, OldState) = DeBin::deserialize_bin(body).ok()?;
-    let held = |(key, cell)| (key, Held { cell, ..Held::default() });
+    let held = |(key, cell)| (key, AcceptorState { value: cell, ..AcceptorState::default() });
     let state = State { me: old.me, voters: old.voters, cells: old.cells.into_iter().map(held).collect() };
     Some((generation, state, false))
 }
@@ -123,9 +123,11 @@
         }
         let entry: Option<OldEntry> = DeBin::deserialize_bin(body).ok();
         if let Some(entry) = entry.filter(|entry| entry.generation == generation) {
-            let (copy, held) =
-                (Held { cell: entry.cell, ..Held::default() }, state.cells.entry(entry.key).or_default());
-            if copy.is_newer(held) {
+            let (copy, held) = (
+                AcceptorState { value: entry.cell, ..AcceptorState::default() },
+                state.cells.entry(entry.key).or_default(),
+            );
+            if copy.is_newer_than(held) {
                 *held = copy;
             }
         }
--- a/crates/wv-reg/src/seal.rs
+++ b/crates/wv-reg/src/seal.rs
@@ -1,6 +1,6 @@
 //! Sealing a set: its voters stop, what they hold is final, and the next set has it before it is settled.
 use crate::{RegError, Seat, Store};
-use wv_inner::Voters;
+use wv_inner::VoterSet;
 
 impl Seat {
     /// Votes no more in the registers of `set`, unless a higher fence was seen. Kept before it is answered: what is told
@@ -17,7 +17,7 @@
 
     /// Whether this very disk is a member of `next`, and `set` the one that is in force here: only then it is handed over
     /// to. An address with another disk is another member.
-    pub fn is_named(&self, me: &str, set: u64, next: &Voters) -> bool {
+    pub fn is_named(&self, me: &str, set: u64, next: &VoterSet) -> bool {
         let is_own = |member: &wv_inner::Member| member.addr == me && member.disk == self.disk;
         set == self.voters.number && next.members.iter().any(is_own)
     }
--- a/crates/wv-reg/src/seat.rs
+++ b/crates/wv-reg/src/seat.rs
@@ -1,6 +1,6 @@
 //! This node's own part in the numbered sets of voters: what its disk says of them, and what it answers.
 use crate::{MemFiles, RegError, State, Store, LOCAL};
-use wv_inner::{Ballot, Held, Member, Voters};
+use wv_inner::{AcceptorState, Ballot, Member, VoterSet};
 
 const KEY: &str = "local/seat";
 
@@ -10,13 +10,13 @@
     /// Which disk this is; a lost one comes back under another number.
     pub disk: u64,
     /// The newest set known to be settled, and the one before it.
-    pub voters: Voters,
-    pub before: Voters,
+    pub voters: VoterSet,
+    pub before: VoterSet,
     /// The set whose registers this disk holds whole, 0 for none.
     pub set: u64,
     /// The highest fence seen over the successor of `set`, and what was accepted under which.
     pub fence: u64,
-    pub next: Option<(u64, Voters)>,
+    pub next: Option<(u64, VoterSet)>,
     /// The set in which this disk votes no more, whatever follows it.
     pub sealed: u64,
     /// The set of which this disk holds all that was ever acknowledged in it; with it, it may vote in the next one.
@@ -27,11 +27,11 @@
 #[derive(nanoserde::SerBin, nanoserde::DeBin)]
 struct OldSeat {
     disk: u64,
-    voters: Voters,
-    before: Voters,
+    voters: VoterSet,
+    before: VoterSet,
     set: u64,
     fence: u64,
-    next: Option<(u64, Voters)>,
+    next: Option<(u64, VoterSet)>,
 }
 
 fn read(bytes: &[u8]) -> Option<Seat> {
@@ -47,13 +47,13 @@
 pub struct Claimed {
     pub is_ok: bool,
     pub fence: u64,
-    pub next: Option<(u64, Voters)>,
+    pub next: Option<(u64, VoterSet)>,
 }
 
 impl Seat {
     /// Reads the seat, or takes one: the seeds of a first start are the first set, whoever else starts empty has none.
     pub fn open(store: &mut Store, me: &str, seeds: &[String], is_first: bool, disk: u64) -> Result<Seat, RegError> {
-        if let Some(mut seat) = store.get(KEY).and_then(|held| read(&held.cell.value)) {
+        if let Some(mut seat) = store.get(KEY).and_then(|held| read(&held.value.bytes)) {
             // The disks of a first start have no numbers yet: one that stands at another's address must not pass for
             // that one's, which promised other things.
             let is_moved = seat.disk == 0 && store.state().is_some_and(|state| state.me != me);
@@ -62,7 +62,7 @@
             }
             return Ok(seat);
         }
-        let first = |addrs: &[String]| Voters {
+        let first = |addrs: &[String]| VoterSet {
             number: 1,
             members: addrs.iter().map(|addr| Member { addr: addr.clone(), disk: 0 }).collect(),
         };
@@ -78,9 +78,9 @@
             return seat.keep(store).map(|()| seat);
         }
         // In one write: a loss of power in between would make another member of a seed.
-        let ballot = Ballot { round: 1, who: 0 };
+        let ballot = Ballot { round: 1, proposer: 0 };
         let cell = crate::cell(1, nanoserde::SerBin::serialize_bin(&seat));
-        let held = Held { promised: ballot, accepted: ballot, cell };
+        let held = AcceptorState { promised: ballot, accepted: ballot, value: cell };
         let cells = [(KEY.to_owned(), held)].into_iter().collect();
         store.reset(State { me: me.to_owned(), cells, ..State::default() })?;
         Ok(seat)
@@ -100,7 +100,7 @@
     /// The set of which this disk can tell as one of its members, 0 for none: the one whose registers it holds whole.
     pub fn tells_of(&self, me: &str) -> u64 {
         let is_own = |member: &Member| member.addr == me && member.disk == self.disk;
-        let is_in = |voters: &Voters| voters.number == self.set && voters.members.iter().any(is_own);
+        let is_in = |voters: &VoterSet| voters.number == self.set && voters.members.iter().any(is_own);
         if self.set > 0 && (is_in(&self.voters) || is_in(&self.before)) {
             self.set
         } else {
@@ -134,7 +134,13 @@
     }
 
     /// A settled set was heard of.
-    pub fn learn(&mut self, store: &mut Store, me: &str, voters: &Voters, before: &Voters) -> Result<bool, RegError> {
+    pub fn learn(
+        &mut self,
+        store: &mut Store,
+        me: &str,
+        voters: &VoterSet,
+        before: &VoterSet,
+    ) -> Result<bool, RegError> {
         if voters.number <= self.voters.number || voters.members.is_empty() {
             return Ok(false);
         }
@@ -160,7 +166,7 @@
         store: &mut Store,
         me: &str,
         (set, fence): (u64, u64),
-        next: &Voters,
+        next: &VoterSet,
     ) -> Option<Result<bool, RegError>> {
         (set > 0 && self.sits_in(me) == set && next.number == set + 1).then_some(())?;
         if fence < self.fence {
@@ -171,10 +177,10 @@
     }
 
     /// What this disk holds that is newer than what an asker holds.
-    pub fn cells(store: &Store, held: &[(String, Ballot, u64, u32)]) -> Vec<(String, Held)> {
-        let is_wanted = |(key, copy): &(&str, &Held)| {
+    pub fn cells(store: &Store, held: &[(String, Ballot, u64, u32)]) -> Vec<(String, AcceptorState)> {
+        let is_wanted = |(key, copy): &(&str, &AcceptorState)| {
             let known = held.iter().find(|known| known.0 == *key);
-            let rank = (copy.accepted, copy.cell.version, copy.cell.tie);
+            let rank = (copy.accepted, copy.value.version, copy.value.tie_breaker);
             !key.starts_with(LOCAL) && known.is_none_or(|known| rank > (known.1, known.2, known.3))
         };
         store.iter().filter(is_wanted).map(|(key, copy)| (key.to_owned(), copy.clone())).collect()
@@ -183,7 +189,7 @@
     /// What an asker says that it holds.
     pub fn held(store: &Store) -> Vec<(String, Ballot, u64, u32)> {
         let shared = store.iter().filter(|(key, _)| !key.starts_with(LOCAL));
-        shared.map(|(key, copy)| (key.to_owned(), copy.accepted, copy.cell.version, copy.cell.tie)).collect()
+        shared.map(|(key, copy)| (key.to_owned(), copy.accepted, copy.value.version, copy.value.tie_breaker)).collect()
     }
 
     /// All that was acknowledged in the set before stands on this disk: it votes in the newest one from now on.
@@ -210,6 +216,6 @@
     // A copy in memory: mending a torn tail there leaves the folder as it is.
     let store = Store::open(Box::new(files))?;
     let state = store.state().cloned().ok_or(if has_any { RegError::Unreadable } else { RegError::Empty })?;
-    let seat = store.get(KEY).and_then(|held| read(&held.cell.value));
+    let seat = store.get(KEY).and_then(|held| read(&held.value.bytes));
     seat.map(|seat| (state, seat)).ok_or(RegError::Unreadable)
 }
--- a/crates/wv-reg/src/store.rs
+++ b/crates/wv-reg/src/store.rs
@@ -1,6 +1,6 @@
 use crate::record::{play, put_record, put_slot, read_slot, Change};
 use crate::{Files, RegError, State, STORE_MAX};
-use wv_inner::{Ballot, Cell, Held};
+use wv_inner::{AcceptorState, Ballot, RegisterValue};
 
 const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
 const LOG: &str = "log";
@@ -26,8 +26,8 @@
     log_min: usize,
 }
 
-fn bytes(key: &str, cell: &Cell) -> usize {
-    OVERHEAD + key.len() + cell.value.len()
+fn bytes(key: &str, cell: &RegisterValue) -> usize {
+    OVERHEAD + key.len() + cell.bytes.len()
 }
 
 impl Store {
@@ -57,7 +57,7 @@
         store.generation = generation;
         let log = store.files.read(LOG)?.unwrap_or_default();
         let read = play(&log, generation, &mut state);
-        store.size = state.cells.iter().map(|(key, held)| bytes(key, &held.cell)).sum();
+        store.size = state.cells.iter().map(|(key, held)| bytes(key, &held.value)).sum();
         store.state = Some(state);
         store.log_len = log.len();
         // A torn tail would hide later records, and a slot of the older format is left behind at once.
@@ -71,12 +71,12 @@
         self.state.as_ref()
     }
 
-    pub fn get(&self, key: &str) -> Option<&Held> {
+    pub fn get(&self, key: &str) -> Option<&AcceptorState> {
         self.state.as_ref()?.cells.get(key)
     }
 
     /// All registers here, by key.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Held)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &AcceptorState)> {
         self.state.iter().flat_map(|state| state.cells.iter().map(|(key, held)| (key.as_str(), held)))
     }
 
@@ -101,12 +101,12 @@
     }
 
     /// Keeps what was proposed under `ballot`. False where more was promised before.
-    pub fn accept(&mut self, key: &str, ballot: Ballot, cell: &Cell) -> Result<bool, RegError> {
+    pub fn accept(&mut self, key: &str, ballot: Ballot, cell: &RegisterValue) -> Result<bool, RegError> {
         let held = self.get(key);
         if held.is_some_and(|held| held.promised.max(held.accepted) > ballot) {
             return Ok(false);
         }
-        if held.is_some_and(|held| held.accepted == ballot && held.cell == *cell) {
+        if held.is_some_and(|held| held.accepted == ballot && held.value == *cell) {
             return Ok(true);
         }
         self.fits(key, cell)?;
@@ -116,14 +116,14 @@
 
     /// Keeps those of `copies` that are newer than what is held, in one write: for a disk that does not vote with them
     /// yet. Returns how many were.
-    pub fn adopt(&mut self, copies: Vec<(String, Held)>) -> Result<usize, RegError> {
-        let is_news = |(key, copy): &(String, Held)| self.get(key).is_none_or(|held| copy.is_newer(held));
-        let news: Vec<(String, Held)> = copies.into_iter().filter(is_news).collect();
+    pub fn adopt(&mut self, copies: Vec<(String, AcceptorState)>) -> Result<usize, RegError> {
+        let is_news = |(key, copy): &(String, AcceptorState)| self.get(key).is_none_or(|held| copy.is_newer_than(held));
+        let news: Vec<(String, AcceptorState)> = copies.into_iter().filter(is_news).collect();
         // No bound here: those that told it keep it, and a vote must never wait for a local hint that is shorter there.
-        let change = |(key, copy): (String, Held)| Change {
+        let change = |(key, copy): (String, AcceptorState)| Change {
             key,
             promised: copy.accepted,
-            accepted: Some((copy.accepted, copy.cell)),
+            accepted: Some((copy.accepted, copy.value)),
         };
         let changes: Vec<Change> = news.into_iter().map(change).collect();
         let count = changes.len();
@@ -136,18 +136,18 @@
     /// Keeps what stands on this disk alone.
     pub fn put_local(&mut self, key: &str, value: Vec<u8>) -> Result<(), RegError> {
         let round = self.get(key).map_or(1, |held| held.accepted.round + 1);
-        let (ballot, cell) = (Ballot { round, who: 0 }, crate::cell(round, value));
+        let (ballot, cell) = (Ballot { round, proposer: 0 }, crate::cell(round, value));
         self.fits(key, &cell)?;
         self.change(vec![Change { key: key.to_owned(), promised: ballot, accepted: Some((ballot, cell)) }])
     }
 
-    fn fits(&self, key: &str, cell: &Cell) -> Result<(), RegError> {
-        let replaced = self.get(key).map_or(0, |held| held.cell.value.len());
+    fn fits(&self, key: &str, cell: &RegisterValue) -> Result<(), RegError> {
+        let replaced = self.get(key).map_or(0, |held| held.value.bytes.len());
         // A register crosses in one frame, with some room for what stands around it.
-        let is_long = cell.value.len() > wv_inner::FRAME_MAX - (64 << 10);
-        let is_over = is_long || self.size - replaced + cell.value.len() > STORE_MAX;
+        let is_long = cell.bytes.len() > wv_inner::MAX_FRAME_BYTES - (64 << 10);
+        let is_over = is_long || self.size - replaced + cell.bytes.len() > STORE_MAX;
         if is_over {
-            return Err(RegError::Oversize(cell.value.len()));
+            return Err(RegError::Oversize(cell.bytes.len()));
         }
         Ok(())
     }
@@ -171,10 +171,10 @@
         self.log_len += record.len();
         for change in changes {
             let Some(state) = self.state.as_mut() else { continue };
-            let before = state.cells.get(&change.key).map_or(0, |held| bytes(&change.key, &held.cell));
+            let before = state.cells.get(&change.key).map_or(0, |held| bytes(&change.key, &held.value));
             let key = change.key.clone();
             change.apply(&mut state.cells);
-            let after = state.cells.get(&key).map_or(0, |held| bytes(&key, &held.cell));
+            let after = state.cells.get(&key).map_or(0, |held| bytes(&key, &held.value));
             self.size = self.size + after - before;
         }
         Ok(())
@@ -190,7 +190,7 @@
         let generation = self.generation + 1;
         self.is_doubtful = true;
         self.files.write(SLOTS[generation as usize % 2], &put_slot(generation, &state))?;
-        self.size = state.cells.iter().map(|(key, held)| bytes(key, &held.cell)).sum();
+        self.size = state.cells.iter().map(|(key, held)| bytes(key, &held.value)).sum();
         (self.generation, self.state) = (generation, Some(state));
         // Older records are passed over by their generation; emptied, the log is only shorter. Until it is, nothing is
         // appended: what failed may have left a tail there that hides all that follows.
--- a/crates/wv-reg/tests/ballots.rs
+++ b/crates/wv-reg/tests/ballots.rs
@@ -1,10 +1,10 @@
 //! Stories of one disk under ballots: what it promised it keeps, also through a restart and from an older format.
 use googletest::prelude::*;
-use wv_inner::{Ballot, Held};
+use wv_inner::{AcceptorState, Ballot};
 use wv_reg::{cell, MemFiles, Seat, State, Store};
 
 fn ballot(round: u64, who: u64) -> Ballot {
-    Ballot { round, who }
+    Ballot { round, proposer: who }
 }
 
 fn opened(files: &MemFiles) -> Store {
@@ -44,7 +44,7 @@
     expect_that!(bytes(&files), eq(before));
     // A lower version under a higher ballot stands: ballots decide, versions are the callers' own.
     expect_that!(store.accept("k", ballot(6, 1), &cell(0, vec![3])), ok(eq(&true)));
-    expect_that!(opened(&files).get("k").map(|held| held.cell.value.clone()), some(eq(&vec![3])));
+    expect_that!(opened(&files).get("k").map(|held| held.value.bytes.clone()), some(eq(&vec![3])));
 }
 
 #[gtest]
@@ -52,8 +52,11 @@
     let files = MemFiles::default();
     let mut store = started(&files);
     store.accept("a", ballot(7, 1), &cell(1, vec![1])).expect("kept");
-    let copy =
-        |round: u64, value: u8| Held { accepted: ballot(round, 2), cell: cell(9, vec![value]), ..Held::default() };
+    let copy = |round: u64, value: u8| AcceptorState {
+        accepted: ballot(round, 2),
+        value: cell(9, vec![value]),
+        ..AcceptorState::default()
+    };
     let copies = vec![("a".to_owned(), copy(6, 2)), ("b".to_owned(), copy(3, 3)), ("c".to_owned(), copy(4, 4))];
     files.is_full.set(true);
     expect_that!(store.adopt(copies.clone()), err(anything()));
@@ -62,7 +65,7 @@
     expect_that!(store.adopt(copies), ok(eq(&0)));
     let mut store = opened(&files);
     let values: Vec<(String, Vec<u8>)> =
-        store.iter().map(|(key, held)| (key.to_owned(), held.cell.value.clone())).collect();
+        store.iter().map(|(key, held)| (key.to_owned(), held.value.bytes.clone())).collect();
     let expected = [("a", vec![1]), ("b", vec![3]), ("c", vec![4])].map(|(key, value)| (key.to_owned(), value));
     expect_that!(values, eq(&expected.to_vec()));
     // A copy binds like an acceptance.
@@ -88,7 +91,7 @@
 fn given_a_disk_of_the_format_before_ballots_then_all_of_it_is_read_on_and_it_votes_as_before() {
     let files = old_disk();
     let mut store = opened(&files);
-    let held = |store: &Store, key: &str| store.get(key).map(|held| (held.accepted, held.cell.version));
+    let held = |store: &Store, key: &str| store.get(key).map(|held| (held.accepted, held.value.version));
     expect_that!(held(&store, "conf"), some(eq((Ballot::default(), 9))));
     expect_that!(held(&store, "duty/s"), some(eq((Ballot::default(), 0x1_0007))));
     expect_that!(held(&store, "own/s"), some(eq((Ballot::default(), 3))));
@@ -116,8 +119,8 @@
         let files = old_disk();
         files.files.borrow_mut().insert("slot-b".to_owned(), whole[..len].to_vec());
         let store = opened(&files);
-        expect_that!(store.get("conf").map(|held| held.cell.version), some(eq(9)), "{len} bytes");
-        expect_that!(store.get("own/s").map(|held| held.cell.version), some(eq(3)), "{len} bytes");
+        expect_that!(store.get("conf").map(|held| held.value.version), some(eq(9)), "{len} bytes");
+        expect_that!(store.get("own/s").map(|held| held.value.version), some(eq(3)), "{len} bytes");
     }
 }
 
@@ -129,7 +132,10 @@
         let mut store = started(&files);
         // Four hundred registers at rest, and one of forty thousand bytes beside the one that changes.
         let rest = (0..400).map(|at| {
-            (format!("duty/{at}"), Held { accepted: ballot(1, 1), cell: cell(1, vec![0; 20]), ..Held::default() })
+            (
+                format!("duty/{at}"),
+                AcceptorState { accepted: ballot(1, 1), value: cell(1, vec![0; 20]), ..AcceptorState::default() },
+            )
         });
         store.adopt(rest.collect()).expect("kept");
         store.accept("conf", ballot(1, 1), &cell(1, vec![7; 40 << 10])).expect("kept");
@@ -142,7 +148,7 @@
         // Its record, and its part of what folding writes: no more than the records themselves.
         expect_that!(written as u64 / changes, le(500), "{changes} changes");
         figures.push((changes, bytes(&files), written as u64 / changes, size));
-        expect_that!(opened(&files).get("duty/7").map(|held| held.cell.version), some(eq(changes + 1)));
+        expect_that!(opened(&files).get("duty/7").map(|held| held.value.version), some(eq(changes + 1)));
     }
     println!("changes, bytes on disk, bytes written a change, state: {figures:?}");
 }
--- a/crates/wv-reg/tests/change.rs
+++ b/crates/wv-reg/tests/change.rs
@@ -1,11 +1,11 @@
 //! Stories of agreeing on the next set of voters, word by word.
 use googletest::prelude::*;
-use wv_inner::{Handover, Member, Msg, Voters};
+use wv_inner::{Handover, Member, Msg, VoterSet};
 use wv_reg::{plan, Change, Core, End, AWAY_US};
 
-fn set(number: u64, addrs: &[&str]) -> Voters {
+fn set(number: u64, addrs: &[&str]) -> VoterSet {
     let members = addrs.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect();
-    Voters { number, members }
+    VoterSet { number, members }
 }
 
 fn cores(all: &[(&str, u64, bool)]) -> Vec<Core> {
@@ -19,7 +19,7 @@
 }
 
 /// The set is sealed and handed over as it must be before anything is proposed.
-fn proposed(change: &mut Change, request: u64, holders: [&str; 2]) -> Option<Voters> {
+fn proposed(change: &mut Change, request: u64, holders: [&str; 2]) -> Option<VoterSet> {
     let is_settling = |msgs: &[(String, Msg)]| msgs.iter().any(|(_, msg)| matches!(msg, Msg::Settle { .. }));
     let is_handing =
         |msgs: &[(String, Msg)]| msgs.iter().any(|(_, msg)| matches!(msg, Msg::Handover(Handover::Fetch { .. })));
@@ -82,8 +82,8 @@
     Core { member, zone: zone.to_owned(), is_up: true, is_ready: true, is_leaving: false }
 }
 
-fn has(next: &Option<Voters>, addr: &str) -> bool {
-    next.as_ref().is_some_and(|next| next.has(addr))
+fn has(next: &Option<VoterSet>, addr: &str) -> bool {
+    next.as_ref().is_some_and(|next| next.contains(addr))
 }
 
 #[gtest]
--- a/crates/wv-reg/tests/change_model/act.rs
+++ b/crates/wv-reg/tests/change_model/act.rs
@@ -1,7 +1,7 @@
 //! What each step of a change does, with the code that it stands for.
 use super::{closed, opened, wiped, Ask, Node, Without, World, KEY, NAMES};
 use std::rc::Rc;
-use wv_inner::{Handover, Held, Member, Msg, Voters};
+use wv_inner::{AcceptorState, Handover, Member, Msg, VoterSet};
 use wv_reg::{Change, Core, End, AWAY_US};
 
 impl World {
@@ -37,7 +37,7 @@
         let away_us = |addr: &str| if is_away(addr) { AWAY_US } else { 0 };
         let is_sealed = |at: usize| self.nodes[at].is_up && self.seat(at).sealed == voters.number;
         let is_begun = (0..self.nodes.len()).any(is_sealed);
-        let same = || Voters { number: voters.number + 1, members: voters.members.clone() };
+        let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
         let Some(next) = wv_reg::plan(&voters, &cores, away_us).or_else(|| is_begun.then(same)) else { return false };
         let fence = (((self.nodes[at].met.max(self.seat(at).fence) >> 16) + 1) << 16) | (at as u64 + 1);
         self.drive(at, Change::new(fence, fence, voters, next, 0), fence).is_ok()
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn learn(&mut self, at: usize, voters: &Voters, before: &Voters) {
+    pub(super) fn learn(&mut self, at: usize, voters: &VoterSet, before: &VoterSet) {
         let me = NAMES[at];
         // Old news are none, also to the seat itself.
         let is_news = voters.number > self.seat(at).voters.number;
@@ -135,8 +135,8 @@
     }
 
     fn adopt(&mut self, to: usize, from: usize) {
-        let copy: Held = self.nodes[from].disk.held.clone();
-        if copy != Held::default() {
+        let copy: AcceptorState = self.nodes[from].disk.held.clone();
+        if copy != AcceptorState::default() {
             self.on_disk(to, |_, store| store.adopt(vec![(KEY.to_owned(), copy)])).expect("kept");
         }
     }
@@ -164,7 +164,7 @@
         }
         let has_left =
             |other: &usize| self.nodes[at].told.contains(other) || (*other == at && self.seat(at).set == before.number);
-        let count = (0..self.nodes.len()).filter(has_left).filter(|other| before.has(NAMES[*other])).count();
+        let count = (0..self.nodes.len()).filter(has_left).filter(|other| before.contains(NAMES[*other])).count();
         if set == voters.number || (before.number > 0 && count >= before.majority()) {
             self.on_disk(at, |seat, store| seat.install(store)).expect("kept");
             self.nodes[at].told.clear();
--- a/crates/wv-reg/tests/change_model/mod.rs
+++ b/crates/wv-reg/tests/change_model/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use wv_inner::{Ballot, Held, Member, Msg, Voters};
+use wv_inner::{AcceptorState, Ballot, Member, Msg, VoterSet};
 use wv_reg::{Change, MemFiles, Seat, State, Store};
 
 pub const KEY: &str = "k";
@@ -111,7 +111,7 @@
 pub struct Disk {
     files: MemFiles,
     seat: Seat,
-    held: Held,
+    held: AcceptorState,
     hash: u64,
 }
 
@@ -132,7 +132,7 @@
 /// silent. The decision among writers is the model of the register's; here what is acknowledged has to be kept.
 #[derive(Clone, Debug)]
 struct Writer {
-    set: Voters,
+    set: VoterSet,
     number: u64,
     kept: BTreeSet<usize>,
     acknowledged: u64,
@@ -197,7 +197,7 @@
         for at in 3..setup.nodes {
             let (mut store, files) = opened(&nodes[at].disk.files);
             let mut seat = nodes[at].disk.seat.clone();
-            seat.learn(&mut store, NAMES[at], &set, &Voters::default()).expect("kept");
+            seat.learn(&mut store, NAMES[at], &set, &VoterSet::default()).expect("kept");
             nodes[at].disk = closed(store, files, seat);
         }
         World {
@@ -245,6 +245,6 @@
     }
 
     fn ballot(&self) -> Ballot {
-        Ballot { round: (self.writer.set.number << 40) + self.writer.number, who: 1 }
+        Ballot { round: (self.writer.set.number << 40) + self.writer.number, proposer: 1 }
     }
 }
--- a/crates/wv-reg/tests/change_model/promise.rs
+++ b/crates/wv-reg/tests/change_model/promise.rs
@@ -1,20 +1,20 @@
 //! What has to hold in each state of a change.
 use super::{World, NAMES};
 use std::collections::BTreeMap;
-use wv_inner::{Member, Voters};
+use wv_inner::{Member, VoterSet};
 
 impl World {
     /// Members of a set whose disks vote in it, up or down.
-    fn voting(&self, voters: &Voters) -> Vec<usize> {
+    fn voting(&self, voters: &VoterSet) -> Vec<usize> {
         let votes = |member: &Member| self.at(member).filter(|at| self.votes_in(*at) == voters.number);
         voters.members.iter().filter_map(votes).collect()
     }
 
-    fn sets(&self) -> Result<BTreeMap<u64, Voters>, String> {
+    fn sets(&self) -> Result<BTreeMap<u64, VoterSet>, String> {
         let mut sets = BTreeMap::new();
         let seats = self.nodes.iter().map(|node| &node.disk.seat);
         for voters in seats.flat_map(|seat| [&seat.voters, &seat.before]).filter(|voters| voters.number > 0) {
-            let known: &mut Voters = sets.entry(voters.number).or_insert_with(|| voters.clone());
+            let known: &mut VoterSet = sets.entry(voters.number).or_insert_with(|| voters.clone());
             if known != voters {
                 return Err(format!("two sets have the number {}", voters.number));
             }
@@ -25,13 +25,13 @@
     /// At most one set answers, and whatever majority of it is asked holds what was acknowledged.
     pub(super) fn is_kept(&self) -> Result<(), String> {
         let sets = self.sets()?;
-        let answering: Vec<&Voters> =
+        let answering: Vec<&VoterSet> =
             sets.values().filter(|voters| self.voting(voters).len() >= voters.majority()).collect();
         if answering.len() > 1 {
             return Err(format!("sets {} and {} both answer", answering[0].number, answering[1].number));
         }
         for voters in answering {
-            let lacks = |at: &usize| self.nodes[*at].disk.held.cell.version < self.writer.acknowledged;
+            let lacks = |at: &usize| self.nodes[*at].disk.held.value.version < self.writer.acknowledged;
             let lacking = self.voting(voters).into_iter().filter(lacks).count();
             if lacking >= voters.majority() {
                 return Err(format!("a majority of set {} lacks what was acknowledged", voters.number));
@@ -42,20 +42,20 @@
 
     fn is_answering(&self) -> bool {
         let sets = self.sets().unwrap_or_default();
-        let is_answering = |voters: &Voters| {
+        let is_answering = |voters: &VoterSet| {
             self.voting(voters).into_iter().filter(|at| self.nodes[*at].is_up).count() >= voters.majority()
         };
         sets.values().any(is_answering)
     }
 
     /// The successor that a majority of a set accepted under one fence, whoever knows it.
-    fn settled(&self, voters: &Voters) -> Option<Voters> {
+    fn settled(&self, voters: &VoterSet) -> Option<VoterSet> {
         let accepted = |member: &Member| {
             let seat = self.seat(self.at(member)?);
             seat.next.clone().filter(|_| seat.set == voters.number)
         };
-        let all: Vec<(u64, Voters)> = voters.members.iter().filter_map(accepted).collect();
-        let is_most = |next: &&(u64, Voters)| all.iter().filter(|other| other == next).count() >= voters.majority();
+        let all: Vec<(u64, VoterSet)> = voters.members.iter().filter_map(accepted).collect();
+        let is_most = |next: &&(u64, VoterSet)| all.iter().filter(|other| other == next).count() >= voters.majority();
         all.iter().find(is_most).map(|next| next.1.clone())
     }
 
--- a/crates/wv-reg/tests/common/mod.rs
+++ b/crates/wv-reg/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Proposers and voters in one room: the real proposer's side over real stores, call by call.
 use std::collections::VecDeque;
-use wv_inner::{Ballot, Cell, Member, Msg, Step, Vote, Voters};
+use wv_inner::{Ballot, Member, Msg, RegisterReply, RegisterRequest, RegisterValue, VoterSet};
 use wv_reg::{cell, raise, Done, MemFiles, Outcome, Quorum, State, Store};
 
 pub const VOTERS: [&str; 3] = ["a", "b", "c"];
@@ -11,7 +11,7 @@
     pub asker: u64,
     pub request: u64,
     pub key: String,
-    pub step: Step,
+    pub step: RegisterRequest,
 }
 
 /// Proposers, voters and the calls between them that have not arrived.
@@ -26,8 +26,8 @@
     pub messages: usize,
 }
 
-pub fn set(number: u64) -> Voters {
-    Voters { number, members: VOTERS.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect() }
+pub fn set(number: u64) -> VoterSet {
+    VoterSet { number, members: VOTERS.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect() }
 }
 
 impl Room {
@@ -72,22 +72,22 @@
     }
 
     /// What a voter's disk says to a step, as a control node's does.
-    pub fn vote(store: &mut Store, key: &str, step: &Step) -> Vote {
-        let refused = |store: &Store| Vote::Refused {
+    pub fn vote(store: &mut Store, key: &str, step: &RegisterRequest) -> RegisterReply {
+        let refused = |store: &Store| RegisterReply::Rejected {
             promised: store.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted)),
         };
         let holds = |store: &Store| {
             let held = store.get(key).cloned().unwrap_or_default();
-            Vote::Holds { accepted: held.accepted, cell: Some(held.cell) }
+            RegisterReply::Current { accepted: held.accepted, value: Some(held.value) }
         };
         match step {
-            Step::Look { .. } => holds(store),
-            Step::Prepare { ballot, .. } => match store.promise(key, *ballot).expect("kept") {
+            RegisterRequest::Read { .. } => holds(store),
+            RegisterRequest::Prepare { ballot, .. } => match store.promise(key, *ballot).expect("kept") {
                 true => holds(store),
                 false => refused(store),
             },
-            Step::Accept { ballot, cell } => match store.accept(key, *ballot, cell).expect("kept") {
-                true => Vote::Accepted,
+            RegisterRequest::Accept { ballot, value: cell } => match store.accept(key, *ballot, cell).expect("kept") {
+                true => RegisterReply::Accepted,
                 false => refused(store),
             },
         }
@@ -96,7 +96,7 @@
     pub fn deliver(&mut self, call: Call) {
         let at = VOTERS.iter().position(|voter| *voter == call.to).unwrap_or(0);
         let vote = Room::vote(&mut self.stores[at], &call.key, &call.step);
-        self.syncs += usize::from(!matches!(call.step, Step::Look { .. }));
+        self.syncs += usize::from(!matches!(call.step, RegisterRequest::Read { .. }));
         self.messages += 2;
         self.quorums[call.from].voted(&call.to, (call.asker, call.request), &call.key, vote, self.now);
         self.collect(call.from);
@@ -117,12 +117,12 @@
         self.done.iter().find(|(_, done)| done.token == token).map(|(_, done)| &done.outcome)
     }
 
-    pub fn read(&mut self, from: usize, token: u64) -> Cell {
+    pub fn read(&mut self, from: usize, token: u64) -> RegisterValue {
         self.read_without(from, token, "")
     }
 
     /// The same while nothing reaches one of the voters.
-    pub fn read_without(&mut self, from: usize, token: u64, lost: &str) -> Cell {
+    pub fn read_without(&mut self, from: usize, token: u64, lost: &str) -> RegisterValue {
         self.start(from, token, None);
         for _ in 0..200 {
             self.now += 1_000;
--- a/crates/wv-reg/tests/model_register.rs
+++ b/crates/wv-reg/tests/model_register.rs
@@ -3,15 +3,15 @@
 
 use googletest::prelude::*;
 use register_model::{Setup, Verdict, Wish, Without, World};
-use wv_inner::Cell;
+use wv_inner::RegisterValue;
 use wv_search::{search, Bound};
 
 /// What `raise` tells of an order: no digests are kept, so an overtaken one may have been taken.
-fn verdict(cell: &Cell, number: u64, content: u8) -> Verdict {
+fn verdict(cell: &RegisterValue, number: u64, content: u8) -> Verdict {
     match cell.version.cmp(&number) {
         std::cmp::Ordering::Less => Verdict::Unknown,
         std::cmp::Ordering::Greater => Verdict::Overtaken,
-        std::cmp::Ordering::Equal if cell.value.first() == Some(&content) => Verdict::Taken,
+        std::cmp::Ordering::Equal if cell.bytes.first() == Some(&content) => Verdict::Taken,
         std::cmp::Ordering::Equal => Verdict::Lost,
     }
 }
--- a/crates/wv-reg/tests/power.rs
+++ b/crates/wv-reg/tests/power.rs
@@ -5,7 +5,7 @@
 use disk::{Disk, Left};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
-use wv_inner::{Ballot, Held};
+use wv_inner::{AcceptorState, Ballot};
 use wv_reg::{cell, RegError, State, Store, Synced};
 
 /// Short enough that the log is folded every few steps.
@@ -39,11 +39,12 @@
 ];
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, who: 1 }
+    Ballot { round, proposer: 1 }
 }
 
 fn take(store: &mut Store, step: Step) -> Result<(), RegError> {
-    let copy = |round| Held { accepted: ballot(round), cell: cell(round, vec![7; 40]), ..Held::default() };
+    let copy =
+        |round| AcceptorState { accepted: ballot(round), value: cell(round, vec![7; 40]), ..AcceptorState::default() };
     match step {
         Reset => store.reset(State { me: "me".to_owned(), ..State::default() }),
         Promise(round) => store.promise("k", ballot(round)).map(|_| ()),
--- a/crates/wv-reg/tests/quorum.rs
+++ b/crates/wv-reg/tests/quorum.rs
@@ -3,7 +3,7 @@
 
 use common::{set, Call, Room, VOTERS};
 use googletest::prelude::*;
-use wv_inner::{Ballot, Cell, Step, Vote};
+use wv_inner::{Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use wv_reg::{cell, MemFiles, Outcome, State, Store};
 
 #[gtest]
@@ -16,7 +16,7 @@
         room.calls.rotate_left(first);
         room.settle(700_000);
         let outcomes = [room.outcome(1).cloned(), room.outcome(2).cloned()];
-        let written: Vec<&Cell> = outcomes
+        let written: Vec<&RegisterValue> = outcomes
             .iter()
             .flatten()
             .filter_map(|outcome| if let Outcome::Written(cell) = outcome { Some(cell) } else { None })
@@ -42,7 +42,7 @@
             room.deliver(call);
         });
         let call = room.calls.pop_front().expect("a proposal");
-        expect_that!(matches!(call.step, Step::Accept { .. }), eq(true));
+        expect_that!(matches!(call.step, RegisterRequest::Accept { .. }), eq(true));
         room.deliver(call);
         room.calls.clear();
         // Another reads without one of the voters: what it saw once is seen ever after.
@@ -78,7 +78,7 @@
     let mut room = Room::new(1);
     room.start(0, 1, Some((5, 1)));
     let (asker, request) = (room.calls[0].asker, room.calls[0].request);
-    let holds = || Vote::Holds { accepted: Ballot::default(), cell: Some(Cell::default()) };
+    let holds = || RegisterReply::Current { accepted: Ballot::default(), value: Some(RegisterValue::default()) };
     for voter in VOTERS {
         room.quorums[0].voted(voter, (asker + 1, request), "k", holds(), room.now);
         room.quorums[0].voted(voter, (asker, request + 1), "k", holds(), room.now);
@@ -90,10 +90,10 @@
     }
     room.calls.clear();
     room.collect(0);
-    expect_that!(room.calls.iter().any(|call| matches!(call.step, Step::Accept { .. })), eq(false));
+    expect_that!(room.calls.iter().any(|call| matches!(call.step, RegisterRequest::Accept { .. })), eq(false));
     room.quorums[0].voted("b", (asker, request), "k", holds(), room.now);
     room.collect(0);
-    expect_that!(room.calls.iter().any(|call| matches!(call.step, Step::Accept { .. })), eq(true));
+    expect_that!(room.calls.iter().any(|call| matches!(call.step, RegisterRequest::Accept { .. })), eq(true));
 }
 
 #[gtest]
--- a/crates/wv-reg/tests/register_model/ledger.rs
+++ b/crates/wv-reg/tests/register_model/ledger.rs
@@ -1,7 +1,7 @@
 //! What was promised to callers so far, and whether it holds.
 use super::Wish;
 use std::collections::BTreeMap;
-use wv_inner::{Ballot, Cell, Step as Ask};
+use wv_inner::{Ballot, RegisterRequest as Ask, RegisterValue};
 use wv_reg::Outcome;
 
 /// What an answer says to an order.
@@ -20,12 +20,12 @@
 #[derive(Clone, Default, Debug)]
 pub struct Ledger {
     /// What was shown as standing under which version.
-    shown: BTreeMap<u64, Cell>,
+    shown: BTreeMap<u64, RegisterValue>,
     /// The content acknowledged under each number, and contents that were refused.
     taken: BTreeMap<u64, u8>,
     lost: Vec<(u64, u8)>,
     /// The one cell that each ballot has.
-    ballots: BTreeMap<Ballot, Cell>,
+    ballots: BTreeMap<Ballot, RegisterValue>,
     /// The newest version that anybody was shown.
     pub floor: u64,
 }
@@ -33,7 +33,7 @@
 impl Ledger {
     /// A ballot has one cell for ever.
     pub fn proposed(&mut self, ask: &Ask) -> Result<(), String> {
-        let Ask::Accept { ballot, cell } = ask else { return Ok(()) };
+        let Ask::Accept { ballot, value: cell } = ask else { return Ok(()) };
         let known = self.ballots.entry(*ballot).or_insert_with(|| cell.clone());
         if known != cell {
             return Err("one ballot with two cells".to_owned());
@@ -46,7 +46,7 @@
         wish: Wish,
         floor: u64,
         outcome: &Outcome,
-        verdict: fn(&Cell, u64, u8) -> Verdict,
+        verdict: fn(&RegisterValue, u64, u8) -> Verdict,
     ) -> Result<(), String> {
         let (Outcome::Read(cell) | Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return Ok(()) };
         if self.shown.entry(cell.version).or_insert_with(|| cell.clone()) != cell {
--- a/crates/wv-reg/tests/register_model/mod.rs
+++ b/crates/wv-reg/tests/register_model/mod.rs
@@ -9,7 +9,7 @@
 pub use ledger::{Ledger, Verdict};
 pub use setup::{Setup, Wish, Without};
 use std::rc::Rc;
-use wv_inner::{Ballot, Cell, Member, Msg, Step as Ask, Vote, Voters};
+use wv_inner::{Ballot, Member, Msg, RegisterReply, RegisterRequest as Ask, RegisterValue, VoterSet};
 use wv_reg::{Done, MemFiles, Quorum, State, Store};
 
 pub const KEY: &str = "k";
@@ -35,7 +35,7 @@
 /// A call that arrived, and what was said to it.
 pub struct Answer {
     call: Rc<Kept<Call>>,
-    vote: Vote,
+    vote: RegisterReply,
 }
 
 #[derive(Clone)]
@@ -55,7 +55,7 @@
 impl std::fmt::Debug for Step {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let word = |call: &Call| match call.ask {
-            Ask::Look { .. } => format!("p{} looks at {}", call.from, NAMES[call.to]),
+            Ask::Read { .. } => format!("p{} looks at {}", call.from, NAMES[call.to]),
             Ask::Prepare { .. } => format!("p{} prepares {}", call.from, NAMES[call.to]),
             Ask::Accept { .. } => format!("p{} proposes to {}", call.from, NAMES[call.to]),
         };
@@ -88,7 +88,7 @@
     open: Option<(Wish, u64)>,
     is_pausing: bool,
     /// The newest copy heard in this request: what a careless reader would show.
-    best: (u64, Ballot, Option<Cell>),
+    best: (u64, Ballot, Option<RegisterValue>),
 }
 
 struct Disk {
@@ -123,7 +123,7 @@
     let who = if without == Without::OwnBallots { at as u64 + 1 } else { at as u64 + 1 + lives * 10 };
     let mut quorum = Quorum::new(who);
     let members = NAMES.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect();
-    quorum.set_voters(Voters { number: 1, members });
+    quorum.set_voters(VoterSet { number: 1, members });
     quorum
 }
 
@@ -209,7 +209,7 @@
         let disk = &self.disks[call.to].as_ref()?.value;
         let top = disk.promised.max(disk.accepted);
         Some(match &call.ask {
-            Ask::Look { .. } => false,
+            Ask::Read { .. } => false,
             Ask::Prepare { ballot, .. } => *ballot > top,
             Ask::Accept { ballot, .. } => {
                 (*ballot >= top || self.setup.without == Without::Promise) && disk.accepted != *ballot
--- a/crates/wv-reg/tests/register_model/setup.rs
+++ b/crates/wv-reg/tests/register_model/setup.rs
@@ -1,6 +1,6 @@
 //! What callers want, what may go wrong, and which guard is left out.
 use super::Verdict;
-use wv_inner::Cell;
+use wv_inner::RegisterValue;
 
 /// A guard that is taken out, to see that the model finds what it guards against.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -34,7 +34,7 @@
 pub struct Setup {
     pub without: Without,
     pub edit: fn(u64, u8) -> wv_reg::Edit,
-    pub verdict: fn(&Cell, u64, u8) -> Verdict,
+    pub verdict: fn(&RegisterValue, u64, u8) -> Verdict,
     pub wishes: Vec<Vec<Wish>>,
     /// Pauses that end, ends of a proposer's life, restarts with the disk and disks that are lost, at most.
     pub rests: u8,
--- a/crates/wv-reg/tests/register_model/steps.rs
+++ b/crates/wv-reg/tests/register_model/steps.rs
@@ -5,32 +5,32 @@
 };
 use std::hash::Hasher;
 use std::rc::Rc;
-use wv_inner::{Ballot, Step as Ask, Vote};
+use wv_inner::{Ballot, RegisterReply, RegisterRequest as Ask};
 use wv_reg::{State, Store};
 
 /// What a voter's disk says to a step, as `Core::vote` does.
-fn vote(store: &mut Store, ask: &Ask, without: Without) -> Vote {
+fn vote(store: &mut Store, ask: &Ask, without: Without) -> RegisterReply {
     let held = |store: &Store| store.get(KEY).cloned().unwrap_or_default();
     let told = |store: &Store, known: Ballot| {
         let held = held(store);
         let is_known = held.accepted == known && known != Ballot::default();
-        Vote::Holds { accepted: held.accepted, cell: (!is_known).then_some(held.cell) }
+        RegisterReply::Current { accepted: held.accepted, value: (!is_known).then_some(held.value) }
     };
-    let refused = |store: &Store| Vote::Refused { promised: held(store).promised.max(held(store).accepted) };
+    let refused = |store: &Store| RegisterReply::Rejected { promised: held(store).promised.max(held(store).accepted) };
     match ask {
-        Ask::Look { known } => told(store, *known),
+        Ask::Read { known } => told(store, *known),
         Ask::Prepare { ballot, known } => match store.promise(KEY, *ballot).expect("kept") {
             true => told(store, *known),
             false => refused(store),
         },
-        Ask::Accept { ballot, cell } => match store.accept(KEY, *ballot, cell).expect("kept") {
-            true => Vote::Accepted,
+        Ask::Accept { ballot, value: cell } => match store.accept(KEY, *ballot, cell).expect("kept") {
+            true => RegisterReply::Accepted,
             false if without == Without::Promise => {
                 let mut state = store.state().cloned().unwrap_or_default();
                 let held = state.cells.entry(KEY.to_owned()).or_default();
-                (held.accepted, held.cell) = (*ballot, cell.clone());
+                (held.accepted, held.value) = (*ballot, cell.clone());
                 store.reset(state).expect("kept");
-                Vote::Accepted
+                RegisterReply::Accepted
             }
             false => refused(store),
         },
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    fn called(&mut self, call: &Call) -> Result<Vote, String> {
+    fn called(&mut self, call: &Call) -> Result<RegisterReply, String> {
         let disk = self.disks[call.to].clone().ok_or("a lost disk is asked")?;
         let (mut store, files) = opened(&disk.value.files);
         let rank = |store: &Store| store.get(KEY).map_or(Default::default(), |held| (held.promised, held.accepted));
@@ -52,19 +52,19 @@
         Ok(vote)
     }
 
-    fn heard(&mut self, call: &Call, vote: Vote) -> Result<(), String> {
+    fn heard(&mut self, call: &Call, vote: RegisterReply) -> Result<(), String> {
         let (without, request) = (self.setup.without, (call.asker, call.request));
-        let is_refused = matches!(vote, Vote::Refused { .. });
+        let is_refused = matches!(vote, RegisterReply::Rejected { .. });
         let vote = match (without, &call.ask, vote) {
-            (Without::Copies, Ask::Prepare { .. }, Vote::Holds { .. }) => {
-                Vote::Holds { accepted: Ballot::default(), cell: Some(Default::default()) }
+            (Without::Copies, Ask::Prepare { .. }, RegisterReply::Current { .. }) => {
+                RegisterReply::Current { accepted: Ballot::default(), value: Some(Default::default()) }
             }
-            (Without::SettledRead, Ask::Look { .. }, Vote::Holds { accepted, cell }) => {
+            (Without::SettledRead, Ask::Read { .. }, RegisterReply::Current { accepted, value: cell }) => {
                 let best = &mut self.proposers[call.from].best;
                 if best.0 != call.request || best.1 < accepted {
                     *best = (call.request, accepted, cell);
                 }
-                Vote::Holds { accepted: best.1, cell: best.2.clone() }
+                RegisterReply::Current { accepted: best.1, value: best.2.clone() }
             }
             (_, _, vote) => vote,
         };
