--- a/crates/wv-reg/tests/seal.rs
+++ b/crates/wv-reg/tests/seal.rs
@@ -1,11 +1,11 @@
 //! Stories of one disk as its set is sealed and handed over.
 use googletest::prelude::*;
-use wv_inner::{Member, Voters};
+use wv_inner::{Member, VoterSet};
 use wv_reg::{MemFiles, Seat, Store};
 
-fn set(number: u64, members: &[(&str, u64)]) -> Voters {
+fn set(number: u64, members: &[(&str, u64)]) -> VoterSet {
     let member = |(addr, disk): &(&str, u64)| Member { addr: (*addr).to_owned(), disk: *disk };
-    Voters { number, members: members.iter().map(member).collect() }
+    VoterSet { number, members: members.iter().map(member).collect() }
 }
 
 fn open(files: &MemFiles, me: &str, is_first: bool, disk: u64) -> (Store, Seat) {
@@ -48,7 +48,7 @@
     let handed = |is_handed: bool| {
         let files = MemFiles::default();
         let (mut store, mut seat) = open(&files, "d", false, 7);
-        seat.learn(&mut store, "d", &first, &Voters::default()).expect("files in memory");
+        seat.learn(&mut store, "d", &first, &VoterSet::default()).expect("files in memory");
         if is_handed {
             expect_that!(seat.finish(&mut store, 2).ok(), some(eq(false)));
             expect_that!(seat.finish(&mut store, 1).ok(), some(eq(true)));
@@ -83,7 +83,7 @@
     nanoserde::SerBin::ser_bin(&set(3, &[("a", 5), ("b", 0), ("x", 0)]), &mut old);
     nanoserde::SerBin::ser_bin(&4u64, &mut old);
     nanoserde::SerBin::ser_bin(&99u64, &mut old);
-    nanoserde::SerBin::ser_bin(&None::<(u64, Voters)>, &mut old);
+    nanoserde::SerBin::ser_bin(&None::<(u64, VoterSet)>, &mut old);
     store.put_local("local/seat", old).expect("files in memory");
     let (_, seat) = open(&files, "a", false, 1);
     expect_that!((seat.disk, seat.voters.number, seat.before.number, seat.fence), eq((5, 4, 3, 99)));
--- a/crates/wv-reg/tests/seat.rs
+++ b/crates/wv-reg/tests/seat.rs
@@ -1,6 +1,6 @@
 //! Stories of disks that come back: at another address, or as a copy of what they were.
 use googletest::prelude::*;
-use wv_inner::{Member, Voters};
+use wv_inner::{Member, VoterSet};
 use wv_reg::{MemFiles, Seat, Store};
 
 const SEEDS: [&str; 3] = ["a", "b", "c"];
@@ -30,8 +30,8 @@
     let files = MemFiles::default();
     let (mut first, mut store) = seat(&files, "d", 7);
     let member = |addr: &str, disk| Member { addr: addr.to_owned(), disk };
-    let next = Voters { number: 2, members: vec![member("a", 0), member("d", 7), member("e", 8)] };
-    let before = Voters { number: 1, members: SEEDS.map(|addr| member(addr, 0)).to_vec() };
+    let next = VoterSet { number: 2, members: vec![member("a", 0), member("d", 7), member("e", 8)] };
+    let before = VoterSet { number: 1, members: SEEDS.map(|addr| member(addr, 0)).to_vec() };
     expect_that!(first.learn(&mut store, "d", &next, &before), ok(eq(&true)));
     first.install(&mut store).expect("kept");
     expect_that!((first.votes_in("d"), first.tells_of("d")), eq((2, 2)));
@@ -47,7 +47,7 @@
     seat(&files, "a", 7);
     let (mut copy, mut store) = seat(&files.copy(), "a", 9);
     let member = |addr: &str, disk| Member { addr: addr.to_owned(), disk };
-    let next = Voters { number: 2, members: vec![member("a", 5), member("b", 0), member("c", 0)] };
+    let next = VoterSet { number: 2, members: vec![member("a", 5), member("b", 0), member("c", 0)] };
     let before = copy.voters.clone();
     expect_that!(copy.votes_in("a"), eq(1));
     expect_that!(copy.learn(&mut store, "a", &next, &before), ok(eq(&true)));
--- a/crates/wv-reg/tests/store.rs
+++ b/crates/wv-reg/tests/store.rs
@@ -15,11 +15,11 @@
 
 /// Keeps `value` under a ballot of this round.
 fn put(store: &mut Store, key: &str, round: u64, value: Vec<u8>) -> Result<bool, RegError> {
-    store.accept(key, Ballot { round, who: 1 }, &cell(round, value))
+    store.accept(key, Ballot { round, proposer: 1 }, &cell(round, value))
 }
 
 fn value(store: &Store, key: &str) -> Option<Vec<u8>> {
-    store.get(key).map(|held| held.cell.value.clone())
+    store.get(key).map(|held| held.value.bytes.clone())
 }
 
 #[gtest]
--- a/crates/wv-reg/tests/successor.rs
+++ b/crates/wv-reg/tests/successor.rs
@@ -1,7 +1,7 @@
 //! Stories of registers while one set of voters follows another: what was decided in the newer one is never undone by
 //! what a straggler of the older one still holds.
 use googletest::prelude::*;
-use wv_inner::{Ballot, Cell, Held, Member, Msg, Step, Vote, Voters};
+use wv_inner::{AcceptorState, Ballot, Member, Msg, RegisterReply, RegisterRequest, RegisterValue, VoterSet};
 use wv_reg::{cell, raise, MemFiles, Outcome, Quorum, Seat, State, Store};
 
 /// Four disks, of which `a b c` are the first set and `a b d` the second.
@@ -10,9 +10,9 @@
     now: u64,
 }
 
-fn set(number: u64, names: &str) -> Voters {
+fn set(number: u64, names: &str) -> VoterSet {
     let members = names.split(' ').map(|name| Member { addr: name.to_owned(), disk: 0 }).collect();
-    Voters { number, members }
+    VoterSet { number, members }
 }
 
 fn at(name: &str) -> usize {
@@ -20,27 +20,27 @@
 }
 
 /// What a voter's disk says to a step.
-fn vote(store: &mut Store, key: &str, step: &Step) -> Vote {
+fn vote(store: &mut Store, key: &str, step: &RegisterRequest) -> RegisterReply {
     let is_kept = match step {
-        Step::Look { .. } => true,
-        Step::Prepare { ballot, .. } => store.promise(key, *ballot).expect("kept"),
-        Step::Accept { ballot, cell } => store.accept(key, *ballot, cell).expect("kept"),
+        RegisterRequest::Read { .. } => true,
+        RegisterRequest::Prepare { ballot, .. } => store.promise(key, *ballot).expect("kept"),
+        RegisterRequest::Accept { ballot, value: cell } => store.accept(key, *ballot, cell).expect("kept"),
     };
     let held = store.get(key).cloned().unwrap_or_default();
     match step {
-        _ if !is_kept => Vote::Refused { promised: held.promised.max(held.accepted) },
-        Step::Accept { .. } => Vote::Accepted,
-        _ => Vote::Holds { accepted: held.accepted, cell: Some(held.cell) },
+        _ if !is_kept => RegisterReply::Rejected { promised: held.promised.max(held.accepted) },
+        RegisterRequest::Accept { .. } => RegisterReply::Accepted,
+        _ => RegisterReply::Current { accepted: held.accepted, value: Some(held.value) },
     }
 }
 
 /// A proposer of the set, in a life of its own, that has met a ballot of this round in it.
-fn proposer(who: u64, voters: Voters, met: u64) -> Quorum {
+fn proposer(who: u64, voters: VoterSet, met: u64) -> Quorum {
     let mut quorum = Quorum::new(who);
     let round = (voters.number << 40) + met;
     quorum.set_voters(voters);
     if met > 0 {
-        quorum.see(Ballot { round, who: 0 });
+        quorum.see(Ballot { round, proposer: 0 });
     }
     quorum
 }
@@ -64,7 +64,7 @@
             quorum.tick(self.now);
             for (to, msg) in quorum.take_out() {
                 let Msg::Call { asker, request, key, step, .. } = msg else { continue };
-                let reached = if matches!(step, Step::Accept { .. }) { kept } else { heard };
+                let reached = if matches!(step, RegisterRequest::Accept { .. }) { kept } else { heard };
                 if reached.split(' ').any(|name| name == to) {
                     let vote = vote(&mut self.stores[at(&to)], &key, &step);
                     quorum.voted(&to, (asker, request), &key, vote, self.now);
@@ -76,11 +76,11 @@
 
     /// What `from` tells stands at `to`, as when a vote is taken up.
     fn take(&mut self, to: &str, from: &str) {
-        let told: Vec<(String, Held)> = Seat::cells(&self.stores[at(from)], &Seat::held(&self.stores[at(to)]));
+        let told: Vec<(String, AcceptorState)> = Seat::cells(&self.stores[at(from)], &Seat::held(&self.stores[at(to)]));
         self.stores[at(to)].adopt(told).expect("kept");
     }
 
-    fn read(&mut self, heard: &str) -> Option<Cell> {
+    fn read(&mut self, heard: &str) -> Option<RegisterValue> {
         match self.run(&mut proposer(99, set(2, "a b d"), 0), None, heard, heard) {
             Some(Outcome::Read(cell)) => Some(cell),
             _ => None,
@@ -129,7 +129,7 @@
 #[gtest]
 fn given_a_register_that_nobody_wrote_then_a_read_of_it_promises_nothing() {
     let mut fleet = Fleet::new();
-    expect_that!(fleet.read("a b d"), some(eq(&Cell::default())));
+    expect_that!(fleet.read("a b d"), some(eq(&RegisterValue::default())));
     expect_that!(fleet.stores[0].get("k"), none());
 }
 
@@ -137,7 +137,7 @@
 fn given_a_proposer_that_has_met_a_ballot_of_a_set_it_does_not_know_then_its_own_stay_below_those() {
     let mut fleet = Fleet::new();
     let (all, mut quorum) = ("a b c", proposer(1, set(1, "a b c"), 0));
-    let later = Ballot { round: (2 << 40) + 5, who: 0 };
+    let later = Ballot { round: (2 << 40) + 5, proposer: 0 };
     quorum.see(later);
     let written = fleet.run(&mut quorum, Some((5, 5)), all, all);
     expect_that!(written, some(eq(&Outcome::Written(cell(5, vec![5])))));
--- a/crates/wv-split/src/copying.rs
+++ b/crates/wv-split/src/copying.rs
@@ -3,7 +3,7 @@
 use crate::machine::{After, Goal, Split, Step};
 use crate::steps::LEAST_US;
 use crate::{Reply, View};
-use wv_inner::{Marks, Phase, SlotMap};
+use wv_inner::{SlotMap, SplitPhase, WriteMarks};
 
 /// So few things left to copy are copied while writes to them wait.
 const LEFT_MAX: usize = 64;
@@ -27,7 +27,7 @@
             target_term: map.target_term,
             capacity: view.capacity,
             pace: view.plan?.pace,
-            is_sealed: map.phase == Phase::Sealed,
+            is_sealed: map.phase == SplitPhase::Sealed,
         })
     }
 
@@ -52,12 +52,13 @@
         if self.is_unbound(view) {
             return self.back(view, "another database leads the source");
         }
-        let is_over = map.until_us < view.epoch_us + LEAST_US || view.wanted_until_us.is_none() || view.plan.is_none();
+        let is_over =
+            map.deadline_us < view.epoch_us + LEAST_US || view.wanted_until_us.is_none() || view.plan.is_none();
         if is_over {
             return self.back(view, "the window is over");
         }
         if self.copy.left() <= LEFT_MAX && self.copy.is_idle() {
-            return self.write(SlotMap { raise: map.term, ..map }, After::Raise(Goal::Seal), view.now);
+            return self.write(SlotMap { superseded_term: map.term, ..map }, After::Raise(Goal::Seal), view.now);
         }
         self.start_copies(view);
     }
@@ -84,30 +85,30 @@
             self.step = Step::Sealed { since, is_marked: true };
         }
         if self.copy.is_done() {
-            let map = SlotMap { raise: map.term, raise_target: map.target_term, ..map };
+            let map = SlotMap { superseded_term: map.term, superseded_target_term: map.target_term, ..map };
             return self.write(map, After::Raise(Goal::Finish), view.now);
         }
         self.start_copies(view);
     }
 
     /// A node is about to write to these, or has said its last ones.
-    pub(crate) fn marked(&mut self, node: String, marks: Marks) {
-        for name in &marks.names {
+    pub(crate) fn marked(&mut self, node: String, marks: WriteMarks) {
+        for name in &marks.keys {
             self.names.add(name);
         }
         let Some(map) = &self.map else { return };
-        let moving: Vec<&String> = marks.names.iter().filter(|name| map.is_moving(slot(name))).collect();
+        let moving: Vec<&String> = marks.keys.iter().filter(|name| map.is_moving(slot(name))).collect();
         moving.into_iter().for_each(|name| self.copy.want(name));
         let is_current = marks.attempt == map.attempt;
-        let key = (node, marks.life);
-        if is_current && map.phase == Phase::Copying {
+        let key = (node, marks.incarnation);
+        if is_current && map.phase == SplitPhase::Copying {
             self.writers.entry(key).or_insert(false);
-        } else if is_current && map.phase == Phase::Sealed && marks.is_last {
+        } else if is_current && map.phase == SplitPhase::Sealed && marks.is_last {
             self.writers.insert(key, true);
         }
     }
 }
 
 fn slot(name: &str) -> u16 {
-    wv_inner::slot(name.as_bytes())
+    wv_inner::slot_for_key(name.as_bytes())
 }
--- a/crates/wv-split/src/machine.rs
+++ b/crates/wv-split/src/machine.rs
@@ -2,7 +2,7 @@
 use crate::raise::Looks;
 use crate::{Copy, Event, Names, Order, View};
 use std::collections::BTreeMap;
-use wv_inner::{Phase, SlotMap};
+use wv_inner::{SlotMap, SplitPhase};
 
 const OP_US: u64 = 1_500_000;
 /// A lead that beats alone told of is looked at this often.
@@ -140,7 +140,10 @@
     /// Nothing is under way here: is there anything to do?
     fn rest_on(&mut self, view: &View<'_>) {
         let now = view.now;
-        if view.plan.is_none() && self.map.as_ref().is_none_or(|map| map.phase == Phase::Resting) && !self.has_ballot {
+        if view.plan.is_none()
+            && self.map.as_ref().is_none_or(|map| map.phase == SplitPhase::Resting)
+            && !self.has_ballot
+        {
             return;
         }
         if !self.has_ballot {
@@ -149,8 +152,10 @@
             return;
         }
         // What a predecessor left half done, or an unplanned promotion, first: back to rest under the term that is.
-        let is_left =
-            self.map.as_ref().is_none_or(|map| map.phase != Phase::Resting || map.raise + map.raise_target > 0);
+        let is_left = self
+            .map
+            .as_ref()
+            .is_none_or(|map| map.phase != SplitPhase::Resting || map.superseded_term + map.superseded_target_term > 0);
         let lead = view.source.map(|(id, term)| (id.to_owned(), term));
         if is_left || self.is_claimed || (lead != self.bound && lead.is_some()) {
             return self.look(Goal::Bind, now);
--- a/crates/wv-split/src/steps.rs
+++ b/crates/wv-split/src/steps.rs
@@ -2,7 +2,7 @@
 use crate::machine::{After, Goal, Split, Step, RAISE_US};
 use crate::raise::Looks;
 use crate::{moving, Copy, Reply, View};
-use wv_inner::{Phase, SlotMap};
+use wv_inner::{SlotMap, SplitPhase};
 
 /// Tries in one window.
 const TRIES_MAX: u32 = 8;
@@ -31,8 +31,9 @@
         }
         if goal == Goal::Bind {
             self.bound = view.source.map(|(id, term)| (id.to_owned(), term));
-            let is_same =
-                held.term == looks.source && held.phase == Phase::Resting && held.raise + held.raise_target == 0;
+            let is_same = held.term == looks.source
+                && held.phase == SplitPhase::Resting
+                && held.superseded_term + held.superseded_target_term == 0;
             if is_same && !std::mem::take(&mut self.is_claimed) {
                 self.step = Step::Rest { until: now };
                 return;
@@ -40,11 +41,11 @@
             let map = SlotMap {
                 shard,
                 term: looks.source,
-                phase: Phase::Resting,
+                phase: SplitPhase::Resting,
                 moving: None,
                 target_term: 0,
-                raise: 0,
-                raise_target: 0,
+                superseded_term: 0,
+                superseded_target_term: 0,
                 ..held
             };
             return self.write(map, After::Rest, now);
@@ -57,7 +58,7 @@
         }
         let Some(plan) = view.plan else { return self.lose(now) };
         let until_us = view.wanted_until_us.unwrap_or(0);
-        if held.tries >= TRIES_MAX && held.until_us == until_us {
+        if held.attempt_count >= TRIES_MAX && held.deadline_us == until_us {
             return self.pause(now, "given up for this window after too many tries");
         }
         let Some(range) = moving(view.first, &held, &plan.target) else {
@@ -70,12 +71,12 @@
         self.writers.clear();
         let map = SlotMap {
             moving: Some(range),
-            raise: held.term,
+            superseded_term: held.term,
             // Copies of whoever tried before may still be on their way to the target: its old term is left behind too.
-            raise_target: looks.target,
-            until_us,
-            attempt: held.number,
-            tries: held.tries + 1,
+            superseded_target_term: looks.target,
+            deadline_us: until_us,
+            attempt: held.version,
+            attempt_count: held.attempt_count + 1,
             ..held
         };
         self.write(map, After::Raise(Goal::Begin), now);
@@ -84,27 +85,27 @@
     /// A map was written that wants terms left behind; both sides have said where they are.
     fn raised(&mut self, goal: Goal, looks: &Looks, view: &View<'_>) {
         let Some(held) = self.map.clone() else { return self.lose(view.now) };
-        if looks.source <= held.raise || looks.target <= held.raise_target {
+        if looks.source <= held.superseded_term || looks.target <= held.superseded_target_term {
             return;
         }
         self.bound = None;
-        let next = SlotMap { term: looks.source, raise: 0, raise_target: 0, ..held };
+        let next = SlotMap { term: looks.source, superseded_term: 0, superseded_target_term: 0, ..held };
         match goal {
             Goal::Begin => {
-                let map = SlotMap { phase: Phase::Copying, target_term: looks.target, ..next };
+                let map = SlotMap { phase: SplitPhase::Copying, target_term: looks.target, ..next };
                 self.write(map, After::Copy, view.now);
             }
             Goal::Seal if looks.target != next.target_term => self.back(view, "the target was promoted"),
-            Goal::Seal => self.write(SlotMap { phase: Phase::Sealed, ..next }, After::Seal, view.now),
+            Goal::Seal => self.write(SlotMap { phase: SplitPhase::Sealed, ..next }, After::Seal, view.now),
             Goal::Finish => {
                 let moved = next.moved.iter().cloned().chain(next.moving.clone()).collect();
                 let map = SlotMap {
-                    phase: Phase::Resting,
+                    phase: SplitPhase::Resting,
                     moving: None,
                     target_term: 0,
                     moved,
-                    moved_us: view.epoch_us,
-                    tries: 0,
+                    last_moved_us: view.epoch_us,
+                    attempt_count: 0,
                     ..next
                 };
                 self.write(map, After::Rest, view.now);
@@ -118,7 +119,7 @@
         self.is_claimed = false;
         match then {
             After::Rest => {
-                let is_moved = self.map.as_ref().is_some_and(|map| map.moved_us == view.epoch_us);
+                let is_moved = self.map.as_ref().is_some_and(|map| map.last_moved_us == view.epoch_us);
                 if is_moved {
                     self.orders.push(crate::Order::Say("split done".to_owned()));
                 }
