--- a/crates/wv-access/src/types.rs
+++ b/crates/wv-access/src/types.rs
@@ -22,7 +22,7 @@
     },
     SendHand {
         link: u64,
-        msg: wv_internal_protocol::Hand,
+        msg: wv_internal_protocol::ForwardMessage,
     },
 }
 
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Guest {
     pub link: u64,
-    pub hand: wv_internal_protocol::HandId,
+    pub hand: wv_internal_protocol::ForwardedSessionId,
     pub ask: u64,
 }
 
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -210,9 +210,9 @@
         service: String,
         turn: u64,
         outcome: Outcome,
-        before: &wv_internal_protocol::Cell,
+        before: &wv_internal_protocol::RegisterValue,
     ) {
-        let is_mine = |cell: &wv_internal_protocol::Cell| cell.value == self.me.as_bytes();
+        let is_mine = |cell: &wv_internal_protocol::RegisterValue| cell.bytes == self.me.as_bytes();
         let fence = match outcome {
             Outcome::Written(cell) if is_mine(&cell) => Some(cell.version),
             _ => None,
@@ -227,7 +227,7 @@
     /// Whether the register still names this node under its own last fence.
     pub(crate) fn is_ours(&self, service: &str, outcome: &Outcome) -> bool {
         let fence = self.fences.get(service).copied();
-        matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.value == self.me.as_bytes())
+        matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
     }
 
     pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
--- a/crates/wv-control/tests/alone/mod.rs
+++ b/crates/wv-control/tests/alone/mod.rs
@@ -1,7 +1,7 @@
 //! One control node among three, whose peers answer when the story says so.
 use std::collections::BTreeMap;
 use wv_control::{Act, Core, Start};
-use wv_internal_protocol::{Ballot, Cell, Msg, Step, Vote};
+use wv_internal_protocol::{Ballot, Msg, RegisterReply, RegisterRequest, RegisterValue};
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
@@ -141,19 +141,19 @@
         }
         Msg::Call { asker, request, key, step, .. } => {
             let vote = match step {
-                Step::Accept { .. } => Vote::Accepted,
-                _ => Vote::Holds { accepted: Ballot::default(), cell: Some(Cell::default()) },
+                RegisterRequest::Accept { .. } => RegisterReply::Accepted,
+                _ => RegisterReply::Current { accepted: Ballot::default(), value: Some(RegisterValue::default()) },
             };
             Some(Msg::Voted { asker, request, key, vote })
         }
         Msg::Hello { .. } => {
             let member = |at| wv_internal_protocol::Member { addr: format!("10.0.0.{at}:80"), disk: 0 };
-            let voters = wv_internal_protocol::Voters { number: 1, members: (1..4).map(member).collect() };
+            let voters = wv_internal_protocol::VoterSet { number: 1, members: (1..4).map(member).collect() };
             Some(Msg::Peers {
                 addrs: Vec::new(),
                 zones: Vec::new(),
                 voters,
-                before: wv_internal_protocol::Voters::default(),
+                before: wv_internal_protocol::VoterSet::default(),
             })
         }
         Msg::Recap { asker, request, .. } => Some(Msg::Recapped { asker, request }),
