--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -66,15 +66,15 @@
     let bodies: Vec<Vec<u8>> = (1..=CHANGES + 1).map(|version| conf(version, (routes, services))).collect();
     let (mut control, mut access) = (control(), wv_access::Core::new("z", 6_000_000));
     let link = control.link_in(2);
-    let hello = wv_inner::Msg::Hello {
+    let hello = wv_inner::Message::Hello {
         node: "a".to_owned(),
-        control: String::new(),
+        control_address: String::new(),
         zone: "z".to_owned(),
-        place: String::new(),
-        life: 1,
+        handover_address: String::new(),
+        incarnation: 1,
     };
     control.msg(link, hello, 3);
-    control.msg(link, wv_inner::Msg::Follow { life: 0, place: 0 }, 4);
+    control.msg(link, wv_inner::Message::Subscribe { incarnation: 0, position: 0 }, 4);
     control.tick(200_000);
     let (mut puts, mut takes, mut bytes, mut now) = (Vec::new(), Vec::new(), 0, 300_000);
     for (at, body) in bodies.iter().enumerate() {
@@ -83,7 +83,7 @@
         control.tick(now + 1);
         let sent = control.take_acts().into_iter().filter_map(|act| match act {
             wv_control::Act::Send {
-                msg: msg @ (wv_inner::Msg::Change { .. } | wv_inner::Msg::Snapshot { .. }),
+                msg: msg @ (wv_inner::Message::Update { .. } | wv_inner::Message::Snapshot { .. }),
                 ..
             } => Some(msg),
             _ => None,
--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -3,6 +3,7 @@
 use crate::types::{Act, Client, Db, Lost, Phase};
 use std::rc::Rc;
 use wv_check::{Checks, Spot};
+use wv_inner::Health;
 
 /// A node is young for this long from the start of its process.
 const YOUNG_US: u64 = 3_500_000;
@@ -35,7 +36,7 @@
     pub(crate) next_id: u64,
     pub(crate) sights_due: bool,
     /// What the control side was last told of each database.
-    pub(crate) told: Map<Spot, wv_inner::Sight>,
+    pub(crate) told: Map<Spot, Health>,
     pub(crate) leaving_since: Option<u64>,
     pub(crate) grace_us: u64,
     pub(crate) drain: crate::leaving::Drain,
@@ -153,7 +154,7 @@
     fn open_over(&mut self, spot: Spot, over: u32) -> bool {
         let cap = self.cap(spot);
         let Some(member) = self.checks.member(spot).filter(|member| !member.inst.gone) else { return false };
-        let (addr, id) = (member.inst.addr.clone(), member.inst.id.clone());
+        let (addr, id) = (member.inst.address.clone(), member.inst.id.clone());
         let pool = self.pools.entry(spot).or_default();
         // One being eased in is given one new connection at a time.
         let is_held = self.now < pool.not_before || (pool.opening > 0 && self.eases.contains_key(&spot));
@@ -229,14 +230,14 @@
             self.hold_opening(held.spot);
         }
         let sight = match lost {
-            Lost::Refused => Some(wv_inner::Sight::Refused),
-            Lost::Dark => Some(wv_inner::Sight::Dark),
+            Lost::Refused => Some(Health::Refused),
+            Lost::Dark => Some(Health::Unreachable),
             Lost::Closed => None,
         };
         if let (Some(sight), Some(member)) = (sight, self.checks.member_mut(held.spot)) {
             let is_changed = member.down(sight, self.now);
             if is_changed {
-                log::info!("saw {} {}", held.id, if sight == wv_inner::Sight::Dark { "dark" } else { "refused" });
+                log::info!("saw {} {}", held.id, if sight == Health::Unreachable { "dark" } else { "refused" });
             }
             self.sights_due = true;
             if is_changed {
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -125,7 +125,7 @@
         }
         if code == Code::WrongNode {
             if let Some(member) = self.checks.member_mut(held.spot) {
-                member.down(wv_inner::Sight::Refused, self.now);
+                member.down(wv_inner::Health::Refused, self.now);
             }
         }
     }
--- a/crates/wv-access/src/ease.rs
+++ b/crates/wv-access/src/ease.rs
@@ -25,7 +25,7 @@
         if !self.plan.is_on || is_running {
             return;
         }
-        let cold_us = self.checks.member(spot).map_or(0, |member| member.inst.cold_us);
+        let cold_us = self.checks.member(spot).map_or(0, |member| member.inst.cold_left_us);
         self.eases.insert(spot, Ease::new(self.plan, falls, cold_us, self.now));
     }
 
--- a/crates/wv-access/src/hands.rs
+++ b/crates/wv-access/src/hands.rs
@@ -60,7 +60,7 @@
 
     pub(crate) fn own(&mut self, owner: Owner) {
         let service = self.checks.service(&owner.service);
-        let is_newer = self.hands.owners.get(&service).is_none_or(|held| held.number < owner.number);
+        let is_newer = self.hands.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
         if is_newer {
             self.hands.owners.insert(service, owner);
         }
@@ -74,7 +74,7 @@
     /// Which shards go through which node, as far as it is known here.
     pub fn owners(&self) -> Vec<(String, String, u64)> {
         let list = self.hands.owners.values();
-        list.map(|owner| (owner.service.clone(), owner.node.clone(), owner.number)).collect()
+        list.map(|owner| (owner.service.clone(), owner.node.clone(), owner.epoch)).collect()
     }
 
     /// Where this request is to be handed over to; nowhere if it is this node's own work.
@@ -86,8 +86,8 @@
             client.request.is_direct || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.is_begun);
         conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
         let owner = self.hands.owners.get(&self.checks.find(&route.service)?)?;
-        let is_failed = self.hands.ways.get(&owner.place).is_some_and(|way| way.failed_until > self.now);
-        (owner.node != self.hands.me && !owner.place.is_empty() && !is_failed).then_some(owner)
+        let is_failed = self.hands.ways.get(&owner.handover_address).is_some_and(|way| way.failed_until > self.now);
+        (owner.node != self.hands.me && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
     }
 
     /// Hands the open request over, where that is to be done. `false` leaves it to this node.
@@ -96,7 +96,7 @@
             self.hand_request(id, hand);
             return true;
         }
-        let Some(place) = self.owner_place(id).map(|owner| owner.place.clone()) else { return false };
+        let Some(place) = self.owner_place(id).map(|owner| owner.handover_address.clone()) else { return false };
         let link = match self.hands.ways.get(&place).filter(|way| way.link > 0) {
             Some(way) => way.link,
             None => {
--- a/crates/wv-access/src/leaving.rs
+++ b/crates/wv-access/src/leaving.rs
@@ -1,22 +1,22 @@
 //! Databases that leave: until when this node gives them new work, and what it does with work that is then still waiting.
 //!
 //! Invariant: no statement on its own, and no first statement of a transaction, is written to a database that is known here
-//! to have said that it leaves longer ago than the bound (`wv_inner::new_work_us`). It is asked where a database is chosen
-//! and once more when a transaction that was begun in advance stands.
+//! to have said that it leaves longer ago than the bound (`wv_inner::new_work_window_us`). It is asked where a
+//! database is chosen and once more when a transaction that was begun in advance stands.
 use crate::core::Core;
 use wv_check::Spot;
-use wv_inner::{Inst, LeavingSince, StallWatch};
+use wv_inner::{Instance, LeaveTime, StallDetector};
 
 /// What an access node keeps of leaves beside each database's own.
 pub(crate) struct Drain {
     /// The platform's own bound, from the acknowledgement of the leave on.
     pub bound_us: u64,
-    pub stalls: StallWatch,
+    pub stalls: StallDetector,
 }
 
 impl Default for Drain {
     fn default() -> Drain {
-        Drain { bound_us: wv_inner::DRAIN_US, stalls: StallWatch::default() }
+        Drain { bound_us: wv_inner::DEFAULT_DRAIN_US, stalls: StallDetector::default() }
     }
 }
 
@@ -24,12 +24,12 @@
     /// The platform's bound on work for a database that leaves, and the time after which calm machines are in touch.
     pub fn set_drain(&mut self, drain_us: u64, contact_us: u64) {
         self.drain.bound_us = drain_us;
-        self.checks.set_new_work(wv_inner::new_work_us(drain_us, contact_us));
+        self.checks.set_new_work(wv_inner::new_work_window_us(drain_us, contact_us));
     }
 
     /// Since when a database that is just told of may have been leaving.
-    pub(crate) fn leaving_since(&self, inst: &Inst) -> LeavingSince {
-        LeavingSince::ago(self.now, inst.leaving_us.saturating_add(self.drain.stalls.lag_us(self.now)))
+    pub(crate) fn leaving_since(&self, inst: &Instance) -> LeaveTime {
+        LeaveTime::from_age(self.now, inst.leaving_age_us.saturating_add(self.drain.stalls.lag_us(self.now)))
     }
 
     /// Whether what the client waits for is new work for a database: a statement on its own, or the first of a transaction.
--- a/crates/wv-access/src/link.rs
+++ b/crates/wv-access/src/link.rs
@@ -3,7 +3,7 @@
 use crate::Telling;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use wv_inner::Msg;
+use wv_inner::Message;
 
 const BEAT: std::time::Duration = std::time::Duration::from_millis(400);
 const SILENT: std::time::Duration = std::time::Duration::from_millis(1300);
@@ -120,16 +120,16 @@
     wv_http::tune(&stream, SILENT);
     let (follow_life, follow_place) = node.core.borrow().place();
     let mut out = Vec::new();
-    let hello = Msg::Hello {
+    let hello = Message::Hello {
         node: name,
-        control: String::new(),
+        control_address: String::new(),
         zone: zone.clone(),
-        place: place.borrow().hands.clone(),
-        life,
+        handover_address: place.borrow().hands.clone(),
+        incarnation: life,
     };
     wv_inner::put_frame(&mut out, &hello);
-    wv_inner::put_frame(&mut out, &Msg::Follow { life: follow_life, place: follow_place });
-    wv_inner::put_frame(&mut out, &Msg::Sights(node.core.borrow_mut().take_sights(Telling::Whole)));
+    wv_inner::put_frame(&mut out, &Message::Subscribe { incarnation: follow_life, position: follow_place });
+    wv_inner::put_frame(&mut out, &Message::HealthReports(node.core.borrow_mut().take_sights(Telling::Whole)));
     put_reports(node, &mut out, true);
     let (mut buf, mut is_heard, mut beats) = (Vec::new(), false, 0u32);
     let mut heard = tokio::time::Instant::now();
@@ -161,18 +161,18 @@
                     return End::Moved;
                 }
                 beats += 1;
-                wv_inner::put_frame(&mut out, &Msg::Here { leaving: node.core.borrow().is_leaving() });
+                wv_inner::put_frame(&mut out, &Message::AccessHeartbeat { leaving: node.core.borrow().is_leaving() });
                 let telling = if beats % ROUND_EVERY == 0 { Telling::Round } else { Telling::Beat };
                 let sights = node.core.borrow_mut().take_sights(telling);
                 if !sights.is_empty() {
-                    wv_inner::put_frame(&mut out, &Msg::Sights(sights));
+                    wv_inner::put_frame(&mut out, &Message::HealthReports(sights));
                 }
                 put_reports(node, &mut out, false);
             }
             _ = node.sights.notified() => {
                 let sights = node.core.borrow_mut().take_sights(Telling::Changes);
                 if !sights.is_empty() {
-                    wv_inner::put_frame(&mut out, &Msg::Sights(sights));
+                    wv_inner::put_frame(&mut out, &Message::HealthReports(sights));
                 }
                 put_reports(node, &mut out, false);
             }
@@ -186,18 +186,20 @@
                     is_heard = true;
                     match msg {
                         // It lost the majority: what it publishes may be old.
-                        Msg::Beat { fresh: false } => return End::Deaf,
-                        Msg::Beat { .. } => {}
-                        Msg::Peers { addrs, zones, voters, .. } => known.learn(&addrs, &zones, &zone, &voters),
-                        Msg::Marked { shard, attempt, life, serial, .. } => {
+                        Message::ControlHeartbeat { has_majority: false } => return End::Deaf,
+                        Message::ControlHeartbeat { .. } => {}
+                        Message::Peers { addresses: addrs, zones, voters, .. } => {
+                            known.learn(&addrs, &zones, &zone, &voters)
+                        }
+                        Message::DirtyKeysAck { shard, attempt, incarnation: life, serial, .. } => {
                             node.with(|core, now| core.marked(&shard, attempt, (life, serial), now));
                         }
-                        Msg::Filled { shard, life, serial, .. } => {
+                        Message::KeySamplesAck { shard, incarnation: life, serial, .. } => {
                             node.with(|core, now| core.filled(&shard, (life, serial), now));
                         }
                         msg => {
                             if node.with(|core, now| core.feed(msg, now)).is_err() {
-                                wv_inner::put_frame(&mut out, &Msg::Follow { life: 0, place: 0 });
+                                wv_inner::put_frame(&mut out, &Message::Subscribe { incarnation: 0, position: 0 });
                             }
                         }
                     }
--- a/crates/wv-access/src/news.rs
+++ b/crates/wv-access/src/news.rs
@@ -1,20 +1,20 @@
-//! News from the control side, sightings for it, and the small regular care of pools.
+//! Feed updates from the control side, sightings for it, and the small regular care of pools.
 use crate::core::Core;
 use crate::types::Phase;
 use wv_check::Spot;
-use wv_inner::{Msg, News};
+use wv_inner::{FeedUpdate, Message};
 
 /// A connection is old after this.
 const RECYCLE_US: u64 = 1_800_000_000;
 
 impl Core {
     /// A feed message. A gap asks for the feed to be followed anew.
-    pub fn feed(&mut self, msg: Msg, now: u64) -> Result<(), wv_feed::Gap> {
+    pub fn feed(&mut self, msg: Message, now: u64) -> Result<(), wv_feed::Gap> {
         self.now = self.now.max(now);
         self.drain.stalls.observe(self.now);
-        if let Msg::Snapshot { news, .. } = &msg {
+        if let Message::Snapshot { updates: news, .. } = &msg {
             let ids = news.iter().filter_map(|news| match news {
-                News::Inst(inst) if !inst.gone => Some(inst.id.as_str()),
+                FeedUpdate::Instance(inst) if !inst.gone => Some(inst.id.as_str()),
                 _ => None,
             });
             self.checks.retain(&ids.collect(), self.now);
@@ -27,13 +27,13 @@
         taken.or_else(|gap| if self.follower.ask(self.now) { Err(gap) } else { Ok(()) })
     }
 
-    fn news(&mut self, news: News) -> Result<(), wv_feed::Gap> {
+    fn news(&mut self, news: FeedUpdate) -> Result<(), wv_feed::Gap> {
         match news {
-            News::Conf { version, body } => {
+            FeedUpdate::Configuration { version, body } => {
                 let body = wv_pack::unpack(&body, wv_conf::BODY_MAX).map(std::borrow::Cow::into_owned);
                 self.take_conf(version, body);
             }
-            News::ConfChange { base, version, change } => {
+            FeedUpdate::ConfigurationDelta { base, version, delta: change } => {
                 // What is held here is as new: this node stays with it, and goes on with the feed.
                 if version <= self.body.0 {
                     return Ok(());
@@ -48,19 +48,19 @@
                 }
                 self.take_conf(version, body);
             }
-            News::Inst(inst) => {
+            FeedUpdate::Instance(inst) => {
                 let is_new = self.checks.spot(&inst.id).is_none();
                 let since = self.leaving_since(&inst);
                 let spot = self.checks.inst(&inst, since, self.now);
                 // One that says it is slow from its start is eased in from the first word of it.
-                if let Some(spot) = spot.filter(|_| is_new && inst.cold_us > 0) {
+                if let Some(spot) = spot.filter(|_| is_new && inst.cold_left_us > 0) {
                     self.ease_in(spot, 1);
                 }
                 if let Some(spot) = spot.filter(|_| inst.gone || inst.draining) {
                     self.clear_idle(spot);
                 }
             }
-            News::Lead(lead) => {
+            FeedUpdate::Leader(lead) => {
                 if !self.checks.lead(&lead, self.now) {
                     return Ok(());
                 }
@@ -69,16 +69,16 @@
                     self.promoting.remove(&service);
                 });
             }
-            News::Promoting { service, id, us } => {
+            FeedUpdate::Promoting { service, id, max_wait_us: us } => {
                 let service = self.checks.service(&service);
                 self.promoting.insert(service, (self.now + us, id));
             }
-            News::Ease { id, falls } => {
+            FeedUpdate::SlowStart { id, outages: falls } => {
                 self.checks.spot(&id).into_iter().for_each(|spot| self.ease_in(spot, falls));
             }
-            News::Owner(owner) => self.own(owner),
-            News::Slots(map) => self.take_slots(map),
-            News::Nodes(nodes) => self.nodes = nodes.max(1),
+            FeedUpdate::Owner(owner) => self.own(owner),
+            FeedUpdate::Slots(map) => self.take_slots(map),
+            FeedUpdate::NodeCount(nodes) => self.nodes = nodes.max(1),
         }
         Ok(())
     }
--- a/crates/wv-access/src/reports.rs
+++ b/crates/wv-access/src/reports.rs
@@ -2,7 +2,7 @@
 //! its way at a time, and is sent again until it is taken.
 use crate::core::Core;
 use wv_fill::{hash, slot, Entry, Sample};
-use wv_inner::{Fill, Marks, Msg, Phase};
+use wv_inner::{Fill, Marks, Message, Phase};
 
 const AGAIN_US: u64 = 700_000;
 /// Marks and names of one report.
@@ -125,7 +125,7 @@
 
 impl Core {
     /// The reports that are due. At the start of a session all that is on its way is sent again.
-    pub fn take_reports(&mut self, is_start: bool) -> Vec<Msg> {
+    pub fn take_reports(&mut self, is_start: bool) -> Vec<Message> {
         let (now, life) = (self.now, self.slots.life);
         self.slots.is_due = false;
         let mut msgs = Vec::new();
@@ -157,7 +157,7 @@
             }
             if let Some((at, sent)) = marks.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
-                msgs.push(Msg::Marks(sent.clone()));
+                msgs.push(Message::DirtyKeys(sent.clone()));
             }
             let fill = &mut shard.fill;
             if fill.retold + RETELL_US <= now {
@@ -178,7 +178,7 @@
             }
             if let Some((at, sent)) = fill.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
-                msgs.push(Msg::Fill(sent.clone()));
+                msgs.push(Message::KeySamples(sent.clone()));
             }
         }
         msgs
--- a/crates/wv-access/src/sights.rs
+++ b/crates/wv-access/src/sights.rs
@@ -1,7 +1,7 @@
 //! What this node tells the control side of the databases that it uses.
 use crate::core::Core;
 use wv_check::Spot;
-use wv_inner::{Sight, Sighting};
+use wv_inner::{Health, HealthReport};
 
 /// Leaders that are told of again in one round, with their fenced sightings.
 const ROUND_LEADERS: u64 = 8;
@@ -20,7 +20,7 @@
 }
 
 impl Core {
-    pub fn take_sights(&mut self, telling: Telling) -> Vec<Sighting> {
+    pub fn take_sights(&mut self, telling: Telling) -> Vec<HealthReport> {
         if !std::mem::take(&mut self.sights_due) && telling == Telling::Changes {
             return Vec::new();
         }
@@ -40,22 +40,22 @@
                 let spot = Spot { service, seat };
                 let is_standing = pools.get(&spot).is_some_and(|pool| pool.all > pool.opening);
                 // Only what was seen is told: down once it is agreed on, up where a connection stands.
-                let is_silent = !member.is_isolated() && member.sight == Sight::Dark;
+                let is_silent = !member.is_isolated() && member.sight == Health::Unreachable;
                 let sight = match (member.inst.gone, member.is_isolated(), is_silent) {
-                    (true, _, _) => Sight::Unseen,
+                    (true, _, _) => Health::Unknown,
                     (_, true, _) => member.sight,
-                    (_, _, true) => Sight::Silent,
-                    _ if is_standing => Sight::Up,
-                    _ => Sight::Unseen,
+                    (_, _, true) => Health::Suspected,
+                    _ if is_standing => Health::Up,
+                    _ => Health::Unknown,
                 };
-                let told = self.told.get(&spot).copied().unwrap_or(Sight::Unseen);
+                let told = self.told.get(&spot).copied().unwrap_or(Health::Unknown);
                 let is_leader = checker.led() == Some(seat);
                 // Of many services each round tells of a few leaders in turn: other nodes tell of the same ones.
                 let is_turn = telling != Telling::Round || (u64::from(service) + self.round).is_multiple_of(turns);
                 let ages = match sight {
                     // Of a leader that is gone the last fenced sighting still tells who may follow it.
-                    Sight::Unseen => is_leader && fenced.is_some() && member.inst.gone,
-                    Sight::Up => is_leader && fenced.is_some() && is_turn,
+                    Health::Unknown => is_leader && fenced.is_some() && member.inst.gone,
+                    Health::Up => is_leader && fenced.is_some() && is_turn,
                     _ => true,
                 };
                 let is_ending = member.inst.draining || member.inst.gone;
@@ -65,16 +65,16 @@
                 }
                 self.told.insert(spot, sight);
                 let fenced = fenced.filter(|_| is_leader);
-                sights.push(Sighting {
+                sights.push(HealthReport {
                     id: member.inst.id.clone(),
-                    sight,
-                    since_us: now.saturating_sub(member.since),
-                    heard_ago_us: pools
+                    health: sight,
+                    health_age_us: now.saturating_sub(member.since),
+                    last_heard_age_us: pools
                         .get(&spot)
                         .filter(|pool| pool.heard > 0)
                         .map_or(u64::MAX, |pool| now.saturating_sub(pool.heard)),
-                    fenced: fenced.map(|(_, pos)| pos.to_string()).unwrap_or_default(),
-                    fenced_ago_us: fenced.map_or(0, |(sent, _)| now.saturating_sub(sent)),
+                    fenced_position: fenced.map(|(_, pos)| pos.to_string()).unwrap_or_default(),
+                    fenced_age_us: fenced.map_or(0, |(sent, _)| now.saturating_sub(sent)),
                 });
             }
         }
--- a/crates/wv-access/tests/common/mod.rs
+++ b/crates/wv-access/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 use wv_access::{Act, Core, Lost};
-use wv_inner::{Hand, HandId, Inst, Lead, Msg, News, Owner, SlotMap};
+use wv_inner::{FeedUpdate, Hand, HandId, Instance, Leader, Message, Owner, SlotMap};
 
 pub const MS: u64 = 1_000;
 const CONF: &str = r#"{"issue":1,"routing":[
@@ -29,16 +29,16 @@
 }
 
 /// The only database of the service `s`, its primary.
-pub fn database() -> Inst {
-    Inst {
+pub fn database() -> Instance {
+    Instance {
         id: "d1".to_owned(),
         service: "s".to_owned(),
-        addr: "10.0.0.1:1".to_owned(),
+        address: "10.0.0.1:1".to_owned(),
         zone: "z0".to_owned(),
         capacity: 10,
         primary: true,
         sequence: 1,
-        ..Inst::default()
+        ..Instance::default()
     }
 }
 
@@ -50,28 +50,33 @@
     /// Its primary work belongs to another node.
     pub fn partner() -> Bare {
         let (node, place) = ("other".to_owned(), "10.0.0.9:1".to_owned());
-        let owner = News::Owner(Owner { service: "s".to_owned(), node, place, number: 1 });
+        let owner = FeedUpdate::Owner(Owner { service: "s".to_owned(), node, handover_address: place, epoch: 1 });
         Bare::with(r#","partners":[{"label":"all","portion":1,"nodes":["me","other"]}]"#, vec![owner])
     }
 
     /// Its shard is planned to be split.
     pub fn planned(map: SlotMap) -> Bare {
         let plan = r#","shardPlans":[{"shard":"s","upper":"t","rowsMax":1000,"quiet":"* * 1-4 * * *"}]"#;
-        Bare::with(plan, vec![News::Slots(map)])
+        Bare::with(plan, vec![FeedUpdate::Slots(map)])
     }
 
-    fn with(partners: &str, more: Vec<News>) -> Bare {
+    fn with(partners: &str, more: Vec<FeedUpdate>) -> Bare {
         let inst = database();
-        let lead = Lead { service: "s".to_owned(), id: "d1".to_owned(), term: 3 };
+        let lead = Leader { service: "s".to_owned(), id: "d1".to_owned(), term: 3 };
         let conf = CONF.replace("PARTNERS", partners).into_bytes();
-        let first = [News::Conf { version: 1, body: conf }, News::Inst(inst), News::Lead(lead), News::Nodes(1)];
+        let first = [
+            FeedUpdate::Configuration { version: 1, body: conf },
+            FeedUpdate::Instance(inst),
+            FeedUpdate::Leader(lead),
+            FeedUpdate::NodeCount(1),
+        ];
         let mut core = Core::new("z0", 6_000_000);
         core.set_name("me");
         core.set_life(LIFE);
         // Old enough to be no young node.
         let now = 10_000 * MS;
         let news = first.into_iter().chain(more).collect();
-        core.feed(Msg::Snapshot { life: 1, place: 7, news }, now).expect("a snapshot fits");
+        core.feed(Message::Snapshot { incarnation: 1, position: 7, updates: news }, now).expect("a snapshot fits");
         let mut bare = Bare {
             core,
             now,
--- a/crates/wv-access/tests/drain.rs
+++ b/crates/wv-access/tests/drain.rs
@@ -3,20 +3,22 @@
 
 use common::{database, Bare, MS};
 use googletest::prelude::*;
-use wv_inner::{new_work_us, Inst, Msg, News, CONTACT_US, DRAIN_US, LONG_AGO_US};
+use wv_inner::{
+    new_work_window_us, FeedUpdate, Instance, Message, DEFAULT_CONTACT_US, DEFAULT_DRAIN_US, UNKNOWN_AGE_US,
+};
 
 const OK: &str = "COMPLETE stamp-1\r\nIDLE I 3.9\r\n";
 const BEGUN: &str = "COMPLETE -\r\nIDLE T -\r\n";
 
 /// How long new work goes on.
 fn bound() -> u64 {
-    new_work_us(DRAIN_US, CONTACT_US)
+    new_work_window_us(DEFAULT_DRAIN_US, DEFAULT_CONTACT_US)
 }
 
 /// The control side says of the node's only database that it leaves, or that it is in service.
 fn tell(bare: &mut Bare, place: u64, sequence: u64, draining: bool, leaving_us: u64) {
-    let inst = Inst { sequence, draining, leaving_us, ..database() };
-    let taken = bare.core.feed(Msg::Change { place, news: News::Inst(inst) }, bare.now);
+    let inst = Instance { sequence, draining, leaving_age_us: leaving_us, ..database() };
+    let taken = bare.core.feed(Message::Update { position: place, update: FeedUpdate::Instance(inst) }, bare.now);
     assert!(taken.is_ok(), "the change fits on");
     bare.obey();
 }
@@ -54,7 +56,7 @@
 #[gtest]
 fn given_a_request_that_nobody_may_take_any_more_then_its_client_is_told_so_in_time() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, LONG_AGO_US);
+    tell(&mut bare, 8, 2, true, UNKNOWN_AGE_US);
     let client = bare.client("shop");
     bare.say(client, "QUERY w1 WRITE k d");
     bare.run(60 * MS);
--- a/crates/wv-access/tests/reports.rs
+++ b/crates/wv-access/tests/reports.rs
@@ -3,7 +3,7 @@
 
 use common::{Bare, LIFE};
 use googletest::prelude::*;
-use wv_inner::{Msg, Phase, Range, SlotMap};
+use wv_inner::{Message, Phase, Range, SlotMap};
 
 #[gtest]
 fn given_word_to_reports_of_an_earlier_life_or_try_then_a_write_waits_for_that_to_its_own() {
@@ -16,8 +16,10 @@
     let (mut marks, mut fill) = (0, 0);
     for msg in bare.core.take_reports(false) {
         match msg {
-            Msg::Marks(sent) => (marks, _) = (sent.serial, expect_that!((sent.life, sent.attempt), eq((LIFE, 5)))),
-            Msg::Fill(sent) => (fill, _) = (sent.serial, expect_that!(sent.life, eq(LIFE))),
+            Message::DirtyKeys(sent) => {
+                (marks, _) = (sent.serial, expect_that!((sent.life, sent.attempt), eq((LIFE, 5))))
+            }
+            Message::KeySamples(sent) => (fill, _) = (sent.serial, expect_that!(sent.life, eq(LIFE))),
             _ => {}
         }
     }
@@ -33,8 +35,8 @@
     expect_that!(bare.count("WRITE"), eq(1));
     let client = bare.client("shop");
     bare.say(client, "QUERY w2 WRITE l d");
-    let told = |msg: &Msg| match msg {
-        Msg::Fill(sent) => Some(sent.serial),
+    let told = |msg: &Message| match msg {
+        Message::KeySamples(sent) => Some(sent.serial),
         _ => None,
     };
     let fill = bare.core.take_reports(false).iter().find_map(told).expect("a new name is told");
--- a/crates/wv-access/tests/terms.rs
+++ b/crates/wv-access/tests/terms.rs
@@ -1,31 +1,31 @@
 //! Stories of connections of planned shards: what a database said of its term before it led is worth nothing after.
 use googletest::prelude::*;
 use wv_access::{Act, Core};
-use wv_inner::{Inst, Lead, Msg, News, SlotMap};
+use wv_inner::{FeedUpdate, Instance, Leader, Message, SlotMap};
 
 const CONF: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
   "targetMs":200,"destination":"s"}],"services":[{"label":"s","syncReplicas":1},{"label":"t","syncReplicas":1}],
   "shardPlans":[{"shard":"s","upper":"t","rowsMax":1000,"quiet":"* * 1-4 * * *"}]}"#;
 
-fn inst(id: &str, is_primary: bool) -> News {
-    News::Inst(Inst {
+fn inst(id: &str, is_primary: bool) -> FeedUpdate {
+    FeedUpdate::Instance(Instance {
         id: id.to_owned(),
         service: "s".to_owned(),
-        addr: format!("10.0.0.{}:1", &id[1..]),
+        address: format!("10.0.0.{}:1", &id[1..]),
         zone: "z0".to_owned(),
         capacity: 10,
         primary: is_primary,
         sequence: 1,
-        ..Inst::default()
+        ..Instance::default()
     })
 }
 
-fn lead(id: &str, term: u64) -> News {
-    News::Lead(Lead { service: "s".to_owned(), id: id.to_owned(), term })
+fn lead(id: &str, term: u64) -> FeedUpdate {
+    FeedUpdate::Leader(Leader { service: "s".to_owned(), id: id.to_owned(), term })
 }
 
-fn map(number: u64, term: u64) -> News {
-    News::Slots(SlotMap { shard: "s".to_owned(), number, term, ..SlotMap::default() })
+fn map(number: u64, term: u64) -> FeedUpdate {
+    FeedUpdate::Slots(SlotMap { shard: "s".to_owned(), number, term, ..SlotMap::default() })
 }
 
 /// One access node before databases `d1` and `d2`, whose rows this story says.
@@ -40,16 +40,18 @@
 }
 
 impl Node {
-    fn new(first: Vec<News>) -> Node {
+    fn new(first: Vec<FeedUpdate>) -> Node {
         let mut node =
             Node { core: Core::new("z0", 6_000_000), now: 1_000_000, place: 7, dbs: Vec::new(), sent: Vec::new() };
-        node.core.feed(Msg::Snapshot { life: 1, place: 7, news: first }, node.now).expect("a snapshot fits");
+        node.core
+            .feed(Message::Snapshot { incarnation: 1, position: 7, updates: first }, node.now)
+            .expect("a snapshot fits");
         node
     }
 
-    fn hear(&mut self, news: News) {
+    fn hear(&mut self, news: FeedUpdate) {
         self.place += 1;
-        self.core.feed(Msg::Change { place: self.place, news }, self.now).expect("the next change fits");
+        self.core.feed(Message::Update { position: self.place, update: news }, self.now).expect("the next change fits");
     }
 
     /// Lets time pass; `row` is what a database says of itself.
@@ -100,17 +102,17 @@
 fn given_a_connection_made_while_its_database_was_a_replica_then_it_is_not_used_once_that_one_leads_another_term() {
     let first = vec![
         map(1 << 16, 3),
-        News::Conf { version: 1, body: CONF.as_bytes().to_vec() },
+        FeedUpdate::Configuration { version: 1, body: CONF.as_bytes().to_vec() },
         inst("d1", true),
         inst("d2", false),
         lead("d1", 3),
-        News::Nodes(1),
+        FeedUpdate::NodeCount(1),
     ];
     let mut node = Node::new(first);
     let before = |id: &str| if id == "d1" { "primary 3 3.9 0 0 0 1" } else { "replica 3 3.9 0 0 0 1" };
     node.run(300_000, before);
     // The platform was called: nodes come near the next lead, which says that it is a replica in term 3.
-    node.hear(News::Promoting { service: "s".to_owned(), id: "d2".to_owned(), us: 1_500_000 });
+    node.hear(FeedUpdate::Promoting { service: "s".to_owned(), id: "d2".to_owned(), max_wait_us: 1_500_000 });
     let client = node.core.client_open(node.now);
     node.core.client_data(client, b"SETUP shop me\r\n", node.now);
     node.run(300_000, before);
--- a/crates/wv-check/src/checker.rs
+++ b/crates/wv-check/src/checker.rs
@@ -1,7 +1,7 @@
 //! All databases of one service, who leads it, and the routing state of each.
 use crate::member::Member;
 use crate::Fenced;
-use wv_inner::{Inst, Lead, LeavingSince};
+use wv_inner::{Instance, Leader, LeaveTime};
 
 /// A seat of a database that left is given to another only after this long.
 const SEAT_KEPT_US: u64 = 60_000_000;
@@ -22,9 +22,9 @@
 pub struct Checker {
     pub service: String,
     members: Vec<Member>,
-    pub(crate) lead: Option<Lead>,
+    pub(crate) lead: Option<Leader>,
     /// One of an older term that was told of since.
-    pub(crate) spare: Option<Lead>,
+    pub(crate) spare: Option<Leader>,
     pub fenced: Fenced,
     /// How long after it said that it leaves a database is given new work.
     pub(crate) new_work_us: u64,
@@ -62,8 +62,8 @@
     pub fn seat(
         &mut self,
         seat: Option<u16>,
-        inst: &Inst,
-        since: LeavingSince,
+        inst: &Instance,
+        since: LeaveTime,
         now: u64,
     ) -> Option<(u16, Option<String>)> {
         if let Some(member) = seat.and_then(|seat| self.members.get_mut(seat as usize)) {
--- a/crates/wv-check/src/lib.rs
+++ b/crates/wv-check/src/lib.rs
@@ -29,7 +29,7 @@
 impl Default for Checks {
     fn default() -> Checks {
         Checks {
-            new_work_us: wv_inner::new_work_us(wv_inner::DRAIN_US, wv_inner::CONTACT_US),
+            new_work_us: wv_inner::new_work_window_us(wv_inner::DEFAULT_DRAIN_US, wv_inner::DEFAULT_CONTACT_US),
             checkers: Vec::new(),
             names: Default::default(),
             spots: Default::default(),
@@ -83,13 +83,13 @@
     }
 
     /// Takes what the feed says of a database, and since when it leaves where it does.
-    pub fn inst(&mut self, inst: &wv_inner::Inst, since: wv_inner::LeavingSince, now: u64) -> Option<Spot> {
+    pub fn inst(&mut self, inst: &wv_inner::Instance, since: wv_inner::LeaveTime, now: u64) -> Option<Spot> {
         // One that is gone and was never known here needs no seat. Whoever tells of it may not know its service.
         if inst.gone {
             let spot = self.spot(&inst.id)?;
             let held = &self.member(spot)?.inst;
             let sequence = held.sequence.max(inst.sequence);
-            let gone = wv_inner::Inst { gone: true, sequence, ..held.clone() };
+            let gone = wv_inner::Instance { gone: true, sequence, ..held.clone() };
             self.checker_mut(spot.service)?.seat(Some(spot.seat), &gone, since, now);
             return Some(spot);
         }
@@ -110,7 +110,7 @@
         self.checker(spot.service).is_some_and(|checker| checker.is_past_drain(spot.seat, now))
     }
 
-    pub fn lead(&mut self, lead: &wv_inner::Lead, now: u64) -> bool {
+    pub fn lead(&mut self, lead: &wv_inner::Leader, now: u64) -> bool {
         let service = self.service(&lead.service);
         self.checkers.get_mut(service as usize).is_some_and(|checker| checker.lead(lead, now))
     }
--- a/crates/wv-check/src/member.rs
+++ b/crates/wv-check/src/member.rs
@@ -1,5 +1,5 @@
 //! One database as this node sees it: its own words, and whether it answers.
-use wv_inner::{Inst, LeavingSince, Sight};
+use wv_inner::{Health, Instance, LeaveTime};
 
 /// Agreeing sightings wanted before a database is isolated, and before it is let in again.
 const DOWN_AGREE: u32 = 2;
@@ -13,7 +13,7 @@
 /// A database's leave as this node knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct Leaving {
-    pub since: LeavingSince,
+    pub since: LeaveTime,
     /// Statements and transactions begun there since.
     pub new_work: u64,
     /// It was said that some came too late.
@@ -21,15 +21,15 @@
 }
 
 impl Leaving {
-    pub fn new(since: LeavingSince) -> Leaving {
+    pub fn new(since: LeaveTime) -> Leaving {
         Leaving { since, new_work: 0, is_overdue_logged: false }
     }
 }
 
 #[derive(Debug)]
 pub struct Member {
-    pub inst: Inst,
-    pub sight: Sight,
+    pub inst: Instance,
+    pub sight: Health,
     /// Since when the sight stands.
     pub since: u64,
     is_isolated: bool,
@@ -47,11 +47,11 @@
 }
 
 impl Member {
-    pub(crate) fn new(inst: Inst, since: LeavingSince, now: u64) -> Member {
+    pub(crate) fn new(inst: Instance, since: LeaveTime, now: u64) -> Member {
         Member {
             leaving: inst.draining.then(|| Leaving::new(since)),
             inst,
-            sight: Sight::Up,
+            sight: Health::Up,
             since: now,
             is_isolated: false,
             agreeing: 0,
@@ -64,13 +64,13 @@
     }
 
     /// Whether this copy is not older than the one held. What has left by its own word comes back only by a later one.
-    pub(crate) fn is_news(&self, inst: &Inst) -> bool {
+    pub(crate) fn is_news(&self, inst: &Instance) -> bool {
         let has_left = self.inst.gone && !self.is_missing && !inst.gone;
         inst.sequence > self.inst.sequence || (inst.sequence == self.inst.sequence && !has_left)
     }
 
     /// Takes what is told of it. A leave is dated by the earliest that anybody says, also by a word that is no news.
-    pub(crate) fn tell(&mut self, inst: &Inst, since: LeavingSince, now: u64) {
+    pub(crate) fn tell(&mut self, inst: &Instance, since: LeaveTime, now: u64) {
         if self.is_news(inst) {
             (self.inst, self.touched, self.is_missing) = (inst.clone(), now, false);
         }
@@ -93,14 +93,14 @@
 
     /// Whether the last sighting was bad, though not yet confirmed by another.
     pub fn is_suspect(&self) -> bool {
-        self.sight != Sight::Up
+        self.sight != Health::Up
     }
 
     /// A connection was set up or a statement returned. Returns whether the state changed.
     pub fn up(&mut self, is_setup: bool, now: u64) -> bool {
         if !self.is_isolated {
-            if self.sight != Sight::Up {
-                (self.sight, self.since, self.agreeing) = (Sight::Up, now, 0);
+            if self.sight != Health::Up {
+                (self.sight, self.since, self.agreeing) = (Health::Up, now, 0);
             }
             return false;
         }
@@ -113,13 +113,13 @@
         if self.agreeing < UP_AGREE {
             return false;
         }
-        (self.is_isolated, self.sight, self.since, self.agreeing) = (false, Sight::Up, now, 0);
+        (self.is_isolated, self.sight, self.since, self.agreeing) = (false, Health::Up, now, 0);
         self.look_gap = LOOK_FIRST_US;
         true
     }
 
     /// A connection was refused or fell silent. Returns whether the state changed.
-    pub fn down(&mut self, sight: Sight, now: u64) -> bool {
+    pub fn down(&mut self, sight: Health, now: u64) -> bool {
         if self.is_isolated {
             self.agreeing = 0;
             self.next_look = now + self.look_gap;
@@ -145,8 +145,8 @@
 
     /// It has work and says nothing, which alone isolates nobody.
     pub fn silent(&mut self, now: u64) {
-        if !self.is_isolated && self.sight == Sight::Up {
-            (self.sight, self.since, self.agreeing) = (Sight::Dark, now, 1);
+        if !self.is_isolated && self.sight == Health::Up {
+            (self.sight, self.since, self.agreeing) = (Health::Unreachable, now, 1);
         }
     }
 
--- a/crates/wv-control/src/beats.rs
+++ b/crates/wv-control/src/beats.rs
@@ -2,7 +2,7 @@
 use crate::conf::cause;
 use crate::core::Core;
 use crate::drain::Teller;
-use wv_inner::{Inst, Lead, Msg, News};
+use wv_inner::{FeedUpdate, Instance, Leader, Message};
 
 /// Within this a database that was promoted says so itself.
 const LED_US: u64 = 4_000_000;
@@ -16,29 +16,29 @@
     /// Databases that last said they do not lead.
     pub replicas: std::collections::BTreeSet<String>,
     /// Whom the control side last told to lead each service, and under which term.
-    pub promoted: std::collections::BTreeMap<String, Lead>,
+    pub promoted: std::collections::BTreeMap<String, Leader>,
 }
 
-fn read_beat(id: &str, body: &[u8]) -> Result<Inst, String> {
+fn read_beat(id: &str, body: &[u8]) -> Result<Instance, String> {
     let value: serde_json::Value = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let reader = wv_conf::Reader::new(&value);
-    let inst = || -> Result<Inst, wv_conf::PathError> {
-        Ok(Inst {
+    let inst = || -> Result<Instance, wv_conf::PathError> {
+        Ok(Instance {
             id: id.to_owned(),
             service: reader.text("destination")?.to_owned(),
-            addr: reader.text("address")?.to_owned(),
+            address: reader.text("address")?.to_owned(),
             zone: reader.text("zone").unwrap_or_default().to_owned(),
             capacity: reader.whole_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
             draining: reader.text("state")? == "draining",
-            cold_us: if reader.has("coldLeftMs") { (reader.number("coldLeftMs")? * 1000.0) as u64 } else { 0 },
+            cold_left_us: if reader.has("coldLeftMs") { (reader.number("coldLeftMs")? * 1000.0) as u64 } else { 0 },
             primary: reader.has("dbRole") && reader.text("dbRole")? == "primary",
             sequence: reader.whole("sequence")?,
             gone: false,
-            leaving_us: 0,
+            leaving_age_us: 0,
         })
     };
     let inst = inst().map_err(|error| error.to_string())?;
-    let is_address = inst.addr.parse::<std::net::SocketAddr>().is_ok();
+    let is_address = inst.address.parse::<std::net::SocketAddr>().is_ok();
     is_address.then_some(inst).ok_or_else(|| "address is not IP:PORT".to_owned())
 }
 
@@ -58,13 +58,13 @@
 
     /// One that is not known here may be known elsewhere: its leave is told to others like any.
     pub(crate) fn delete_inst(&mut self, token: u64, id: &str) {
-        let held = self.table.get(id).cloned().unwrap_or_else(|| Inst { id: id.to_owned(), ..Inst::default() });
-        self.take_beat(token, Inst { gone: true, ..held }, true);
+        let held = self.table.get(id).cloned().unwrap_or_else(|| Instance { id: id.to_owned(), ..Instance::default() });
+        self.take_beat(token, Instance { gone: true, ..held }, true);
     }
 
     /// What a database says is kept and told on in any case. It is acknowledged only by a node that a majority hears: at
     /// once where the database stays, and where it leaves once enough others hold it too.
-    fn take_beat(&mut self, token: u64, inst: Inst, is_leave: bool) {
+    fn take_beat(&mut self, token: u64, inst: Instance, is_leave: bool) {
         let changed = self.table.offer(inst.clone());
         self.date_leave(&inst, Teller::Database);
         self.announce(&changed, true);
@@ -84,19 +84,19 @@
             return self.ret(token, 200, "{}");
         }
         let (asker, request, id) = (self.quorum.who(), self.quorum.next_request(), inst.id.clone());
-        self.send_peers(&Msg::Inst { asker, request, inst });
+        self.send_peers(&Message::Instance { requester: asker, request, instance: inst });
         self.leave_acks.begin(token, request, id, self.now);
         self.settle_leaves();
     }
 
-    fn spread(&mut self, insts: &[Inst]) {
+    fn spread(&mut self, insts: &[Instance]) {
         for inst in insts {
-            self.send_peers(&Msg::Inst { asker: 0, request: 0, inst: inst.clone() });
+            self.send_peers(&Message::Instance { requester: 0, request: 0, instance: inst.clone() });
         }
     }
 
     /// Publishes changed entries and folds who leads from them; a beat's own word weighs more than a copy's.
-    pub(crate) fn announce(&mut self, insts: &[Inst], is_own_word: bool) {
+    pub(crate) fn announce(&mut self, insts: &[Instance], is_own_word: bool) {
         self.is_table_due |= !insts.is_empty();
         for inst in insts {
             if inst.gone {
@@ -106,7 +106,7 @@
             if !inst.primary && !inst.gone {
                 self.claims.replicas.insert(inst.id.clone());
             }
-            self.publish(News::Inst(inst.clone()));
+            self.publish(FeedUpdate::Instance(inst.clone()));
             self.fold_lead(inst, is_own_word && was_replica);
         }
         self.watch_places(insts);
@@ -115,7 +115,7 @@
     /// Beats say who leads where the control side does not know it. Under a term it does: then only the one that was
     /// promoted counts, one that was seen as a replica and has come to lead since, or any where the one that led has
     /// left or had time enough to say that it leads. Who was deposed goes on saying what it said before.
-    fn fold_lead(&mut self, told: &Inst, is_raised: bool) {
+    fn fold_lead(&mut self, told: &Instance, is_raised: bool) {
         // A late beat counts no more than it does in the table.
         let Some(inst) = self.table.get(&told.id).filter(|inst| inst.primary && !inst.gone) else { return };
         let lead = self.feed.lead(&inst.service);
@@ -129,19 +129,19 @@
         });
         if lead.is_none_or(|lead| lead.id != inst.id) && (is_raised || is_open) {
             let term = lead.map_or(0, |lead| lead.term);
-            let lead = Lead { service: inst.service.clone(), id: inst.id.clone(), term };
+            let lead = Leader { service: inst.service.clone(), id: inst.id.clone(), term };
             self.note_led(&lead);
-            self.publish(News::Lead(lead));
+            self.publish(FeedUpdate::Leader(lead));
             self.is_table_due = true;
         }
     }
 
     /// Who leads a service, as this node tells it.
-    pub fn lead(&self, service: &str) -> Option<&Lead> {
+    pub fn lead(&self, service: &str) -> Option<&Leader> {
         self.feed.lead(service)
     }
 
-    pub(crate) fn inst_from_peer(&mut self, inst: Inst) {
+    pub(crate) fn inst_from_peer(&mut self, inst: Instance) {
         let changed = self.table.offer(inst.clone());
         self.date_leave(&inst, Teller::Peer);
         self.announce(&changed, true);
@@ -154,7 +154,7 @@
             .filter(|inst| !inst.gone)
             .map(|inst| {
                 serde_json::json!({
-                    "id": inst.id, "destination": inst.service, "address": inst.addr, "zone": inst.zone,
+                    "id": inst.id, "destination": inst.service, "address": inst.address, "zone": inst.zone,
                     "state": if inst.draining { "draining" } else { "in_service" },
                     "dbRole": if inst.primary { "primary" } else { "replica" }, "sequence": inst.sequence,
                 })
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -1,7 +1,7 @@
 //! Contact with a majority of the voters, dated by what was asked, and catching up after it was lost.
 use crate::core::{Core, FRESH_US};
 use std::collections::{BTreeSet, VecDeque};
-use wv_inner::Msg;
+use wv_inner::Message;
 
 /// Pings older than `FRESH_US` are forgotten; of links that come up in a rush no more than this many are known.
 const PINGS_MAX: usize = 256;
@@ -33,7 +33,7 @@
     pub synced: BTreeSet<String>,
     pub syncing: BTreeSet<String>,
     /// What is read after this process stood still may have waited as long.
-    pub stalls: wv_inner::StallWatch,
+    pub stalls: wv_inner::StallDetector,
 }
 
 impl Core {
@@ -66,7 +66,7 @@
         self.seat.sits_in(&self.me) > 0
     }
 
-    pub(crate) fn ping_msg(&mut self) -> Msg {
+    pub(crate) fn ping_msg(&mut self) -> Message {
         let (asker, request, now) = (self.quorum.who(), self.quorum.next_request(), self.now);
         let pings = &mut self.contact.pings;
         pings.retain(|(_, sent)| sent + FRESH_US > now);
@@ -74,7 +74,7 @@
             pings.pop_front();
         }
         pings.push_back((request, now));
-        Msg::Ping { asker, request }
+        Message::Ping { requester: asker, request }
     }
 
     /// When the ping was sent that is answered here: `None` for one of another life or of a forgotten age, whose answer
@@ -154,7 +154,7 @@
         let next = self.quorum.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
         let ranges = self.table.digests();
-        if self.send_peer(&addr, Msg::Recap { asker, request, ranges }) {
+        if self.send_peer(&addr, Message::Resync { requester: asker, request, digests: ranges }) {
             self.contact.asked_at = Some(self.now);
             self.contact.asked.push(addr);
         }
@@ -172,11 +172,11 @@
     pub(crate) fn give_recap(&mut self, link: u64, (asker, request): (u64, u64), ranges: &[u64]) {
         self.compare(link, ranges);
         self.tell_leaves(link);
-        let leads: Vec<Msg> = self.feed.leads().cloned().map(Msg::Lead).collect();
+        let leads: Vec<Message> = self.feed.leads().cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
-        let owners: Vec<Msg> = self.feed.owners().values().cloned().map(Msg::Owner).collect();
+        let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
-        self.send(link, Msg::Recapped { asker, request });
+        self.send(link, Message::ResyncDone { requester: asker, request });
     }
 
     pub(crate) fn recapped(&mut self, addr: &str, asker: u64, request: u64) {
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -2,9 +2,9 @@
 use crate::types::{Fall, Link, Peer, Waiting};
 use std::collections::BTreeMap;
 use wv_feed::{Feed, Table};
-use wv_inner::{Msg, News};
+use wv_inner::{FeedUpdate, Message};
 use wv_reg::{Change, Quorum, Seat, Store};
-use wv_roster::Roster;
+use wv_roster::Membership;
 
 pub const CONF: &str = "conf";
 pub use wv_reg::LOCAL;
@@ -48,7 +48,7 @@
     pub(crate) armed: u64,
     pub(crate) feed: Feed,
     pub(crate) table: Table,
-    pub(crate) roster: Roster,
+    pub(crate) roster: Membership,
     pub(crate) links: BTreeMap<u64, Link>,
     pub(crate) peers: BTreeMap<String, Peer>,
     pub(crate) waiting: BTreeMap<u64, Waiting>,
@@ -87,7 +87,7 @@
     pub(crate) calls: crate::post::Calls,
     pub(crate) counts: crate::metrics::Counts,
     /// What each node last said of each database, and when.
-    pub(crate) sights: BTreeMap<String, BTreeMap<String, (u64, wv_inner::Sighting)>>,
+    pub(crate) sights: BTreeMap<String, BTreeMap<String, (u64, wv_inner::HealthReport)>>,
     /// The live control nodes when words were last handed over.
     pub(crate) holders: Vec<String>,
     /// When databases left, and when each service last came to be led by another.
@@ -134,7 +134,7 @@
         }
         let mut core = Core {
             now: 0,
-            roster: Roster::new(&start.me),
+            roster: Membership::new(&start.me),
             feed: Feed::new(own_life(start.life, &start.me)),
             me: start.me,
             node: start.node,
@@ -204,7 +204,7 @@
             shards: BTreeMap::new(),
             outlooks: BTreeMap::new(),
         };
-        core.roster.set_core(core.is_core);
+        core.roster.set_has_disk(core.is_core);
         core.recall_table();
         Ok(core)
     }
@@ -218,28 +218,28 @@
         self.next_id
     }
 
-    pub(crate) fn send(&mut self, link: u64, mut msg: Msg) {
+    pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
         self.drains.stamp(&mut msg, self.now);
         self.acts.push(Act::Send { link, msg });
     }
 
-    pub(crate) fn send_peer(&mut self, addr: &str, msg: Msg) -> bool {
+    pub(crate) fn send_peer(&mut self, addr: &str, msg: Message) -> bool {
         let link = self.peers.get(addr).filter(|peer| peer.is_up).and_then(|peer| peer.link);
         link.into_iter().for_each(|link| self.send(link, msg.clone()));
         link.is_some()
     }
 
-    pub(crate) fn send_peers(&mut self, msg: &Msg) -> usize {
+    pub(crate) fn send_peers(&mut self, msg: &Message) -> usize {
         let addrs: Vec<String> = self.peers.keys().cloned().collect();
         addrs.iter().filter(|addr| self.send_peer(addr, msg.clone())).count()
     }
 
-    pub(crate) fn publish(&mut self, news: News) {
+    pub(crate) fn publish(&mut self, news: FeedUpdate) {
         let msg = self.feed.publish(news);
         self.tell_followers(&msg);
     }
 
-    pub(crate) fn tell_followers(&mut self, msg: &Msg) {
+    pub(crate) fn tell_followers(&mut self, msg: &Message) {
         let followers: Vec<u64> = self.links.iter().filter(|(_, link)| link.is_follower).map(|(id, _)| *id).collect();
         followers.into_iter().for_each(|link| self.send(link, msg.clone()));
     }
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -2,7 +2,7 @@
 //! received is lost with them.
 use crate::core::Core;
 use std::collections::{BTreeMap, BTreeSet};
-use wv_inner::Inst;
+use wv_inner::Instance;
 use wv_promo::{Left, Silent, StatusReply};
 
 /// One that left is looked at no more often, at first and when it serves on: most end soon, and what was seen of the
@@ -30,8 +30,8 @@
 
 impl Core {
     /// What the duty is told of one that left. Whoever took its place came after its end.
-    pub(crate) fn departed(&self, inst: &Inst) -> Left {
-        let is_heir = |new: &&Inst| new.addr == inst.addr && new.id != inst.id;
+    pub(crate) fn departed(&self, inst: &Instance) -> Left {
+        let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
         let heir = self.table.of(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
         let held = self.left.get(&inst.id);
         let dark = held.and_then(|held| held.dark).map(|dark| dark + DARK_US).filter(|end| *end <= self.now);
@@ -46,7 +46,7 @@
             let service = self.table.get(id).map(|inst| inst.service.as_str());
             let is_counted = service.is_some_and(|service| {
                 let is_later = self.led.get(service).is_none_or(|led| held.at >= *led);
-                is_later && self.roster.is_holder(service)
+                is_later && self.roster.is_duty_holder(service)
             });
             let gap = if held.at + FIRST_US > now { WATCH_FIRST_US } else { WATCH_US };
             held.ended.is_none() && held.looked + gap <= now && is_counted
--- a/crates/wv-control/src/drain.rs
+++ b/crates/wv-control/src/drain.rs
@@ -7,7 +7,7 @@
 //! ago, and may have been acknowledged: nobody here knows since when.
 use crate::core::Core;
 use std::collections::{BTreeMap, BTreeSet};
-use wv_inner::{Inst, LeavingSince, Msg, News, LONG_AGO_US};
+use wv_inner::{FeedUpdate, Instance, LeaveTime, Message, UNKNOWN_AGE_US};
 
 /// A leave that turns out to be older by this much is told to followers anew.
 const TELL_AGAIN_US: u64 = 50_000;
@@ -24,7 +24,7 @@
 
 /// What a control node keeps of leaves.
 pub(crate) struct Drains {
-    since: BTreeMap<String, LeavingSince>,
+    since: BTreeMap<String, LeaveTime>,
     in_service: BTreeSet<String>,
     /// How long after it said that it leaves access nodes give a database new work.
     new_work_us: u64,
@@ -35,7 +35,7 @@
         Drains {
             since: BTreeMap::new(),
             in_service: BTreeSet::new(),
-            new_work_us: wv_inner::new_work_us(wv_inner::DRAIN_US, wv_inner::CONTACT_US),
+            new_work_us: wv_inner::new_work_window_us(wv_inner::DEFAULT_DRAIN_US, wv_inner::DEFAULT_CONTACT_US),
         }
     }
 }
@@ -43,10 +43,10 @@
 impl Drains {
     /// Takes a word on a database that stands in the table as `held`, which may have waited here for `lag_us`. Returns whether
     /// its leave is older than was known.
-    fn hear(&mut self, word: &Inst, held: &Inst, teller: Teller, (now, lag_us): (u64, u64)) -> bool {
+    fn hear(&mut self, word: &Instance, held: &Instance, teller: Teller, (now, lag_us): (u64, u64)) -> bool {
         if !held.draining {
             self.since.remove(&held.id);
-            if teller == Teller::Database || word.leaving_us == 0 {
+            if teller == Teller::Database || word.leaving_age_us == 0 {
                 self.in_service.insert(held.id.clone());
             }
             return false;
@@ -57,32 +57,34 @@
         let is_known = self.in_service.contains(&held.id) || self.since.contains_key(&held.id);
         let age_us = match teller {
             Teller::Database if is_known => 0,
-            Teller::Database => LONG_AGO_US,
-            Teller::Peer => word.leaving_us,
+            Teller::Database => UNKNOWN_AGE_US,
+            Teller::Peer => word.leaving_age_us,
         };
-        let since = LeavingSince::ago(now, age_us.saturating_add(lag_us));
+        let since = LeaveTime::from_age(now, age_us.saturating_add(lag_us));
         let known = self.since.entry(held.id.clone()).or_insert(since);
         let is_older = since.age_us(now) > known.age_us(now) + TELL_AGAIN_US;
         *known = (*known).min(since);
         is_older
     }
 
-    fn age_us(&self, inst: &Inst, now: u64) -> u64 {
+    fn age_us(&self, inst: &Instance, now: u64) -> u64 {
         match self.since.get(&inst.id).filter(|_| inst.draining) {
             Some(since) => since.age_us(now),
             None if !inst.draining && self.in_service.contains(&inst.id) => 0,
-            None => LONG_AGO_US,
+            None => UNKNOWN_AGE_US,
         }
     }
 
     /// Puts the ages of this moment into a message that is about to be sent.
-    pub(crate) fn stamp(&self, msg: &mut Msg, now: u64) {
-        let stamp = |inst: &mut Inst| inst.leaving_us = self.age_us(inst, now);
+    pub(crate) fn stamp(&self, msg: &mut Message, now: u64) {
+        let stamp = |inst: &mut Instance| inst.leaving_age_us = self.age_us(inst, now);
         match msg {
-            Msg::Inst { inst, .. } | Msg::Change { news: News::Inst(inst), .. } => stamp(inst),
-            Msg::Range { insts, .. } => insts.iter_mut().for_each(stamp),
-            Msg::Snapshot { news, .. } => news.iter_mut().for_each(|news| {
-                if let News::Inst(inst) = news {
+            Message::Instance { instance: inst, .. } | Message::Update { update: FeedUpdate::Instance(inst), .. } => {
+                stamp(inst)
+            }
+            Message::InstanceRange { instances: insts, .. } => insts.iter_mut().for_each(stamp),
+            Message::Snapshot { updates: news, .. } => news.iter_mut().for_each(|news| {
+                if let FeedUpdate::Instance(inst) = news {
                     stamp(inst);
                 }
             }),
@@ -91,7 +93,7 @@
     }
 
     /// Whether access nodes give this database no new work by now.
-    fn is_past_drain(&self, inst: &Inst, now: u64) -> bool {
+    fn is_past_drain(&self, inst: &Instance, now: u64) -> bool {
         inst.gone || (inst.draining && self.age_us(inst, now) >= self.new_work_us + UNDER_WAY_US)
     }
 
@@ -104,22 +106,24 @@
 impl Core {
     /// The platform's bound on work for a database that leaves, and the time after which calm machines are in touch.
     pub fn set_drain(&mut self, drain_us: u64, contact_us: u64) {
-        self.drains.new_work_us = wv_inner::new_work_us(drain_us, contact_us);
+        self.drains.new_work_us = wv_inner::new_work_window_us(drain_us, contact_us);
     }
 
     /// Dates the leave of a database that the table has just been told of; followers hear of one that is older than known.
-    pub(crate) fn date_leave(&mut self, word: &Inst, teller: Teller) {
+    pub(crate) fn date_leave(&mut self, word: &Instance, teller: Teller) {
         let Some(held) = self.table.get(&word.id).filter(|held| !held.gone) else { return };
         if self.drains.hear(word, held, teller, (self.now, self.contact.stalls.lag_us(self.now))) {
             let inst = held.clone();
-            self.publish(News::Inst(inst));
+            self.publish(FeedUpdate::Instance(inst));
         }
     }
 
     /// Databases that leave are told of whole where digests could pass for equal: they say nothing of ages.
     pub(crate) fn tell_leaves(&mut self, link: u64) {
-        let leaving: Vec<Inst> = self.table.iter().filter(|inst| inst.draining && !inst.gone).cloned().collect();
-        leaving.into_iter().for_each(|inst| self.send(link, Msg::Inst { asker: 0, request: 0, inst }));
+        let leaving: Vec<Instance> = self.table.iter().filter(|inst| inst.draining && !inst.gone).cloned().collect();
+        leaving
+            .into_iter()
+            .for_each(|inst| self.send(link, Message::Instance { requester: 0, request: 0, instance: inst }));
     }
 
     /// Whether a service's primary is given no new work by any access node in touch, as it leaves or is gone.
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,7 +1,7 @@
 //! The duties this node holds: what the promotion machines read, and what they order.
 use crate::core::{Act, Core};
 use crate::types::{Asked, Waiting};
-use wv_inner::{Lead, Msg, News, Sight, Sighting};
+use wv_inner::{FeedUpdate, Health, HealthReport, Leader, Message};
 use wv_promo::{Database, Effect, Event, Silent, StatusReply, View};
 use wv_reg::Outcome;
 
@@ -13,14 +13,14 @@
 }
 
 impl Core {
-    pub(crate) fn take_sights(&mut self, node: &str, sights: Vec<Sighting>) {
-        let is_bad = |sight: &&Sighting| !matches!(sight.sight, Sight::Up | Sight::Unseen);
+    pub(crate) fn take_sights(&mut self, node: &str, sights: Vec<HealthReport>) {
+        let is_bad = |sight: &&HealthReport| !matches!(sight.health, Health::Up | Health::Unknown);
         let bad: Vec<String> = sights.iter().filter(is_bad).map(|sight| sight.id.clone()).collect();
         for sight in &sights {
             // Of a leader that is gone the last fenced sighting still tells who may follow it.
             let is_gone = self.table.get(&sight.id).is_some_and(|inst| inst.gone);
             let words = self.sights.entry(sight.id.clone()).or_default();
-            if sight.sight == Sight::Unseen && (sight.fenced.is_empty() || !is_gone) {
+            if sight.health == Health::Unknown && (sight.fenced_position.is_empty() || !is_gone) {
                 words.remove(node);
             } else {
                 words.insert(node.to_owned(), (self.now, sight.clone()));
@@ -35,11 +35,11 @@
     /// The databases of a service, and those that left it under the present lead.
     fn databases(&self, service: &str, lead: Option<&str>) -> Vec<Database> {
         let led = self.led.get(service).copied().unwrap_or(0);
-        let is_counted = |inst: &&wv_inner::Inst| {
+        let is_counted = |inst: &&wv_inner::Instance| {
             let is_left = inst.gone && self.left.get(&inst.id).is_some_and(|held| held.at >= led);
             !inst.gone || (is_left && Some(inst.id.as_str()) != lead)
         };
-        let database = |inst: &wv_inner::Inst| Database {
+        let database = |inst: &wv_inner::Instance| Database {
             id: inst.id.clone(),
             is_draining: inst.draining,
             refused_us: self.refused_us(&inst.id),
@@ -55,14 +55,14 @@
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
         let view = View {
             now: self.now,
-            is_holder: self.roster.is_holder(service) && self.is_settled(SETTLE_US),
+            is_holder: self.roster.is_duty_holder(service) && self.is_settled(SETTLE_US),
             lead: lead.as_deref(),
             sync_replicas: service_conf.map_or(1, |held| held.sync_replicas),
             databases: &databases,
             is_raise_wanted: self.is_raise_wanted(service),
             is_lead_doubted: lead
                 .as_deref()
-                .is_some_and(|lead| self.words(lead).any(|(sight, _)| sight.sight != Sight::Up)),
+                .is_some_and(|lead| self.words(lead).any(|(sight, _)| sight.health != Health::Up)),
             is_lead_past_drain: lead.as_deref().is_some_and(|lead| self.is_past_drain(lead)),
             is_lead_down: lead.as_deref().is_some_and(|lead| self.is_down(lead)),
             term: self.known_term(service),
@@ -78,7 +78,7 @@
     pub(crate) fn run_duties(&mut self) {
         let Some(conf) = self.conf.as_ref() else { return };
         let is_engaged = |service: &&String| self.duties.get(*service).is_some_and(wv_promo::Duty::is_engaged);
-        let is_meant = |service: &&String| self.roster.is_holder(service) || is_engaged(service);
+        let is_meant = |service: &&String| self.roster.is_duty_holder(service) || is_engaged(service);
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
         // A duty that begins anew counts its steps anew.
@@ -97,7 +97,7 @@
         let service = |id: &String| self.table.get(id).map(|inst| inst.service.clone());
         let services: std::collections::BTreeSet<String> = ids.iter().filter_map(service).collect();
         let is_known = |service: &String| self.conf.as_ref().is_some_and(|conf| conf.services.contains_key(service));
-        let held = services.into_iter().filter(|service| is_known(service) && self.roster.is_holder(service));
+        let held = services.into_iter().filter(|service| is_known(service) && self.roster.is_duty_holder(service));
         held.collect::<Vec<String>>().iter().for_each(|service| self.run_duty(service));
     }
 
@@ -135,33 +135,33 @@
             Effect::Post { id, fence } => self.post(service, id, fence),
             Effect::Stalled(obstacle) => self.count_stall(service, &obstacle),
             Effect::Led { id, term } => {
-                let lead = Lead { service: service.to_owned(), id, term };
-                self.send_peers(&Msg::Lead(lead.clone()));
+                let lead = Leader { service: service.to_owned(), id, term };
+                self.send_peers(&Message::Leader(lead.clone()));
                 self.lead_told(lead);
             }
         }
     }
 
-    pub(crate) fn lead_told(&mut self, lead: Lead) {
+    pub(crate) fn lead_told(&mut self, lead: Leader) {
         let held = self.feed.lead(&lead.service);
         // A term already known to be over is old news; the same word again is none.
         if held.is_none_or(|held| held.term < lead.term && !(held.id == lead.id && held.term == lead.term)) {
             self.note_led(&lead);
             self.is_table_due = true;
             self.claims.promoted.insert(lead.service.clone(), lead.clone());
-            self.publish(News::Lead(lead));
+            self.publish(FeedUpdate::Leader(lead));
         }
     }
 
     /// What left before this one came to lead matters no more: all that was acknowledged stands in its log.
-    pub(crate) fn note_led(&mut self, lead: &Lead) {
+    pub(crate) fn note_led(&mut self, lead: &Leader) {
         if self.feed.lead(&lead.service).is_some_and(|held| held.id != lead.id) {
             self.led.insert(lead.service.clone(), self.now);
         }
     }
 
     pub(crate) fn ask_db(&mut self, service: &str, id: String, text: String, turn: u64) {
-        match self.table.get(&id).map(|inst| inst.addr.clone()) {
+        match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
                 let ask = self.ask(service, &id, turn);
                 self.acts.push(Act::Request { ask, service: service.to_owned(), id, addr, text });
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
-use wv_inner::Msg;
+use wv_inner::Message;
 
 const CONNECT: std::time::Duration = std::time::Duration::from_millis(300);
 const SILENT: std::time::Duration = std::time::Duration::from_millis(1500);
@@ -13,7 +13,7 @@
 const QUEUE_MAX: usize = 4096;
 const LINKS_MAX: usize = 1024;
 
-type Queues = HashMap<u64, mpsc::Sender<Msg>>;
+type Queues = HashMap<u64, mpsc::Sender<Message>>;
 
 /// Shared by all tasks. Lock order: `core`, then `links`, then `returns`; none is held over an await.
 #[derive(Clone)]
@@ -108,7 +108,7 @@
         self.with(|core, now| core.link_down(link, now));
     }
 
-    fn enter(&self, link: u64) -> mpsc::Receiver<Msg> {
+    fn enter(&self, link: u64) -> mpsc::Receiver<Message> {
         let (sender, receiver) = mpsc::channel(QUEUE_MAX);
         self.links.borrow_mut().insert(link, sender);
         receiver
@@ -135,7 +135,7 @@
     }
 
     /// Carries one link until either side ends it or it falls silent.
-    async fn carry(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Msg>) {
+    async fn carry(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Message>) {
         wv_http::tune(&stream, SILENT);
         let hear = |msg| self.with(|core, now| core.msg(link, msg, now));
         wv_proc::carry(stream, receiver, SILENT, Some(SILENT), hear).await;
--- a/crates/wv-control/src/falls.rs
+++ b/crates/wv-control/src/falls.rs
@@ -1,7 +1,7 @@
 //! Databases that fell and come back: all access nodes are told to ease them in together.
 use crate::core::Core;
 use crate::types::Fall;
-use wv_inner::{Msg, News, Sight, Sighting};
+use wv_inner::{FeedUpdate, Health, HealthReport, Message};
 
 /// Falls further apart than this are not counted together.
 const LATELY_US: u64 = 60_000_000;
@@ -9,10 +9,10 @@
 
 impl Core {
     /// Notes falls on agreeing sightings, and returns on the first good one after.
-    pub(crate) fn watch_falls(&mut self, sights: &[Sighting]) {
+    pub(crate) fn watch_falls(&mut self, sights: &[HealthReport]) {
         let now = self.now;
         for sight in sights {
-            if sight.sight != Sight::Up {
+            if sight.health != Health::Up {
                 if self.is_down(&sight.id) && self.fallen.len() < FALLS_MAX {
                     let fall = self.fallen.entry(sight.id.clone()).or_default();
                     if !std::mem::replace(&mut fall.is_down, true) {
@@ -23,27 +23,27 @@
                 continue;
             }
             // A good word that is older than the fall is no return.
-            let is_back = |fall: &&mut Fall| fall.is_down && fall.last + sight.since_us < now;
+            let is_back = |fall: &&mut Fall| fall.is_down && fall.last + sight.health_age_us < now;
             if let Some(fall) = self.fallen.get_mut(&sight.id).filter(is_back) {
                 (fall.is_down, fall.last) = (false, now);
                 let (id, falls) = (sight.id.clone(), fall.falls);
-                self.send_peers(&Msg::Eased { id: id.clone(), falls });
-                self.publish(News::Ease { id, falls });
+                self.send_peers(&Message::Recovered { id: id.clone(), outages: falls });
+                self.publish(FeedUpdate::SlowStart { id, outages: falls });
             }
         }
         self.fallen.retain(|_, fall| fall.is_down || fall.last + LATELY_US > now);
     }
 
     /// A database that restarts may come back under another id at its old address: it is the same return.
-    pub(crate) fn watch_places(&mut self, changed: &[wv_inner::Inst]) {
+    pub(crate) fn watch_places(&mut self, changed: &[wv_inner::Instance]) {
         let now = self.now;
         for inst in changed.iter().filter(|inst| !inst.gone) {
             let is_known = self.fallen.contains_key(&inst.id);
-            let old = self.table.iter().find(|old| old.gone && old.addr == inst.addr && old.id != inst.id);
+            let old = self.table.iter().find(|old| old.gone && old.address == inst.address && old.id != inst.id);
             let Some(old) = old.filter(|_| !is_known).map(|old| old.id.clone()) else { continue };
             let falls = self.fallen.remove(&old).map_or(1, |fall| fall.falls);
             self.fallen.insert(inst.id.clone(), Fall { falls, last: now, is_down: false });
-            self.publish(News::Ease { id: inst.id.clone(), falls });
+            self.publish(FeedUpdate::SlowStart { id: inst.id.clone(), outages: falls });
         }
     }
 
@@ -54,7 +54,7 @@
         let is_known = !fall.is_down && fall.falls == falls;
         *fall = Fall { falls, last: now, is_down: false };
         if !is_known {
-            self.publish(News::Ease { id, falls });
+            self.publish(FeedUpdate::SlowStart { id, outages: falls });
         }
     }
 }
--- a/crates/wv-control/src/fills.rs
+++ b/crates/wv-control/src/fills.rs
@@ -4,7 +4,7 @@
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
 use wv_fill::{advise, forecast, Advice, Entry, History, Need, Outlook, Sample, METHOD};
-use wv_inner::Msg;
+use wv_inner::Message;
 
 /// What was measured is written no more often than this.
 const PUT_US: u64 = 2_000_000;
@@ -133,7 +133,7 @@
             held.fill.told_at = now;
             let text = self.describe(shard, &held).to_string();
             if self.outlooks.get(shard) != Some(&text) {
-                self.send_peers(&Msg::Outlook { shard: shard.to_owned(), text: text.clone() });
+                self.send_peers(&Message::ShardStatus { shard: shard.to_owned(), text: text.clone() });
                 self.outlooks.insert(shard.to_owned(), text);
             }
         }
@@ -206,7 +206,7 @@
 
     /// Told of the report of this node's life under this serial: another life's may have the same one.
     fn tell_filled(&mut self, shard: &str, (node, life, serial): (String, u64, u64)) {
-        let msg = Msg::Filled { node: node.clone(), shard: shard.to_owned(), life, serial };
+        let msg = Message::KeySamplesAck { node: node.clone(), shard: shard.to_owned(), incarnation: life, serial };
         self.tell_node(&node, msg);
     }
 
@@ -214,7 +214,7 @@
     pub(crate) fn take_fill(&mut self, node: &str, fill: wv_inner::Fill) {
         let holder = self.shard_holder(&fill.shard);
         if holder != self.me {
-            self.send_peer(&holder, Msg::PeerFill { node: node.to_owned(), fill });
+            self.send_peer(&holder, Message::PeerKeySamples { node: node.to_owned(), samples: fill });
             return;
         }
         let Some(held) = self.shards.get_mut(&fill.shard).filter(|held| held.split.has_ballot()) else { return };
--- a/crates/wv-control/src/force.rs
+++ b/crates/wv-control/src/force.rs
@@ -1,6 +1,6 @@
 //! The configuration in force here: read by what differs from the one before, and told in steps.
 use crate::core::Core;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 /// While changes follow each other, followers are told of the newest so often at the most: of those that were overtaken
 /// meanwhile nobody hears. It is far under the seconds within which a change has to be in force everywhere.
@@ -42,7 +42,7 @@
     pub(crate) fn tell_committed(&mut self, key: &str, accepted: wv_inner::Ballot) {
         let voters: Vec<String> = self.quorum.voters().addrs().map(str::to_owned).collect();
         for addr in voters {
-            self.send_peer(&addr, Msg::Committed { key: key.to_owned(), accepted });
+            self.send_peer(&addr, Message::Committed { key: key.to_owned(), accepted });
         }
         self.is_teller = self.is_conf_due;
         if !self.is_teller {
@@ -55,7 +55,7 @@
         let others: Vec<String> = self.peers.keys().filter(is_other).cloned().collect();
         let news = self.feed.conf_since(self.conf_base);
         for addr in others {
-            self.send_peer(&addr, Msg::InForce(news.clone()));
+            self.send_peer(&addr, Message::CommittedConfigurations(news.clone()));
         }
     }
 }
--- a/crates/wv-control/src/handover.rs
+++ b/crates/wv-control/src/handover.rs
@@ -1,6 +1,6 @@
 //! The steps of a change of voters between those that take part: claimed, sealed, handed over, settled.
 use crate::core::Core;
-use wv_inner::{Handover, Held, Known, Msg};
+use wv_inner::{Handover, Held, Known, Message};
 use wv_reg::{parts, RegError};
 
 fn noted(error: RegError) {
@@ -9,14 +9,14 @@
 
 impl Core {
     /// Sends a step of a change. This node's own part in it comes last: it may already lead to the next step.
-    pub(crate) fn send_change(&mut self, msgs: Vec<(String, Msg)>) {
+    pub(crate) fn send_change(&mut self, msgs: Vec<(String, Message)>) {
         let sums = parts::sums(&self.store);
         let me = self.me.clone();
         let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
         for (voter, mut msg) in others {
             match &mut msg {
-                Msg::Handover(Handover::Seal { sum, .. }) => *sum = parts::total(&sums),
-                Msg::Handover(Handover::Fetch { sums: told, .. }) => *told = sums.clone(),
+                Message::Handover(Handover::Seal { sum, .. }) => *sum = parts::total(&sums),
+                Message::Handover(Handover::Fetch { sums: told, .. }) => *told = sums.clone(),
                 _ => {}
             }
             self.send_peer(&voter, msg);
@@ -24,11 +24,11 @@
         for (_, msg) in own {
             match msg {
                 // What is told or to be fetched stands here already.
-                Msg::Handover(Handover::Seal { request, set, fence, .. }) => {
+                Message::Handover(Handover::Seal { request, set, fence, .. }) => {
                     let sealed = self.seal(set, fence);
                     sealed.into_iter().for_each(|ok| self.sealed(&me, request, ok));
                 }
-                Msg::Handover(Handover::Fetch { request, set, next, .. }) => {
+                Message::Handover(Handover::Fetch { request, set, next, .. }) => {
                     if self.seat.is_named(&me, set, &next) && self.is_whole(set) {
                         self.fetched(&me, request);
                     }
@@ -42,15 +42,20 @@
     }
 
     /// A voter's answer to the one that changes the set.
-    pub(crate) fn change_word(&mut self, msg: Msg) -> Option<Msg> {
+    pub(crate) fn change_word(&mut self, msg: Message) -> Option<Message> {
         match msg {
-            Msg::Claim { request, set, fence } => {
+            Message::PrepareSuccessor { request, voter_set: set, fence } => {
                 let claimed = self.seat.claim(&mut self.store, &self.me, set, fence)?.map_err(noted).ok()?;
-                Some(Msg::Claimed { request, ok: claimed.is_ok, fence: claimed.fence, next: claimed.next })
+                Some(Message::SuccessorVote {
+                    request,
+                    ok: claimed.is_ok,
+                    fence: claimed.fence,
+                    successor: claimed.next,
+                })
             }
-            Msg::Settle { request, set, fence, next } => {
+            Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
                 let ok = self.seat.settle(&mut self.store, &self.me, (set, fence), &next)?.map_err(noted).ok()?;
-                Some(Msg::Settled { request, ok })
+                Some(Message::SuccessorAccepted { request, ok })
             }
             _ => None,
         }
@@ -70,7 +75,7 @@
                 let Some(ok) = self.seal(set, fence) else { return };
                 let sums = parts::sums(&self.store);
                 let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                self.send(link, Msg::Handover(Handover::Sealed { request, ok, sums }));
+                self.send(link, Message::Handover(Handover::Sealed { request, ok, sums }));
             }
             Handover::Sealed { request, ok, sums } => {
                 let open = parts::differing(&self.store, &sums);
@@ -99,7 +104,7 @@
         let ranges = parts::listed(&self.store, open);
         let is_asked = |range: &u32| ranges.iter().any(|asked| asked.0 == *range);
         let others = open.iter().copied().filter(|range| !is_asked(range)).collect();
-        self.send(link, Msg::Handover(Handover::Lacking { request, set, is_member, ranges, others }));
+        self.send(link, Message::Handover(Handover::Lacking { request, set, is_member, ranges, others }));
     }
 
     /// Told is only what is final: by a voter that is sealed, or by the one to which a sealed majority has told all.
@@ -118,7 +123,7 @@
         let (cells, is_whole) = parts::part(&self.store, ranges);
         let again = ranges.iter().map(|range| range.0).filter(|_| !is_whole);
         let left = again.chain(others).collect();
-        self.send(link, Msg::Handover(Handover::Rest { request, set, is_member, cells, left }));
+        self.send(link, Message::Handover(Handover::Rest { request, set, is_member, cells, left }));
     }
 
     /// More of what was lacking here; what cannot be kept was not told.
@@ -139,7 +144,7 @@
         if !is_member {
             self.sealed(addr, request, true);
         } else if self.is_whole(set) {
-            self.send(link, Msg::Handover(Handover::Fetched { request }));
+            self.send(link, Message::Handover(Handover::Fetched { request }));
         }
     }
 
@@ -153,10 +158,12 @@
         self.step_change(None);
     }
 
-    pub(crate) fn change_heard(&mut self, voter: &str, msg: Msg) {
+    pub(crate) fn change_heard(&mut self, voter: &str, msg: Message) {
         let end = self.change.as_mut().and_then(|change| match msg {
-            Msg::Claimed { request, ok, fence, next } => change.claimed(voter, request, ok, fence, next),
-            Msg::Settled { request, ok } => change.settled(voter, request, ok),
+            Message::SuccessorVote { request, ok, fence, successor: next } => {
+                change.claimed(voter, request, ok, fence, next)
+            }
+            Message::SuccessorAccepted { request, ok } => change.settled(voter, request, ok),
             _ => None,
         });
         self.step_change(end);
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::shards::key;
 use crate::types::Waiting;
-use wv_inner::{Cell, Msg, News, SlotMap};
+use wv_inner::{Cell, FeedUpdate, Message, SlotMap};
 use wv_reg::{Edit, Outcome};
 
 /// Steps that a shard's registers go through.
@@ -158,7 +158,7 @@
     fn put_kept(&mut self, shard: &str, keep: Keep, is_ours: bool) {
         match keep {
             Keep::SlotsPut(map) if is_ours => {
-                self.send_peers(&Msg::Slots(map.clone()));
+                self.send_peers(&Message::Slots(map.clone()));
                 self.slots_told(map.clone());
                 self.shard_event(shard, wv_split::Event::Written(Some(map)));
             }
@@ -172,7 +172,7 @@
         let held = self.feed.slots().get(&map.shard).map_or(0, |held| held.number);
         if map.number > held {
             log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.number);
-            self.publish(News::Slots(map));
+            self.publish(FeedUpdate::Slots(map));
         }
     }
 }
--- a/crates/wv-control/src/leaving.rs
+++ b/crates/wv-control/src/leaving.rs
@@ -1,6 +1,6 @@
 //! Leaving in order: what a node holds goes to others before it ends.
 use crate::core::Core;
-use wv_inner::{Member, Msg};
+use wv_inner::{Member, Message};
 
 /// After its last call to the platform a holder keeps its duties for so long, if it lives.
 const TURNS_US: u64 = 1_500_000;
@@ -26,14 +26,14 @@
         }
         self.is_leave_told = true;
         // Where all others have no disk, they hold what there is to hold from now on.
-        self.roster.set_core(false);
-        self.send_peers(&Msg::Leaving);
+        self.roster.set_has_disk(false);
+        self.send_peers(&Message::Leaving);
         self.run_duties();
     }
 
     pub(crate) fn peer_leaves(&mut self, addr: &str) {
         self.peers.get_mut(addr).into_iter().for_each(|peer| peer.is_leaving = true);
-        self.roster.peer_core(addr, false);
+        self.roster.set_peer_has_disk(addr, false);
     }
 
     /// Whether a node that leaves may end before its time is over. A voter may not while it is about to be replaced, or
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -64,7 +64,7 @@
         let stalls = ("windvalve_promotion_stalls", "Attempts at a promotion that led nowhere");
         page.figures(stalls, &["service"], of(|held| held.stalls))?;
         let leaving = self.table.iter().filter(|inst| inst.draining && !inst.gone);
-        let role = |inst: &wv_inner::Inst| if inst.primary { "primary" } else { "replica" }.to_owned();
+        let role = |inst: &wv_inner::Instance| if inst.primary { "primary" } else { "replica" }.to_owned();
         page.figures(
             ("windvalve_database_leaving", "Databases that said that they leave and are not gone"),
             &["id", "service", "role"],
--- a/crates/wv-control/src/own.rs
+++ b/crates/wv-control/src/own.rs
@@ -2,7 +2,7 @@
 use crate::core::Core;
 use crate::types::Waiting;
 use std::collections::{BTreeMap, BTreeSet};
-use wv_inner::{Msg, News, Owner};
+use wv_inner::{FeedUpdate, Message, Owner};
 use wv_reg::Outcome;
 
 /// Moves that only even out the portions follow each other no sooner, from this node.
@@ -21,12 +21,14 @@
         if !self.is_settled(SETTLE_US) || self.is_leaving {
             return;
         }
-        let members = self.roster.members(self.now);
+        let members = self.roster.access_nodes(self.now);
         let owners: BTreeMap<String, String> =
             self.feed.owners().values().map(|owner| (owner.service.clone(), owner.node.clone())).collect();
         let owned: BTreeSet<&str> = owners.values().map(String::as_str).collect();
         let is_fit = |told: &&wv_inner::Session| {
-            !told.is_leaving && !told.place.is_empty() && (!told.is_young || owned.contains(told.node.as_str()))
+            !told.is_leaving
+                && !told.handover_address.is_empty()
+                && (!told.is_new || owned.contains(told.node.as_str()))
         };
         let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|told| told.node.as_str()).collect();
         let wanted = wv_shard::assign(&conf.partners, &nodes, &conf.shards, &owners);
@@ -34,7 +36,7 @@
             let owner = owners.get(service);
             let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|told| told.is_leaving));
             let is_moved = owner != Some(node) || self.is_replaced(service, &members);
-            let is_held = self.roster.is_holder(&key(service)) && !self.owning.contains(service);
+            let is_held = self.roster.is_duty_holder(&key(service)) && !self.owning.contains(service);
             is_held && is_moved && (is_lost || self.moved + PACE_US <= self.now)
         };
         let due: Vec<(String, String)> = wanted.into_iter().filter(is_due).collect();
@@ -52,15 +54,16 @@
 
     /// Writes the new owner under the next number.
     fn give_shard(&mut self, service: String, node: String) {
-        let Some(place) = self.roster.members(self.now).get(&node).map(|told| told.place.clone()) else {
+        let Some(place) = self.roster.access_nodes(self.now).get(&node).map(|told| told.handover_address.clone())
+        else {
             return self.owning.retain(|held| *held != service);
         };
         let (token, key) = (self.fresh_id(), key(&service));
         self.waiting.insert(token, Waiting::Own(service.clone()));
-        let owner = Owner { service, node, place, number: 0 };
+        let owner = Owner { service, node, handover_address: place, epoch: 0 };
         let edit: wv_reg::Edit = Box::new(move |held| {
             let number = held.version + 1;
-            Some(wv_reg::cell(number, nanoserde::SerBin::serialize_bin(&Owner { number, ..owner.clone() })))
+            Some(wv_reg::cell(number, nanoserde::SerBin::serialize_bin(&Owner { epoch: number, ..owner.clone() })))
         });
         self.quorum.start(token, &key, Some(edit), self.now);
     }
@@ -69,7 +72,9 @@
     fn is_replaced(&self, service: &str, members: &BTreeMap<String, wv_inner::Session>) -> bool {
         let owner = self.feed.owners().get(service);
         owner.is_some_and(|owner| {
-            members.get(&owner.node).is_some_and(|told| !told.place.is_empty() && told.place != owner.place)
+            members.get(&owner.node).is_some_and(|told| {
+                !told.handover_address.is_empty() && told.handover_address != owner.handover_address
+            })
         })
     }
 
@@ -78,15 +83,15 @@
         self.owning.retain(|held| held != service);
         let (Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return };
         let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.value) else { return };
-        self.send_peers(&Msg::Owner(told.clone()));
+        self.send_peers(&Message::Owner(told.clone()));
         self.owner_told(told);
     }
 
     pub(crate) fn owner_told(&mut self, owner: Owner) {
-        let held = self.feed.owners().get(&owner.service).map_or(0, |held| held.number);
-        if owner.number > held {
-            log::info!("shard {} goes to {} under {}", owner.service, owner.node, owner.number);
-            self.publish(News::Owner(owner));
+        let held = self.feed.owners().get(&owner.service).map_or(0, |held| held.epoch);
+        if owner.epoch > held {
+            log::info!("shard {} goes to {} under {}", owner.service, owner.node, owner.epoch);
+            self.publish(FeedUpdate::Owner(owner));
         }
     }
 
@@ -108,7 +113,7 @@
         let Some(conf) = self.conf.as_ref() else {
             return self.ret_none(token);
         };
-        let members = self.roster.members(self.now);
+        let members = self.roster.access_nodes(self.now);
         let nodes: BTreeSet<&str> = members.keys().map(String::as_str).collect();
         let seats = wv_shard::seats(&conf.partners, &nodes);
         let quotas = wv_shard::quotas(&conf.partners, &seats, conf.shards.len());
@@ -120,8 +125,9 @@
             .map(|service| {
                 let held = owner(service);
                 serde_json::json!({
-                    "shard": service, "owner": held.map(|held| held.node.as_str()), "place": held.map(|held| held.place.as_str()),
-                    "number": held.map_or(0, |held| held.number), "moving": self.owning.contains(service),
+                    "shard": service, "owner": held.map(|held| held.node.as_str()),
+                    "place": held.map(|held| held.handover_address.as_str()),
+                    "number": held.map_or(0, |held| held.epoch), "moving": self.owning.contains(service),
                     "partner": held.and_then(|held| partner_of(&held.node)).map(|at| conf.partners[at].label.as_str()),
                     "live": held.is_some_and(|held| nodes.contains(held.node.as_str())),
                 })
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages on the links: from access nodes and from other control nodes.
 use crate::core::Core;
 use crate::types::Link;
-use wv_inner::{Inst, Msg};
+use wv_inner::{Instance, Message};
 
 impl Core {
     /// A link came in.
@@ -19,32 +19,32 @@
         self.peers.get_mut(&addr).into_iter().for_each(|peer| peer.is_up = true);
         self.send(
             link,
-            Msg::Hello {
+            Message::Hello {
                 node: self.node.clone(),
-                control: self.me.clone(),
+                control_address: self.me.clone(),
                 zone: self.zone.clone(),
-                place: String::new(),
-                life: self.life,
+                handover_address: String::new(),
+                incarnation: self.life,
             },
         );
         self.send(link, self.peers_msg());
         if self.is_leave_told {
-            self.send(link, Msg::Leaving);
+            self.send(link, Message::Leaving);
         }
         let ping = self.ping_msg();
         self.send(link, ping);
         self.tell_leaves(link);
         // Before there is contact nothing is compared: then all of it is asked for.
         if self.contact.is_held {
-            self.send(link, Msg::Digests { ranges: self.table.digests() });
+            self.send(link, Message::InstanceDigests { digests: self.table.digests() });
         }
-        self.send(link, Msg::Sessions { nodes: self.roster.sessions(self.now) });
+        self.send(link, Message::Sessions { sessions: self.roster.sessions(self.now) });
         // Whoever was away hears who was promoted meanwhile, and which shards changed hands.
-        let leads: Vec<Msg> = self.feed.leads().filter(|lead| lead.term > 0).cloned().map(Msg::Lead).collect();
+        let leads: Vec<_> = self.feed.leads().filter(|lead| lead.term > 0).cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
-        let owners: Vec<Msg> = self.feed.owners().values().cloned().map(Msg::Owner).collect();
+        let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
-        let maps: Vec<Msg> = self.feed.slots().values().cloned().map(Msg::Slots).collect();
+        let maps: Vec<Message> = self.feed.slots().values().cloned().map(Message::Slots).collect();
         maps.into_iter().for_each(|map| self.send(link, map));
         self.take_over();
     }
@@ -58,19 +58,21 @@
         }
         let is_elsewhere = |node: &str| self.links.values().any(|link| link.node.as_deref() == Some(node));
         if let Some(node) = held.node.filter(|node| !is_elsewhere(node)) {
-            self.roster.leave(&node);
+            self.roster.end_session(&node);
         }
     }
 
-    pub fn msg(&mut self, link: u64, msg: Msg, now: u64) {
+    pub fn msg(&mut self, link: u64, msg: Message, now: u64) {
         self.at(now);
         let Some(held) = self.links.get(&link) else { return };
         let (peer, node) = (held.peer.clone(), held.node.clone());
         if let Some(addr) = &peer {
-            self.roster.peer(addr, self.now);
+            self.roster.record_peer(addr, self.now);
         }
         match (msg, peer, node) {
-            (Msg::Hello { node, control, zone, place, .. }, _, _) => self.hello(link, node, (control, zone), &place),
+            (Message::Hello { node, control_address, zone, handover_address, .. }, _, _) => {
+                self.hello(link, node, (control_address, zone), &handover_address)
+            }
             (msg, Some(addr), _) => self.peer_msg(link, &addr, msg),
             (msg, None, Some(node)) => self.node_msg(link, &node, msg),
             (_, None, None) => self.acts.push(crate::Act::Close { link }),
@@ -89,7 +91,7 @@
                 .for_each(|peer| (peer.zone, peer.is_leaving) = (zone.clone(), false));
             self.links.insert(link, Link { peer: Some(control), node: None, is_follower: false, awaited: None });
         } else {
-            self.roster.enter(&node, place, self.now);
+            self.roster.start_session(&node, place, self.now);
             self.links.insert(link, Link { peer: None, node: Some(node), is_follower: false, awaited: None });
         }
         self.send(link, self.peers_msg());
@@ -102,18 +104,18 @@
         }
     }
 
-    fn node_msg(&mut self, link: u64, node: &str, msg: Msg) {
+    fn node_msg(&mut self, link: u64, node: &str, msg: Message) {
         match msg {
-            Msg::Here { leaving } => self.roster.beat(node, leaving, self.now),
-            Msg::Follow { life, place } => {
+            Message::AccessHeartbeat { leaving } => self.roster.heartbeat(node, leaving, self.now),
+            Message::Subscribe { incarnation, position } => {
                 if let Some(held) = self.links.get_mut(&link) {
-                    (held.is_follower, held.awaited) = (false, Some((life, place)));
+                    (held.is_follower, held.awaited) = (false, Some((incarnation, position)));
                 }
                 self.serve_follows();
             }
-            Msg::Sights(sights) => self.hear_sights(node, sights),
-            Msg::Marks(marks) => self.take_marks(node, marks),
-            Msg::Fill(fill) => self.take_fill(node, fill),
+            Message::HealthReports(sights) => self.hear_sights(node, sights),
+            Message::DirtyKeys(marks) => self.take_marks(node, marks),
+            Message::KeySamples(fill) => self.take_fill(node, fill),
             _ => self.acts.push(crate::Act::Close { link }),
         }
     }
@@ -129,7 +131,7 @@
         let awaiting = self.links.iter_mut().filter_map(|(id, link)| link.awaited.take().map(|from| (*id, from)));
         for (link, (life, place)) in awaiting.collect::<Vec<_>>() {
             if !is_ready {
-                self.send(link, Msg::Beat { fresh: false });
+                self.send(link, Message::ControlHeartbeat { has_majority: false });
                 continue;
             }
             self.links.get_mut(&link).into_iter().for_each(|held| held.is_follower = true);
@@ -138,90 +140,91 @@
         }
     }
 
-    fn peer_msg(&mut self, link: u64, addr: &str, msg: Msg) {
+    fn peer_msg(&mut self, link: u64, addr: &str, msg: Message) {
         match msg {
-            Msg::Peers { addrs, voters, before, .. } => {
-                addrs.into_iter().for_each(|addr| self.know_peer(addr));
-                self.learn_voters(&voters, &before);
+            Message::Peers { addresses, voters, previous_voters, .. } => {
+                addresses.into_iter().for_each(|addr| self.know_peer(addr));
+                self.learn_voters(&voters, &previous_voters);
                 // Who speaks of an older set is told of the newest.
                 if voters.number < self.seat.voters.number {
                     let msg = self.peers_msg();
                     self.send(link, msg);
                 }
             }
-            Msg::Sessions { nodes } => {
-                self.roster.peer_sessions(addr, nodes, self.now);
+            Message::Sessions { sessions } => {
+                self.roster.set_peer_sessions(addr, sessions, self.now);
             }
-            Msg::Ping { asker, request } => {
-                let conf = self.store.get(crate::core::CONF).map_or(0, |held| held.cell.version);
+            Message::Ping { requester, request } => {
+                let version = self.store.get(crate::core::CONF).map_or(0, |held| held.cell.version);
                 let disk = self.is_core.then_some(self.seat.disk);
-                let set = self.seat.votes_in(&self.me);
+                let voter_set = self.seat.votes_in(&self.me);
                 let ready = self.is_ready();
-                let sealed = if set == 0 { self.seat.sits_in(&self.me) } else { 0 };
-                self.send(link, Msg::Pong { asker, request, conf, disk, set, sealed, ready });
+                let sealed_set = if voter_set == 0 { self.seat.sits_in(&self.me) } else { 0 };
+                self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
-            Msg::Pong { asker, request, conf, disk, set, sealed, ready } => {
-                let Some(sent) = self.ping_sent(asker, request) else { return };
+            Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
+                let Some(sent) = self.ping_sent(requester, request) else { return };
                 let is_leaving = self.peers.get(addr).is_some_and(|peer| peer.is_leaving);
-                self.roster.peer_core(addr, disk.is_some() && !is_leaving);
+                self.roster.set_peer_has_disk(addr, disk.is_some() && !is_leaving);
                 if let Some(peer) = self.peers.get_mut(addr).filter(|peer| peer.contact <= sent) {
-                    (peer.contact, peer.disk, peer.set) = (sent, disk, set);
-                    (peer.sealed, peer.is_ready) = (sealed, ready);
+                    (peer.contact, peer.disk, peer.set) = (sent, disk, voter_set);
+                    (peer.sealed, peer.is_ready) = (sealed_set, ready);
                 }
                 self.reckon_contact();
-                self.hear_version(addr, conf);
-            }
-            Msg::Recap { asker, request, ranges } => self.give_recap(link, (asker, request), &ranges),
-            Msg::Recapped { asker, request } => self.recapped(addr, asker, request),
-            Msg::Call { asker, request, set, key, step } => {
-                let vote = self.vote(set, &key, &step);
-                vote.into_iter()
-                    .for_each(|vote| self.send(link, Msg::Voted { asker, request, key: key.clone(), vote }));
-            }
-            Msg::Voted { asker, request, key, vote } => {
-                self.quorum.voted(addr, (asker, request), &key, vote, self.now);
-            }
-            Msg::Takeover(msg) => self.hear_takeover(link, addr, msg),
-            Msg::Leaving => self.peer_leaves(addr),
-            Msg::Handover(msg) => self.hear_handover(link, addr, msg),
-            msg @ (Msg::Claim { .. } | Msg::Settle { .. }) => {
+                self.hear_version(addr, version);
+            }
+            Message::Resync { requester, request, digests } => self.give_recap(link, (requester, request), &digests),
+            Message::ResyncDone { requester, request } => self.recapped(addr, requester, request),
+            Message::RegisterRequest { requester, request, voter_set, key, step } => {
+                let vote = self.vote(voter_set, &key, &step);
+                vote.into_iter().for_each(|vote| {
+                    self.send(link, Message::RegisterReply { requester, request, key: key.clone(), vote })
+                });
+            }
+            Message::RegisterReply { requester, request, key, vote } => {
+                self.quorum.voted(addr, (requester, request), &key, vote, self.now);
+            }
+            Message::Takeover(msg) => self.hear_takeover(link, addr, msg),
+            Message::Leaving => self.peer_leaves(addr),
+            Message::Handover(msg) => self.hear_handover(link, addr, msg),
+            msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
                 let word = self.change_word(msg);
                 word.into_iter().for_each(|word| self.send(link, word));
             }
-            msg @ (Msg::Claimed { .. } | Msg::Settled { .. }) => self.change_heard(addr, msg),
-            Msg::Committed { key, accepted } if key == crate::core::CONF => self.committed(accepted),
-            Msg::Lack { version } => self.take_lack(link, version),
-            Msg::InForce(news) => self.take_in_force(addr, news),
-            Msg::Inst { asker, request, inst } => {
-                let id = inst.id.clone();
-                self.inst_from_peer(inst);
+            msg @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => self.change_heard(addr, msg),
+            Message::Committed { key, accepted } if key == crate::core::CONF => self.committed(accepted),
+            Message::ConfigurationRequest { version } => self.take_lack(link, version),
+            Message::CommittedConfigurations(news) => self.take_in_force(addr, news),
+            Message::Instance { requester, request, instance } => {
+                let id = instance.id.clone();
+                self.inst_from_peer(instance);
                 if request > 0 {
-                    self.send(link, Msg::InstHeld { asker, request, id });
+                    self.send(link, Message::InstanceAck { requester, request, id });
                 }
             }
-            Msg::InstHeld { asker, request, id } => self.inst_held(addr, (asker, request), &id),
-            Msg::PeerSights { node, mut sights } => {
-                self.date_sights(&mut sights);
-                self.take_sights(&node, sights)
-            }
-            Msg::Lead(lead) => self.lead_told(lead),
-            Msg::Owner(owner) => self.owner_told(owner),
-            Msg::Slots(map) => self.slots_told(map),
-            Msg::PeerMarks { node, marks } => self.take_marks(&node, marks),
-            Msg::PeerFill { node, fill } => self.take_fill(&node, fill),
-            Msg::Outlook { shard, text } => {
+            Message::InstanceAck { requester, request, id } => self.inst_held(addr, (requester, request), &id),
+            Message::PeerHealthReports { node, mut reports } => {
+                self.date_sights(&mut reports);
+                self.take_sights(&node, reports)
+            }
+            Message::Leader(lead) => self.lead_told(lead),
+            Message::Owner(owner) => self.owner_told(owner),
+            Message::Slots(map) => self.slots_told(map),
+            Message::PeerDirtyKeys { node, dirty_keys } => self.take_marks(&node, dirty_keys),
+            Message::PeerKeySamples { node, samples } => self.take_fill(&node, samples),
+            Message::ShardStatus { shard, text } => {
                 self.outlooks.insert(shard, text);
             }
-            Msg::Marked { ref node, .. } | Msg::Filled { ref node, .. } => {
+            Message::DirtyKeysAck { ref node, .. } | Message::KeySamplesAck { ref node, .. } => {
                 let node = node.clone();
                 self.pass_on(&node, &msg);
             }
-            Msg::Promoting { service, id, us } => {
-                self.publish(wv_inner::News::Promoting { service, id, us });
+            Message::Promoting { service, id, max_wait_us } => {
+                self.publish(wv_inner::FeedUpdate::Promoting { service, id, max_wait_us });
             }
-            Msg::Eased { id, falls } => self.eased(id, falls),
-            Msg::Digests { ranges } => self.compare(link, &ranges),
-            Msg::Range { insts, .. } => self.mend_range(insts),
+            Message::Recovered { id, outages } => self.eased(id, outages),
+            Message::InstanceDigests { digests } => self.compare(link, &digests),
+            Message::InstanceRange { instances, .. } => self.mend_range(instances),
             _ => {}
         }
     }
@@ -231,16 +234,16 @@
         let ours = self.table.digests();
         for (range, sum) in ours.iter().enumerate() {
             if theirs.get(range).is_some_and(|their| their != sum) {
-                let insts = self.table.range(range);
-                self.send(link, Msg::Range { range: range as u32, insts });
+                let instances = self.table.range(range);
+                self.send(link, Message::InstanceRange { range: range as u32, instances });
             }
         }
     }
 
-    fn mend_range(&mut self, insts: Vec<Inst>) {
-        for inst in insts {
-            let changed = self.table.offer(inst.clone());
-            self.date_leave(&inst, crate::drain::Teller::Peer);
+    fn mend_range(&mut self, instances: Vec<Instance>) {
+        for instance in instances {
+            let changed = self.table.offer(instance.clone());
+            self.date_leave(&instance, crate::drain::Teller::Peer);
             self.announce(&changed, false);
         }
     }
--- a/crates/wv-control/src/post.rs
+++ b/crates/wv-control/src/post.rs
@@ -3,7 +3,7 @@
 use crate::core::{Act, Core};
 use crate::types::Waiting;
 use std::collections::BTreeMap;
-use wv_inner::{Msg, News};
+use wv_inner::{FeedUpdate, Message};
 use wv_promo::Event;
 use wv_reg::Outcome;
 
@@ -61,8 +61,8 @@
     pub(crate) fn post(&mut self, service: &str, id: String, fence: u64) {
         if self.feed.lead(service).is_none_or(|lead| lead.id != id) {
             let (service, id, us) = (service.to_owned(), id.clone(), PROMOTING_US);
-            self.send_peers(&Msg::Promoting { service: service.clone(), id: id.clone(), us });
-            self.publish(News::Promoting { service, id, us });
+            self.send_peers(&Message::Promoting { service: service.clone(), id: id.clone(), max_wait_us: us });
+            self.publish(FeedUpdate::Promoting { service, id, max_wait_us: us });
         }
         let turn = self.turn(service);
         let ask = self.ask(service, &id, turn);
--- a/crates/wv-control/src/recall.rs
+++ b/crates/wv-control/src/recall.rs
@@ -1,6 +1,6 @@
 //! What a control node recalls of the databases after a restart: hints from its own disk until beats come.
 use crate::core::{Core, LOCAL};
-use wv_inner::{Inst, Lead, News};
+use wv_inner::{FeedUpdate, Instance, Leader};
 
 /// More than this is not kept; beats bring the rest within moments.
 const KEPT_MAX: usize = 1 << 20;
@@ -20,16 +20,16 @@
     gone: bool,
 }
 
-impl From<&Inst> for KeptInst {
-    fn from(inst: &Inst) -> KeptInst {
+impl From<&Instance> for KeptInst {
+    fn from(inst: &Instance) -> KeptInst {
         KeptInst {
             id: inst.id.clone(),
             service: inst.service.clone(),
-            addr: inst.addr.clone(),
+            addr: inst.address.clone(),
             zone: inst.zone.clone(),
             capacity: inst.capacity,
             draining: inst.draining,
-            cold_us: inst.cold_us,
+            cold_us: inst.cold_left_us,
             primary: inst.primary,
             sequence: inst.sequence,
             gone: inst.gone,
@@ -37,20 +37,20 @@
     }
 }
 
-impl From<KeptInst> for Inst {
-    fn from(kept: KeptInst) -> Inst {
-        Inst {
+impl From<KeptInst> for Instance {
+    fn from(kept: KeptInst) -> Instance {
+        Instance {
             id: kept.id,
             service: kept.service,
-            addr: kept.addr,
+            address: kept.addr,
             zone: kept.zone,
             capacity: kept.capacity,
             draining: kept.draining,
-            cold_us: kept.cold_us,
+            cold_left_us: kept.cold_us,
             primary: kept.primary,
             sequence: kept.sequence,
             gone: kept.gone,
-            leaving_us: wv_inner::LONG_AGO_US,
+            leaving_age_us: wv_inner::UNKNOWN_AGE_US,
         }
     }
 }
@@ -58,7 +58,7 @@
 #[derive(nanoserde::SerBin, nanoserde::DeBin, Default)]
 struct Kept {
     insts: Vec<KeptInst>,
-    leads: Vec<Lead>,
+    leads: Vec<Leader>,
     nodes: u32,
 }
 
@@ -101,11 +101,11 @@
         // each with a share counted over the few that are already here, would overrun the databases.
         self.nodes_recalled = kept.nodes;
         // One that left may have held what nobody else does, also if this node has only just come back.
-        let (gone, here): (Vec<Inst>, Vec<Inst>) =
-            kept.insts.into_iter().map(Inst::from).partition(|inst: &Inst| inst.gone);
+        let (gone, here): (Vec<Instance>, Vec<Instance>) =
+            kept.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
         for inst in gone {
             self.left.insert(inst.id.clone(), Default::default());
-            self.table.offer(Inst { gone: false, ..inst.clone() });
+            self.table.offer(Instance { gone: false, ..inst.clone() });
             self.table.offer(inst);
         }
         for inst in here {
@@ -113,8 +113,8 @@
                 self.claims.replicas.insert(inst.id.clone());
             }
             let changed = self.table.offer(inst);
-            changed.into_iter().for_each(|inst| self.publish(News::Inst(inst)));
+            changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
         }
-        kept.leads.into_iter().for_each(|lead| self.publish(News::Lead(lead)));
+        kept.leads.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
     }
 }
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,7 +1,7 @@
 //! Planned shards: who drives their splits, and what the machine of each one reads and orders.
 use crate::core::{Act, Core};
 use std::collections::BTreeMap;
-use wv_inner::{Marks, Msg, SlotMap};
+use wv_inner::{Marks, Message, SlotMap};
 use wv_split::{Event, Names, Order, Plan, Side, Split, View};
 
 /// A holder that has just started, or was out of contact, first hears who is there.
@@ -52,11 +52,11 @@
     }
 
     pub(crate) fn is_shard_holder(&self, shard: &str) -> bool {
-        self.roster.is_holder(&key("split", shard))
+        self.roster.is_duty_holder(&key("split", shard))
     }
 
     pub(crate) fn shard_holder(&self, shard: &str) -> String {
-        self.roster.holder(&key("split", shard)).to_owned()
+        self.roster.duty_holder(&key("split", shard)).to_owned()
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_conf::ShardPlan> {
@@ -141,7 +141,7 @@
                     Side::Source => shard.to_owned(),
                     Side::Target => plan.map(|plan| plan.upper.clone()).unwrap_or_default(),
                 };
-                let Some(addr) = self.table.get(&id).map(|inst| inst.addr.clone()) else {
+                let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
                     return self.shard_event(shard, Event::Ran { token, replies: None });
                 };
                 let run = self.fresh_id();
@@ -177,7 +177,7 @@
     pub(crate) fn take_marks(&mut self, node: &str, marks: Marks) {
         let holder = self.shard_holder(&marks.shard);
         if holder != self.me {
-            self.send_peer(&holder, Msg::PeerMarks { node: node.to_owned(), marks });
+            self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys: marks });
             return;
         }
         let (shard, attempt, life, serial) = (marks.shard.clone(), marks.attempt, marks.life, marks.serial);
@@ -186,11 +186,14 @@
             return;
         }
         self.shard_event(&shard, Event::Marks { node: node.to_owned(), marks });
-        self.tell_node(node, Msg::Marked { node: node.to_owned(), shard, attempt, life, serial });
+        self.tell_node(
+            node,
+            Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
+        );
     }
 
     /// A word for one access node: on its session here, or through the control node that holds it.
-    pub(crate) fn tell_node(&mut self, node: &str, msg: Msg) {
+    pub(crate) fn tell_node(&mut self, node: &str, msg: Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         if own.is_empty() {
@@ -200,7 +203,7 @@
     }
 
     /// The same, as another control node passed it on.
-    pub(crate) fn pass_on(&mut self, node: &str, msg: &Msg) {
+    pub(crate) fn pass_on(&mut self, node: &str, msg: &Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         own.into_iter().for_each(|link| self.send(link, msg.clone()));
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -31,7 +31,7 @@
 impl Core {
     /// The holder of the duty empties what nothing refers to any more.
     pub(crate) fn run_sweep(&mut self) {
-        if self.swept + SWEEP_US > self.now || !self.roster.is_holder(DUTY) || !self.is_caught_up() {
+        if self.swept + SWEEP_US > self.now || !self.roster.is_duty_holder(DUTY) || !self.is_caught_up() {
             return;
         }
         self.swept = self.now;
--- a/crates/wv-control/src/takeover.rs
+++ b/crates/wv-control/src/takeover.rs
@@ -1,7 +1,7 @@
 //! How a disk comes to hold what the voters hold: a member of a new set before it votes, and a learner beforehand.
 use crate::core::Core;
 use std::collections::BTreeSet;
-use wv_inner::{Held, Msg, Takeover};
+use wv_inner::{Held, Message, Takeover};
 use wv_reg::parts;
 
 /// A learner that holds everything compares again after this.
@@ -84,7 +84,7 @@
             (self.seat.voters.clone(), self.seat.before.clone(), self.quorum.next_request());
         let sum = parts::total(&parts::sums(&self.store));
         let (now, open) = (self.now, Vec::new());
-        self.send_peer(&source, Msg::Takeover(Takeover::Compare { request, voters, before, sum }));
+        self.send_peer(&source, Message::Takeover(Takeover::Compare { request, voters, before, sum }));
         self.progress.current = Some(Comparison { source, request, began: now, heard: now, set: 0, open, asked: 0 });
     }
 
@@ -117,12 +117,12 @@
                 if set > 0 {
                     let sums = parts::sums(&self.store);
                     let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                    self.send(link, Msg::Takeover(Takeover::Sums { request, set, sums }));
+                    self.send(link, Message::Takeover(Takeover::Sums { request, set, sums }));
                 }
             }
             Takeover::Lacking { request, ranges } => {
                 let (cells, is_whole) = parts::part(&self.store, &ranges);
-                self.send(link, Msg::Takeover(Takeover::Part { request, cells, is_whole }));
+                self.send(link, Message::Takeover(Takeover::Part { request, cells, is_whole }));
             }
             Takeover::Sums { request, set, sums } => self.compared(addr, request, set, &sums),
             Takeover::Part { request, cells, is_whole } => self.told_part(addr, request, cells, is_whole),
@@ -173,7 +173,7 @@
         let ranges = parts::listed(&self.store, &held.open);
         held.asked = ranges.len();
         let (source, request) = (held.source.clone(), held.request);
-        self.send_peer(&source, Msg::Takeover(Takeover::Lacking { request, ranges }));
+        self.send_peer(&source, Message::Takeover(Takeover::Lacking { request, ranges }));
     }
 
     /// All that the source held when it was asked stands here.
--- a/crates/wv-control/src/thin.rs
+++ b/crates/wv-control/src/thin.rs
@@ -1,7 +1,7 @@
 //! Control nodes that keep nothing, on thin links: they follow the configuration in force as access nodes do, by what
 //! differs. Reading the register would bring each voter's copy of it over the link, again with each try.
 use crate::core::Core;
-use wv_inner::{Msg, News};
+use wv_inner::{FeedUpdate, Message};
 
 /// What was asked for is there by then, or is asked for again: a packed configuration takes a fifth of a second over
 /// 2 Mbit/s.
@@ -39,7 +39,7 @@
     fn lack(&mut self, addr: &str, version: u64) {
         if self.lacked == 0 || self.lacked + LACK_US <= self.now {
             self.lacked = self.now;
-            self.send_peer(addr, Msg::Lack { version });
+            self.send_peer(addr, Message::ConfigurationRequest { version });
         }
     }
 
@@ -47,18 +47,18 @@
     pub(crate) fn take_lack(&mut self, link: u64, version: u64) {
         if version < self.feed.conf_version() {
             let news = self.feed.conf_since(version);
-            self.send(link, Msg::InForce(news));
+            self.send(link, Message::CommittedConfigurations(news));
         }
     }
 
     /// Another node says what stands on a majority.
-    pub(crate) fn take_in_force(&mut self, addr: &str, news: Vec<News>) {
+    pub(crate) fn take_in_force(&mut self, addr: &str, news: Vec<FeedUpdate>) {
         for news in news {
             let read = match news {
-                News::Conf { version, body } if version > self.published => {
+                FeedUpdate::Configuration { version, body } if version > self.published => {
                     self.packs.unpack(&body, crate::core::BODY_MAX).map(|text| (version, body, text))
                 }
-                News::ConfChange { base, version, change } if version > self.published => {
+                FeedUpdate::ConfigurationDelta { base, version, delta: change } if version > self.published => {
                     if base != self.published {
                         return self.lack(addr, self.published);
                     }
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -1,7 +1,7 @@
 //! Regular work of a control node.
 use crate::core::{Act, Core};
 use crate::types::Link;
-use wv_inner::{Msg, News};
+use wv_inner::{FeedUpdate, Message};
 
 const PING_US: u64 = 400_000;
 /// Sessions are told again after this many pings.
@@ -38,7 +38,7 @@
         if self.repaired + gap <= self.now {
             self.repaired = self.now;
             let ranges = self.table.digests();
-            self.send_peers(&Msg::Digests { ranges });
+            self.send_peers(&Message::InstanceDigests { digests: ranges });
         }
         if self.forgot + FORGET_US <= self.now {
             self.forgot = self.now;
@@ -55,7 +55,7 @@
         self.serve_follows();
         self.keep_table();
         self.take_over();
-        self.roster.tick(self.now);
+        self.roster.expire_sessions(self.now);
         self.settle_holders();
         self.run_voters();
         self.run_duties();
@@ -101,7 +101,7 @@
         let nodes = self.roster.sessions(self.now);
         self.sessions_age += 1;
         if nodes != self.sessions_told || self.sessions_age >= SESSIONS_EVERY {
-            self.send_peers(&Msg::Sessions { nodes: nodes.clone() });
+            self.send_peers(&Message::Sessions { sessions: nodes.clone() });
             (self.sessions_told, self.sessions_age) = (nodes, 0);
         }
     }
@@ -111,12 +111,12 @@
         // Who still waits for this young node is told nothing yet.
         let is_told = |link: &Link| link.node.is_some() && link.awaited.is_none();
         let followers: Vec<u64> = self.links.iter().filter(|(_, link)| is_told(link)).map(|(id, _)| *id).collect();
-        followers.into_iter().for_each(|link| self.send(link, Msg::Beat { fresh }));
+        followers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
     }
 
     pub(crate) fn tell_nodes(&mut self) {
         let recalled = if self.now < self.born + FEWER_US { self.nodes_recalled } else { 0 };
-        let nodes = (self.roster.count() as u32).max(recalled);
+        let nodes = (self.roster.node_count() as u32).max(recalled);
         // Nodes that are only out of sight keep their connections: if the rest took larger shares at once, the
         // databases would have to refuse some of them. More nodes count at once, fewer only when they stay away.
         if nodes >= self.nodes_told {
@@ -127,7 +127,7 @@
             self.nodes_told = nodes;
             log::info!("nodes {nodes}");
             self.is_table_due = true;
-            self.publish(News::Nodes(nodes));
+            self.publish(FeedUpdate::NodeCount(nodes));
         }
     }
 
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -1,12 +1,12 @@
 //! What a control node keeps on its links, peers and calls.
-use wv_inner::Msg;
+use wv_inner::Message;
 
 /// What the executor is told to do.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Act {
     Send {
         link: u64,
-        msg: Msg,
+        msg: Message,
     },
     Close {
         link: u64,
--- a/crates/wv-control/src/voter.rs
+++ b/crates/wv-control/src/voter.rs
@@ -1,6 +1,6 @@
 //! The voter's side of the registers, and the quorum's traffic.
 use crate::core::Core;
-use wv_inner::{Ballot, Msg, Step, Vote};
+use wv_inner::{Ballot, Message, Step, Vote};
 
 impl Core {
     /// What a voter of `set` here says to a step; nobody else says anything. Nor does a disk that fails: that is no
@@ -51,7 +51,9 @@
                     self.send_peer(&voter, msg);
                     continue;
                 }
-                let Msg::Call { asker, request, set, key, step } = msg else { continue };
+                let Message::RegisterRequest { requester: asker, request, voter_set: set, key, step } = msg else {
+                    continue;
+                };
                 let vote = self.vote(set, &key, &step);
                 let me = self.me.clone();
                 vote.into_iter().for_each(|vote| self.quorum.voted(&me, (asker, request), &key, vote, self.now));
--- a/crates/wv-control/src/voters.rs
+++ b/crates/wv-control/src/voters.rs
@@ -1,7 +1,7 @@
 //! The set of voters in change: who plans it, and how it is agreed on.
 use crate::core::{Core, FRESH_US};
 use crate::types::Peer;
-use wv_inner::{Member, Msg, Voters};
+use wv_inner::{Member, Message, Voters};
 use wv_reg::{Change, End};
 
 /// The key of the duty of changing the voters.
@@ -16,12 +16,17 @@
 const FORGOTTEN_US: u64 = 60_000_000;
 
 impl Core {
-    pub(crate) fn peers_msg(&self) -> Msg {
+    pub(crate) fn peers_msg(&self) -> Message {
         let is_worth = |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_named(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
         let addrs: Vec<String> = self.peers.keys().filter(is_worth).cloned().chain([self.me.clone()]).collect();
         let zones = addrs.iter().map(zone).collect();
-        Msg::Peers { addrs, zones, voters: self.seat.voters.clone(), before: self.seat.before.clone() }
+        Message::Peers {
+            addresses: addrs,
+            zones,
+            voters: self.seat.voters.clone(),
+            previous_voters: self.seat.before.clone(),
+        }
     }
 
     fn is_named(&self, addr: &str) -> bool {
@@ -101,7 +106,7 @@
             })
         };
         let is_own = self.is_core && self.seat.sits_in(&self.me) > 0 && !self.is_leaving;
-        is_own && self.roster.is_holder_among(DUTY, is_meant)
+        is_own && self.roster.is_duty_holder_among(DUTY, is_meant)
     }
 
     /// Whether every member that is reachable votes: before that nobody else is changed, so that what the set is meant to
--- a/crates/wv-control/tests/alone/mod.rs
+++ b/crates/wv-control/tests/alone/mod.rs
@@ -1,7 +1,7 @@
 //! One control node among three, whose peers answer when the story says so.
 use std::collections::BTreeMap;
 use wv_control::{Act, Core, Start};
-use wv_inner::{Ballot, Cell, Msg, Step, Vote};
+use wv_inner::{Ballot, Cell, Message, Step, Vote};
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
@@ -13,7 +13,7 @@
     pub now: u64,
     pub links: BTreeMap<String, u64>,
     /// What it has sent to each peer and is not answered yet.
-    pub sent: Vec<(String, Msg)>,
+    pub sent: Vec<(String, Message)>,
     pub returns: BTreeMap<u64, u16>,
     /// How often it asked a database something.
     pub asked: usize,
@@ -70,7 +70,7 @@
         }
     }
 
-    pub fn hear(&mut self, from: &str, msg: Msg) {
+    pub fn hear(&mut self, from: &str, msg: Message) {
         self.core.msg(self.links[from], msg, self.now);
         self.acts();
     }
@@ -80,8 +80,17 @@
         let link = self.core.link_in(self.now);
         self.links.insert("a0".to_owned(), link);
         let (node, place) = ("a0".to_owned(), String::new());
-        self.hear("a0", Msg::Hello { node, control: String::new(), zone: String::new(), place, life: 5 });
-        self.hear("a0", Msg::Follow { life: 0, place: 0 });
+        self.hear(
+            "a0",
+            Message::Hello {
+                node,
+                control_address: String::new(),
+                zone: String::new(),
+                handover_address: place,
+                incarnation: 5,
+            },
+        );
+        self.hear("a0", Message::Subscribe { incarnation: 0, position: 0 });
     }
 
     /// Its turns for so long; nothing is answered.
@@ -95,14 +104,14 @@
     }
 
     /// Takes out what was sent and is meant.
-    pub fn take(&mut self, is_meant: impl Fn(&Msg) -> bool) -> Vec<(String, Msg)> {
+    pub fn take(&mut self, is_meant: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
         let (meant, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, msg)| is_meant(msg));
         self.sent = rest;
         meant
     }
 
     /// The peers answer what was sent so far and is meant, as empty voters do.
-    pub fn answer(&mut self, is_meant: impl Fn(&Msg) -> bool) {
+    pub fn answer(&mut self, is_meant: impl Fn(&Message) -> bool) {
         for (from, msg) in self.take(is_meant) {
             reply(&msg).into_iter().for_each(|answer| self.hear(&from, answer));
         }
@@ -118,7 +127,7 @@
     }
 
     /// The next round of pings: when it was sent, and the pings.
-    pub fn pings(&mut self) -> (u64, Vec<(String, Msg)>) {
+    pub fn pings(&mut self) -> (u64, Vec<(String, Message)>) {
         self.sent.clear();
         while !self.sent.iter().any(|(_, msg)| is_ping(msg)) {
             self.run(100 * MS);
@@ -134,29 +143,42 @@
     }
 }
 
-pub fn reply(msg: &Msg) -> Option<Msg> {
+pub fn reply(msg: &Message) -> Option<Message> {
     match msg.clone() {
-        Msg::Ping { asker, request } => {
-            Some(Msg::Pong { asker, request, conf: 0, disk: Some(0), set: 1, sealed: 0, ready: true })
-        }
-        Msg::Call { asker, request, key, step, .. } => {
+        Message::Ping { requester: asker, request } => Some(Message::Pong {
+            requester: asker,
+            request,
+            version: 0,
+            disk: Some(0),
+            voter_set: 1,
+            sealed_set: 0,
+            ready: true,
+        }),
+        Message::RegisterRequest { requester: asker, request, key, step, .. } => {
             let vote = match step {
                 Step::Accept { .. } => Vote::Accepted,
                 _ => Vote::Holds { accepted: Ballot::default(), cell: Some(Cell::default()) },
             };
-            Some(Msg::Voted { asker, request, key, vote })
+            Some(Message::RegisterReply { requester: asker, request, key, vote })
         }
-        Msg::Hello { .. } => {
+        Message::Hello { .. } => {
             let member = |at| wv_inner::Member { addr: format!("10.0.0.{at}:80"), disk: 0 };
             let voters = wv_inner::Voters { number: 1, members: (1..4).map(member).collect() };
-            Some(Msg::Peers { addrs: Vec::new(), zones: Vec::new(), voters, before: wv_inner::Voters::default() })
+            Some(Message::Peers {
+                addresses: Vec::new(),
+                zones: Vec::new(),
+                voters,
+                previous_voters: wv_inner::Voters::default(),
+            })
+        }
+        Message::Resync { requester: asker, request, .. } => Some(Message::ResyncDone { requester: asker, request }),
+        Message::Instance { requester: asker, request, instance: inst } if request > 0 => {
+            Some(Message::InstanceAck { requester: asker, request, id: inst.id })
         }
-        Msg::Recap { asker, request, .. } => Some(Msg::Recapped { asker, request }),
-        Msg::Inst { asker, request, inst } if request > 0 => Some(Msg::InstHeld { asker, request, id: inst.id }),
         _ => None,
     }
 }
 
-pub fn is_ping(msg: &Msg) -> bool {
-    matches!(msg, Msg::Ping { .. })
+pub fn is_ping(msg: &Message) -> bool {
+    matches!(msg, Message::Ping { .. })
 }
--- a/crates/wv-control/tests/asks.rs
+++ b/crates/wv-control/tests/asks.rs
@@ -1,7 +1,7 @@
 //! Stories of answers to what a control node asked: each counts for its own question, once, or not at all.
 use googletest::prelude::*;
 use wv_control::{Act, Core, Start};
-use wv_inner::Msg;
+use wv_inner::Message;
 use wv_promo::StatusReply;
 use wv_wire::{Pos, Status};
 
@@ -187,23 +187,23 @@
 fn given_a_stray_primary_that_is_told_to_yield_then_the_row_of_that_is_not_the_one_of_its_suspension() {
     let (mut node, looks) = looking();
     let link = node.core.link_in(node.now);
-    let hello = Msg::Hello {
+    let hello = Message::Hello {
         node: "a0".to_owned(),
-        control: String::new(),
+        control_address: String::new(),
         zone: String::new(),
-        place: String::new(),
-        life: 5,
+        handover_address: String::new(),
+        incarnation: 5,
     };
-    let sight = wv_inner::Sighting {
+    let sight = wv_inner::HealthReport {
         id: "d1".to_owned(),
-        sight: wv_inner::Sight::Up,
-        since_us: 0,
-        heard_ago_us: 0,
-        fenced: "3.9".to_owned(),
-        fenced_ago_us: 0,
+        health: wv_inner::Health::Up,
+        health_age_us: 0,
+        last_heard_age_us: 0,
+        fenced_position: "3.9".to_owned(),
+        fenced_age_us: 0,
     };
     node.core.msg(link, hello, node.now);
-    node.core.msg(link, Msg::Sights(vec![sight]), node.now);
+    node.core.msg(link, Message::HealthReports(vec![sight]), node.now);
     for (ask, id, _) in &looks {
         let (is_primary, term, number) = if id == "d2" { (true, 2, 5) } else { (false, 3, 9) };
         let received = Pos { term, number };
--- a/crates/wv-control/tests/common/mod.rs
+++ b/crates/wv-control/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! One control node by itself, spoken to message by message.
 use std::collections::BTreeMap;
 use wv_control::{Act, Core, Start};
-use wv_inner::Msg;
+use wv_inner::Message;
 use wv_reg::{MemFiles, Store};
 
 /// One control node and the links it dialled, by address.
@@ -41,19 +41,19 @@
     }
 
     /// What it says to a message of `from`.
-    pub fn hear(&mut self, from: &str, msg: Msg) -> Vec<(u64, Msg)> {
+    pub fn hear(&mut self, from: &str, msg: Message) -> Vec<(u64, Message)> {
         self.now += 1_000;
         let link = self.links[&format!("{from}:80")];
         self.core.msg(link, msg, self.now);
         self.said()
     }
 
-    pub fn said(&mut self) -> Vec<(u64, Msg)> {
+    pub fn said(&mut self) -> Vec<(u64, Message)> {
         let acts = self.core.take_acts().into_iter();
         acts.filter_map(|act| if let Act::Send { link, msg } = act { Some((link, msg)) } else { None }).collect()
     }
 
-    pub fn tick(&mut self) -> Vec<(u64, Msg)> {
+    pub fn tick(&mut self) -> Vec<(u64, Message)> {
         self.now += 100_000;
         self.core.tick(self.now);
         self.said()
--- a/crates/wv-control/tests/contact.rs
+++ b/crates/wv-control/tests/contact.rs
@@ -3,7 +3,7 @@
 
 use alone::{is_ping, reply, Node, MS, S, WHO};
 use googletest::prelude::*;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 const BEAT: &str = r#"{"destination":"s","address":"10.9.0.1:1","state":"in_service","sequence":9}"#;
 const DRAIN: &str = r#"{"destination":"s","address":"10.9.0.1:1","state":"draining","sequence":10}"#;
@@ -49,8 +49,23 @@
     let mut node = Node::new();
     node.run(500 * MS);
     for (from, msg) in node.take(is_ping) {
-        let Some(Msg::Pong { request, conf, disk, set, sealed, ready, .. }) = reply(&msg) else { continue };
-        node.hear(&from, Msg::Pong { asker: WHO + 1, request, conf, disk, set, sealed, ready });
+        let Some(Message::Pong { request, version: conf, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
+            reply(&msg)
+        else {
+            continue;
+        };
+        node.hear(
+            &from,
+            Message::Pong {
+                requester: WHO + 1,
+                request,
+                version: conf,
+                disk,
+                voter_set: set,
+                sealed_set: sealed,
+                ready,
+            },
+        );
     }
     expect_that!(node.core.is_fresh(), eq(false));
     node.serve(500 * MS);
@@ -66,10 +81,17 @@
     let late = pings.pop().expect("two voters");
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     node.run(asked + 1200 * MS - node.now);
-    let Some(Msg::Pong { asker, request, disk, set, sealed, ready, .. }) = reply(&late.1) else { return };
-    node.hear(&late.0, Msg::Pong { asker, request, conf: 9, disk, set, sealed, ready });
+    let Some(Message::Pong { requester: asker, request, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
+        reply(&late.1)
+    else {
+        return;
+    };
+    node.hear(
+        &late.0,
+        Message::Pong { requester: asker, request, version: 9, disk, voter_set: set, sealed_set: sealed, ready },
+    );
     expect_that!(node.core.is_caught_up(), eq(true));
-    let is_look = |msg: &Msg| matches!(msg, Msg::Call { key, .. } if key == "conf");
+    let is_look = |msg: &Message| matches!(msg, Message::RegisterRequest { key, .. } if key == "conf");
     let looks = node.take(is_look);
     assert_that!(looks.len(), ge(1));
     node.run(100 * MS);
@@ -78,7 +100,7 @@
     let (_, pings) = node.pings();
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     expect_that!(node.core.is_fresh(), eq(true));
-    node.answer(|msg| matches!(msg, Msg::Recap { .. }));
+    node.answer(|msg| matches!(msg, Message::Resync { .. }));
     for (from, msg) in &looks {
         node.hear(from, reply(msg).expect("a vote"));
     }
@@ -92,16 +114,18 @@
     let mut node = Node::new();
     for _ in 0..20 {
         node.run(100 * MS);
-        (0..6).for_each(|_| node.answer(|msg| !matches!(msg, Msg::Recap { .. })));
+        (0..6).for_each(|_| node.answer(|msg| !matches!(msg, Message::Resync { .. })));
     }
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
     // An answer to an earlier spell's question is none.
-    let recap = node.take(|msg| matches!(msg, Msg::Recap { .. })).pop();
-    let Some((from, Msg::Recap { asker, request, .. })) = recap else { return expect_that!(true, eq(false)) };
-    node.hear(&from, Msg::Recapped { asker, request: request - 1 });
-    node.hear(&from, Msg::Recapped { asker: asker + 1, request });
+    let recap = node.take(|msg| matches!(msg, Message::Resync { .. })).pop();
+    let Some((from, Message::Resync { requester: asker, request, .. })) = recap else {
+        return expect_that!(true, eq(false));
+    };
+    node.hear(&from, Message::ResyncDone { requester: asker, request: request - 1 });
+    node.hear(&from, Message::ResyncDone { requester: asker + 1, request });
     expect_that!(node.core.is_caught_up(), eq(false));
-    node.hear(&from, Msg::Recapped { asker, request });
+    node.hear(&from, Message::ResyncDone { requester: asker, request });
     expect_that!(node.core.is_caught_up(), eq(true));
 }
 
@@ -113,7 +137,7 @@
     // Nobody answers: not in the second that the database waits, nor when it asks this node again.
     for _ in 0..2 {
         expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-        node.take(|msg| matches!(msg, Msg::Inst { .. }));
+        node.take(|msg| matches!(msg, Message::Instance { .. }));
         (0..9).for_each(|_| {
             node.run(100 * MS);
             node.answer(is_ping);
@@ -124,7 +148,7 @@
     // One of the other two holds it: with this node a majority, and as many as may be lost besides.
     let token_before = node.returns.len();
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let told = node.take(|msg| matches!(msg, Msg::Inst { .. }));
+    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
     node.hear(&told[0].0, reply(&told[0].1).expect("held"));
     expect_that!(node.returns.len(), eq(token_before + 1));
     expect_that!(node.returns.values().last(), some(eq(&200)));
@@ -133,7 +157,7 @@
     // A database that this node never heard of may be known elsewhere.
     expect_that!(node.call("DELETE", "/instances/i-2", ""), none());
     expect_that!(
-        node.take(|msg| matches!(msg, Msg::Inst { inst, .. } if inst.gone && inst.id == "i-2")),
+        node.take(|msg| matches!(msg, Message::Instance { instance: inst, .. } if inst.gone && inst.id == "i-2")),
         not(is_empty())
     );
 }
@@ -143,7 +167,7 @@
     let mut node = Node::bearing(2);
     node.serve(2 * S);
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let told = node.take(|msg| matches!(msg, Msg::Inst { .. }));
+    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
     node.hear(&told[0].0, reply(&told[0].1).expect("held"));
     expect_that!(node.returns.values().collect::<Vec<_>>(), is_empty());
     node.hear(&told[1].0, reply(&told[1].1).expect("held"));
@@ -155,26 +179,26 @@
     let mut node = Node::new();
     node.serve(2 * S);
     node.follow();
-    let is_to_follower = |node: &mut Node| -> Vec<Msg> {
+    let is_to_follower = |node: &mut Node| -> Vec<Message> {
         let (told, rest) = std::mem::take(&mut node.sent).into_iter().partition(|(to, _)| to == "a0");
         node.sent = rest;
-        let told: Vec<(String, Msg)> = told;
+        let told: Vec<(String, Message)> = told;
         told.into_iter().map(|(_, msg)| msg).collect()
     };
-    expect_that!(is_to_follower(&mut node).iter().any(|msg| matches!(msg, Msg::Snapshot { .. })), eq(true));
+    expect_that!(is_to_follower(&mut node).iter().any(|msg| matches!(msg, Message::Snapshot { .. })), eq(true));
     let (asked, pings) = node.pings();
     for (from, msg) in &pings {
         node.hear(from, reply(msg).expect("a pong"));
     }
     node.run(asked + 1200 * MS - node.now);
     let before = is_to_follower(&mut node);
-    expect_that!(before.iter().any(|msg| matches!(msg, Msg::Beat { fresh: false })), eq(false));
+    expect_that!(before.iter().any(|msg| matches!(msg, Message::ControlHeartbeat { has_majority: false })), eq(false));
     node.run(100 * MS);
-    expect_that!(is_to_follower(&mut node), contains(eq(&Msg::Beat { fresh: false })));
+    expect_that!(is_to_follower(&mut node), contains(eq(&Message::ControlHeartbeat { has_majority: false })));
     // What databases say is known here on, and told to no follower.
     node.call("PUT", "/instances/i-7", BEAT);
     let after = is_to_follower(&mut node);
-    expect_that!(after.iter().any(|msg| matches!(msg, Msg::Change { .. } | Msg::Snapshot { .. })), eq(false));
+    expect_that!(after.iter().any(|msg| matches!(msg, Message::Update { .. } | Message::Snapshot { .. })), eq(false));
 }
 
 #[gtest]
@@ -185,8 +209,22 @@
         for _ in 0..30 {
             node.run(100 * MS);
             for (from, msg) in node.take(is_ping) {
-                let Some(Msg::Pong { asker, request, conf, disk, ready, .. }) = reply(&msg) else { continue };
-                node.hear(&from, Msg::Pong { asker, request, conf, disk, set: 0, sealed, ready });
+                let Some(Message::Pong { requester: asker, request, version: conf, disk, ready, .. }) = reply(&msg)
+                else {
+                    continue;
+                };
+                node.hear(
+                    &from,
+                    Message::Pong {
+                        requester: asker,
+                        request,
+                        version: conf,
+                        disk,
+                        voter_set: 0,
+                        sealed_set: sealed,
+                        ready,
+                    },
+                );
             }
         }
         expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((is_contact, is_contact)));
--- a/crates/wv-control/tests/drains.rs
+++ b/crates/wv-control/tests/drains.rs
@@ -4,7 +4,7 @@
 
 use alone::{Node, MS, S};
 use googletest::prelude::*;
-use wv_inner::{Inst, Msg, News, LONG_AGO_US};
+use wv_inner::{FeedUpdate, Instance, Message, UNKNOWN_AGE_US};
 
 const PEER: &str = "10.0.0.2:80";
 
@@ -24,32 +24,32 @@
     node
 }
 
-fn word(draining: bool, sequence: u64, leaving_us: u64) -> Msg {
-    let inst = Inst {
+fn word(draining: bool, sequence: u64, leaving_us: u64) -> Message {
+    let inst = Instance {
         id: "d1".to_owned(),
         service: "s".to_owned(),
-        addr: "10.9.0.1:80".to_owned(),
+        address: "10.9.0.1:80".to_owned(),
         capacity: 10,
         sequence,
         draining,
-        leaving_us,
-        ..Inst::default()
+        leaving_age_us: leaving_us,
+        ..Instance::default()
     };
-    Msg::Inst { asker: 0, request: 0, inst }
+    Message::Instance { requester: 0, request: 0, instance: inst }
 }
 
 /// The age that goes out with each word on the database since this was last asked.
 fn ages(node: &mut Node) -> Vec<u64> {
     let sent = std::mem::take(&mut node.sent);
-    let in_news = |news: &News| match news {
-        News::Inst(inst) => Some(inst.leaving_us),
+    let in_news = |news: &FeedUpdate| match news {
+        FeedUpdate::Instance(inst) => Some(inst.leaving_age_us),
         _ => None,
     };
-    let age = |msg: &Msg| match msg {
-        Msg::Inst { inst, .. } => Some(inst.leaving_us),
-        Msg::Change { news, .. } => in_news(news),
-        Msg::Snapshot { news, .. } => news.iter().find_map(in_news),
-        Msg::Range { insts, .. } => insts.first().map(|inst| inst.leaving_us),
+    let age = |msg: &Message| match msg {
+        Message::Instance { instance: inst, .. } => Some(inst.leaving_age_us),
+        Message::Update { update: news, .. } => in_news(news),
+        Message::Snapshot { updates: news, .. } => news.iter().find_map(in_news),
+        Message::InstanceRange { instances: insts, .. } => insts.first().map(|inst| inst.leaving_age_us),
         _ => None,
     };
     sent.iter().filter_map(|(_, msg)| age(msg)).collect()
@@ -85,7 +85,7 @@
     beat(&mut node, "draining", 7);
     let ages = ages(&mut node);
     expect_that!(ages, not(is_empty()));
-    expect_that!(ages, each(eq(&LONG_AGO_US)));
+    expect_that!(ages, each(eq(&UNKNOWN_AGE_US)));
 }
 
 #[gtest]
@@ -114,7 +114,7 @@
 
 #[gtest]
 fn given_a_peer_that_recalls_the_database_from_its_disk_then_it_is_no_witness_that_it_was_in_service() {
-    for (witness_us, wanted) in [(LONG_AGO_US, LONG_AGO_US), (0, 0)] {
+    for (witness_us, wanted) in [(UNKNOWN_AGE_US, UNKNOWN_AGE_US), (0, 0)] {
         let mut node = Node::new();
         node.serve(2 * S);
         node.hear(PEER, word(false, 1, witness_us));
@@ -142,9 +142,9 @@
     let link = node.links[PEER];
     node.core.link_down(link, node.now);
     node.run(S);
-    let told = node.take(|msg| matches!(msg, Msg::Inst { .. }));
+    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
     expect_that!(told.len(), ge(1));
-    let is_old = |msg: &Msg| matches!(msg, Msg::Inst { inst, .. } if inst.leaving_us >= S);
+    let is_old = |msg: &Message| matches!(msg, Message::Instance { instance: inst, .. } if inst.leaving_age_us >= S);
     expect_that!(told.iter().all(|(_, msg)| is_old(msg)), eq(true));
 }
 
@@ -156,9 +156,9 @@
     node.sent.clear();
     // Its digests are equal: it knows that the database leaves, and not since when.
     node.run(2 * S);
-    let digests = node.take(|msg| matches!(msg, Msg::Digests { .. }));
-    let Some((_, Msg::Digests { ranges })) = digests.first().cloned() else { return };
+    let digests = node.take(|msg| matches!(msg, Message::InstanceDigests { .. }));
+    let Some((_, Message::InstanceDigests { digests: ranges })) = digests.first().cloned() else { return };
     node.sent.clear();
-    node.hear(PEER, Msg::Recap { asker: 5, request: 1, ranges });
+    node.hear(PEER, Message::Resync { requester: 5, request: 1, digests: ranges });
     expect_that!(ages(&mut node), elements_are![ge(&(4 * S))]);
 }
--- a/crates/wv-control/tests/holds.rs
+++ b/crates/wv-control/tests/holds.rs
@@ -3,7 +3,7 @@
 mod alone;
 
 use googletest::prelude::*;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 fn beat(node: &mut alone::Node, state: &str, sequence: u32) -> Option<u16> {
     let body = serde_json::json!({"destination": "s", "address": "10.9.0.1:80", "zone": "z0", "issue": "v1",
@@ -20,10 +20,10 @@
     node.serve(alone::S);
     node.sent.clear();
     expect_that!(beat(&mut node, "draining", 2), none());
-    let asked = node.take(|msg| matches!(msg, Msg::Inst { request, .. } if *request > 0));
+    let asked = node.take(|msg| matches!(msg, Message::Instance { request, .. } if *request > 0));
     expect_that!(asked.len(), eq(2));
-    let Msg::Inst { asker, request, .. } = asked[0].1.clone() else { return };
-    let held = |asker, request, id: &str| Msg::InstHeld { asker, request, id: id.to_owned() };
+    let Message::Instance { requester: asker, request, .. } = asked[0].1.clone() else { return };
+    let held = |asker, request, id: &str| Message::InstanceAck { requester: asker, request, id: id.to_owned() };
     let before = node.returns.len();
     for _ in 0..3 {
         node.hear(&asked[0].0, held(asker, request, "d1"));
--- a/crates/wv-control/tests/leads.rs
+++ b/crates/wv-control/tests/leads.rs
@@ -3,7 +3,7 @@
 
 use common::Node;
 use googletest::prelude::*;
-use wv_inner::{Lead, Msg};
+use wv_inner::{Leader, Message};
 
 fn beat(node: &mut Node, id: &str, is_primary: bool, sequence: u64) {
     say(node, id, is_primary, sequence, 4);
@@ -21,7 +21,7 @@
 }
 
 fn promoted(node: &mut Node, id: &str, term: u64) {
-    node.hear("b", Msg::Lead(Lead { service: "s".to_owned(), id: id.to_owned(), term }));
+    node.hear("b", Message::Leader(Leader { service: "s".to_owned(), id: id.to_owned(), term }));
 }
 
 fn lead(node: &Node) -> (String, u64) {
--- a/crates/wv-control/tests/spells.rs
+++ b/crates/wv-control/tests/spells.rs
@@ -3,7 +3,7 @@
 
 use alone::{is_ping, reply, Node, MS, S};
 use googletest::prelude::*;
-use wv_inner::{Msg, Sight, Sighting};
+use wv_inner::{Health, HealthReport, Message};
 
 const NAMES: std::ops::Range<usize> = 0..8;
 
@@ -17,8 +17,8 @@
     serde_json::json!({"issue": version, "routing": [route], "services": services, "shardPlans": [plan]}).to_string()
 }
 
-fn is_about(msg: &Msg, part: &str) -> bool {
-    matches!(msg, Msg::Call { key, .. } if key.starts_with(part))
+fn is_about(msg: &Message, part: &str) -> bool {
+    matches!(msg, Message::RegisterRequest { key, .. } if key.starts_with(part))
 }
 
 /// A node in contact by one answer to the next pings only, at 1.2 s after them.
@@ -48,7 +48,7 @@
         node.hear(from, reply(msg).expect("a vote"));
     }
     // All but the read of the map that was begun since.
-    (0..6).for_each(|_| node.answer(|msg| is_about(msg, "conf") || matches!(msg, Msg::Recap { .. })));
+    (0..6).for_each(|_| node.answer(|msg| is_about(msg, "conf") || matches!(msg, Message::Resync { .. })));
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
     node.answer(|msg| is_about(msg, "slots/"));
     expect_that!(node.core.is_caught_up(), eq(true));
@@ -75,21 +75,21 @@
     node.sent.clear();
     node.asked = 0;
     node.follow();
-    let is_answered = |msg: &Msg| !matches!(msg, Msg::Recap { .. }) && !is_about(msg, "duty/");
+    let is_answered = |msg: &Message| !matches!(msg, Message::Resync { .. }) && !is_about(msg, "duty/");
     let run = |node: &mut Node, us: u64| {
         let end = node.now + us;
         while node.now < end {
             node.run(100 * MS);
-            let down = |at: usize| Sighting {
+            let down = |at: usize| HealthReport {
                 id: format!("i-{at}"),
-                sight: Sight::Refused,
-                since_us: S,
-                heard_ago_us: 2 * S,
-                fenced: String::new(),
-                fenced_ago_us: u64::MAX / 2,
+                health: Health::Refused,
+                health_age_us: S,
+                last_heard_age_us: 2 * S,
+                fenced_position: String::new(),
+                fenced_age_us: u64::MAX / 2,
             };
-            node.hear("a0", Msg::Here { leaving: false });
-            node.hear("a0", Msg::Sights(NAMES.map(down).collect()));
+            node.hear("a0", Message::AccessHeartbeat { leaving: false });
+            node.hear("a0", Message::HealthReports(NAMES.map(down).collect()));
             (0..6).for_each(|_| node.answer(is_answered));
         }
     };
@@ -97,7 +97,7 @@
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
     expect_that!((node.take(|msg| is_about(msg, "duty/")).len(), node.asked), eq((0, 0)));
     // They tell it: those duties that are this node's are taken up.
-    node.answer(|msg| matches!(msg, Msg::Recap { .. }) || is_ping(msg));
+    node.answer(|msg| matches!(msg, Message::Resync { .. }) || is_ping(msg));
     expect_that!(node.core.is_caught_up(), eq(true));
     run(&mut node, S);
     expect_that!(node.asked, ge(1));
@@ -116,7 +116,7 @@
     expect_that!(node.core.is_fresh(), eq(false));
     node.sent.clear();
     late.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
-    (0..4).for_each(|_| node.answer(|msg| matches!(msg, Msg::Recap { .. })));
+    (0..4).for_each(|_| node.answer(|msg| matches!(msg, Message::Resync { .. })));
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
     node.answer(is_ping);
     expect_that!(node.core.is_caught_up(), eq(true));
@@ -125,7 +125,7 @@
 #[gtest]
 fn given_contact_that_comes_back_then_what_is_in_memory_is_asked_of_one_voter_and_of_the_next_where_it_is_silent() {
     let mut node = Node::new();
-    let is_recap = |msg: &Msg| matches!(msg, Msg::Recap { .. });
+    let is_recap = |msg: &Message| matches!(msg, Message::Resync { .. });
     let mut asked: Vec<(u64, String)> = Vec::new();
     for _ in 0..24 {
         node.run(100 * MS);
--- a/crates/wv-control/tests/takeover.rs
+++ b/crates/wv-control/tests/takeover.rs
@@ -3,7 +3,7 @@
 
 use common::Node;
 use googletest::prelude::*;
-use wv_inner::{Ballot, Held, Member, Msg, Step, Takeover, Voters};
+use wv_inner::{Ballot, Held, Member, Message, Step, Takeover, Voters};
 use wv_reg::{cell, parts};
 
 fn set(number: u64, names: &str) -> Voters {
@@ -13,21 +13,24 @@
 
 /// The set in which it says that it votes.
 fn votes_in(node: &mut Node) -> u64 {
-    let said = node.hear("b", Msg::Ping { asker: 7, request: 1 });
-    said.into_iter().find_map(|(_, msg)| if let Msg::Pong { set, .. } = msg { Some(set) } else { None }).unwrap_or(0)
+    let said = node.hear("b", Message::Ping { requester: 7, request: 1 });
+    said.into_iter()
+        .find_map(|(_, msg)| if let Message::Pong { voter_set: set, .. } = msg { Some(set) } else { None })
+        .unwrap_or(0)
 }
 
 /// Whether it answers a look in `set`.
 fn is_voting(node: &mut Node, set: u64) -> bool {
     let step = Step::Look { known: Ballot::default() };
-    let said = node.hear("b", Msg::Call { asker: 7, request: 1, set, key: "k".to_owned(), step });
-    said.iter().any(|(_, msg)| matches!(msg, Msg::Voted { .. }))
+    let said = node
+        .hear("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
+    said.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
 }
 
 /// Whom it asks to compare, and under which request.
-fn asked(node: &Node, said: &[(u64, Msg)]) -> Option<(String, u64)> {
+fn asked(node: &Node, said: &[(u64, Message)]) -> Option<(String, u64)> {
     said.iter().find_map(|(link, msg)| match msg {
-        Msg::Takeover(Takeover::Compare { request, .. }) => {
+        Message::Takeover(Takeover::Compare { request, .. }) => {
             let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
             Some((addr[..1].to_owned(), *request))
         }
@@ -35,8 +38,8 @@
     })
 }
 
-fn peers(voters: Voters, before: Voters) -> Msg {
-    Msg::Peers { addrs: Vec::new(), zones: Vec::new(), voters, before }
+fn peers(voters: Voters, before: Voters) -> Message {
+    Message::Peers { addresses: Vec::new(), zones: Vec::new(), voters, previous_voters: before }
 }
 
 #[gtest]
@@ -44,9 +47,9 @@
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let said = node.hear("b", Msg::Takeover(Takeover::Compare { request: 5, voters, before, sum: 0 }));
+    let said = node.hear("b", Message::Takeover(Takeover::Compare { request: 5, voters, before, sum: 0 }));
     let told = said.iter().find_map(|(_, msg)| match msg {
-        Msg::Takeover(Takeover::Sums { request: 5, set, .. }) => Some(*set),
+        Message::Takeover(Takeover::Sums { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
     expect_that!(told, some(eq(1)));
@@ -60,16 +63,16 @@
     let (first, request) = asked(&node, &said).expect("it asks at once");
     // The first says that it holds something else; one register of it comes, and that is all.
     let mut sums = vec![0; parts::RANGES];
-    let said = node.hear(&first, Msg::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
-    let is_lacking = |msg: &Msg| matches!(msg, Msg::Takeover(Takeover::Lacking { .. }));
+    let said = node.hear(&first, Message::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
+    let is_lacking = |msg: &Message| matches!(msg, Message::Takeover(Takeover::Lacking { .. }));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, who: 3 };
     let copy = Held { promised: ballot, accepted: ballot, cell: cell(4, vec![4]) };
     let part = Takeover::Part { request, cells: vec![("k".to_owned(), copy)], is_whole: false };
-    let said = node.hear(&first, Msg::Takeover(part));
+    let said = node.hear(&first, Message::Takeover(part));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true), "not all of it");
     expect_that!(votes_in(&mut node), eq(0));
-    let said = node.hear(&first, Msg::Takeover(Takeover::Part { request, cells: Vec::new(), is_whole: true }));
+    let said = node.hear(&first, Message::Takeover(Takeover::Part { request, cells: Vec::new(), is_whole: true }));
     // One of three that left is no majority: another is asked.
     expect_that!(votes_in(&mut node), eq(0));
     expect_that!(is_voting(&mut node, 2), eq(false));
@@ -77,9 +80,9 @@
     expect_that!(second, not(eq(&first)));
     // A late word of the first counts for nothing.
     sums.clear();
-    node.hear(&first, Msg::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
+    node.hear(&first, Message::Takeover(Takeover::Sums { request, set: 1, sums: sums.clone() }));
     expect_that!(votes_in(&mut node), eq(0));
-    node.hear(&second, Msg::Takeover(Takeover::Sums { request, set: 1, sums }));
+    node.hear(&second, Message::Takeover(Takeover::Sums { request, set: 1, sums }));
     expect_that!(votes_in(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
@@ -91,7 +94,7 @@
         let mut said = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
             if let Some((asked, request)) = asked(&node, &said) {
-                node.hear(&asked, Msg::Takeover(Takeover::Sums { request, set: told, sums: Vec::new() }));
+                node.hear(&asked, Message::Takeover(Takeover::Sums { request, set: told, sums: Vec::new() }));
             }
             said = node.tick();
         }
--- a/crates/wv-feed/src/follow.rs
+++ b/crates/wv-feed/src/follow.rs
@@ -1,4 +1,4 @@
-use wv_inner::{Lead, Msg, News, Owner, SlotMap};
+use wv_inner::{FeedUpdate, Leader, Message, Owner, SlotMap};
 
 /// Changes kept for followers that come back; those further behind take a snapshot.
 const KEPT: usize = 1024;
@@ -8,12 +8,12 @@
     life: u64,
     place: u64,
     /// The configuration in force: its version, the news of it packed, and its body.
-    conf: Option<(u64, News, std::rc::Rc<[u8]>)>,
+    conf: Option<(u64, FeedUpdate, std::rc::Rc<[u8]>)>,
     nodes: u32,
-    leads: std::collections::BTreeMap<String, Lead>,
+    leads: std::collections::BTreeMap<String, Leader>,
     owners: std::collections::BTreeMap<String, Owner>,
     slots: std::collections::BTreeMap<String, SlotMap>,
-    changes: std::collections::VecDeque<(u64, News)>,
+    changes: std::collections::VecDeque<(u64, FeedUpdate)>,
 }
 
 impl Feed {
@@ -32,10 +32,12 @@
 
     /// A configuration came into force, `body` and the same `packed`: followers hear what differs from the one before,
     /// newcomers the whole.
-    pub fn publish_conf(&mut self, version: u64, packed: Vec<u8>, body: std::rc::Rc<[u8]>) -> Msg {
-        let whole = News::Conf { version, body: packed };
+    pub fn publish_conf(&mut self, version: u64, packed: Vec<u8>, body: std::rc::Rc<[u8]>) -> Message {
+        let whole = FeedUpdate::Configuration { version, body: packed };
         let news = match self.conf.take() {
-            Some((base, _, old)) => News::ConfChange { base, version, change: wv_pack::delta(&old, &body) },
+            Some((base, _, old)) => {
+                FeedUpdate::ConfigurationDelta { base, version, delta: wv_pack::delta(&old, &body) }
+            }
             None => whole.clone(),
         };
         self.conf = Some((version, whole, body));
@@ -49,11 +51,11 @@
 
     /// What makes the configuration in force of that of `version`: the changes since where they are still held and
     /// shorter, else the whole; nothing where it is that one.
-    pub fn conf_since(&self, version: u64) -> Vec<News> {
+    pub fn conf_since(&self, version: u64) -> Vec<FeedUpdate> {
         let Some((newest, whole, _)) = self.conf.as_ref().filter(|conf| conf.0 != version) else { return Vec::new() };
         let (mut at, mut chain) = (version, Vec::new());
         for (_, news) in &self.changes {
-            if let News::ConfChange { base, version, .. } = news {
+            if let FeedUpdate::ConfigurationDelta { base, version, .. } = news {
                 if *base == at {
                     at = *version;
                     chain.push(news.clone());
@@ -68,30 +70,30 @@
     }
 
     /// Numbers a change; the caller sends the message to its followers.
-    pub fn publish(&mut self, news: News) -> Msg {
+    pub fn publish(&mut self, news: FeedUpdate) -> Message {
         match &news {
-            News::Nodes(nodes) => self.nodes = *nodes,
-            News::Lead(lead) => {
+            FeedUpdate::NodeCount(nodes) => self.nodes = *nodes,
+            FeedUpdate::Leader(lead) => {
                 self.leads.insert(lead.service.clone(), lead.clone());
             }
-            News::Owner(owner) => {
+            FeedUpdate::Owner(owner) => {
                 self.owners.insert(owner.service.clone(), owner.clone());
             }
-            News::Slots(map) => {
+            FeedUpdate::Slots(map) => {
                 self.slots.insert(map.shard.clone(), map.clone());
             }
-            News::Conf { .. } | News::ConfChange { .. } => {}
-            News::Inst(_) | News::Ease { .. } | News::Promoting { .. } => {}
+            FeedUpdate::Configuration { .. } | FeedUpdate::ConfigurationDelta { .. } => {}
+            FeedUpdate::Instance(_) | FeedUpdate::SlowStart { .. } | FeedUpdate::Promoting { .. } => {}
         }
         self.place += 1;
         if self.changes.len() == KEPT {
             self.changes.pop_front();
         }
         self.changes.push_back((self.place, news.clone()));
-        Msg::Change { place: self.place, news }
+        Message::Update { position: self.place, update: news }
     }
 
-    pub fn lead(&self, service: &str) -> Option<&Lead> {
+    pub fn lead(&self, service: &str) -> Option<&Leader> {
         self.leads.get(service)
     }
 
@@ -103,29 +105,29 @@
         &self.slots
     }
 
-    pub fn leads(&self) -> impl Iterator<Item = &Lead> {
+    pub fn leads(&self) -> impl Iterator<Item = &Leader> {
         self.leads.values()
     }
 
     /// What a follower at `place` of `life` needs: the changes since, or a snapshot.
-    pub fn since(&self, life: u64, place: u64, table: &crate::Table) -> Vec<Msg> {
+    pub fn since(&self, life: u64, place: u64, table: &crate::Table) -> Vec<Message> {
         let is_within = self.changes.front().is_some_and(|(first, _)| place + 1 >= *first) && place <= self.place;
         if life == self.life && is_within {
             return self
                 .changes
                 .iter()
                 .filter(|(at, _)| *at > place)
-                .map(|(place, news)| Msg::Change { place: *place, news: news.clone() })
+                .map(|(place, news)| Message::Update { position: *place, update: news.clone() })
                 .collect();
         }
         // Slot maps come before anything that lets work start.
-        let mut news: Vec<News> = self.slots.values().cloned().map(News::Slots).collect();
+        let mut news: Vec<FeedUpdate> = self.slots.values().cloned().map(FeedUpdate::Slots).collect();
         news.extend(self.conf.iter().map(|(_, whole, _)| whole.clone()));
-        news.extend(table.iter().cloned().map(News::Inst));
-        news.extend(self.leads.values().cloned().map(News::Lead));
-        news.extend(self.owners.values().cloned().map(News::Owner));
-        news.push(News::Nodes(self.nodes));
-        vec![Msg::Snapshot { life: self.life, place: self.place, news }]
+        news.extend(table.iter().cloned().map(FeedUpdate::Instance));
+        news.extend(self.leads.values().cloned().map(FeedUpdate::Leader));
+        news.extend(self.owners.values().cloned().map(FeedUpdate::Owner));
+        news.push(FeedUpdate::NodeCount(self.nodes));
+        vec![Message::Snapshot { incarnation: self.life, position: self.place, updates: news }]
     }
 }
 
@@ -147,17 +149,17 @@
 
 impl Follower {
     /// Takes a feed message; a gap asks for a new follow.
-    pub fn take(&mut self, msg: Msg) -> Result<Vec<News>, Gap> {
+    pub fn take(&mut self, msg: Message) -> Result<Vec<FeedUpdate>, Gap> {
         match msg {
-            Msg::Snapshot { life, place, news } => {
+            Message::Snapshot { incarnation: life, position: place, updates: news } => {
                 (self.life, self.place, self.asked) = (life, place, None);
                 Ok(news)
             }
-            Msg::Change { place, news } if place == self.place + 1 => {
+            Message::Update { position: place, update: news } if place == self.place + 1 => {
                 self.place = place;
                 Ok(vec![news])
             }
-            Msg::Change { place, .. } if place <= self.place => Ok(Vec::new()),
+            Message::Update { position: place, .. } if place <= self.place => Ok(Vec::new()),
             _ => Err(Gap),
         }
     }
--- a/crates/wv-feed/src/table.rs
+++ b/crates/wv-feed/src/table.rs
@@ -1,4 +1,4 @@
-use wv_inner::Inst;
+use wv_inner::Instance;
 
 /// Repair compares the table in this many ranges of hashed ids.
 pub const RANGES: usize = 16;
@@ -16,7 +16,7 @@
 /// All databases that beats have told of, newest sequence first.
 #[derive(Default)]
 pub struct Table {
-    insts: std::collections::BTreeMap<String, Inst>,
+    insts: std::collections::BTreeMap<String, Instance>,
     /// The ids of each service's databases: hundreds of services are gone through one by one.
     services: std::collections::BTreeMap<String, std::collections::BTreeSet<String>>,
     /// Those that had left at the last sweep.
@@ -24,29 +24,29 @@
 }
 
 impl Table {
-    pub fn iter(&self) -> impl Iterator<Item = &Inst> {
+    pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.insts.values()
     }
 
     /// The databases of one service.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Inst> + 'a {
+    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Instance> + 'a {
         let ids = self.services.get(service).into_iter().flatten();
         ids.filter_map(|id| self.insts.get(id)).filter(move |inst| inst.service == service)
     }
 
-    fn keep(&mut self, inst: Inst) {
+    fn keep(&mut self, inst: Instance) {
         if !self.services.get(&inst.service).is_some_and(|ids| ids.contains(&inst.id)) {
             self.services.entry(inst.service.clone()).or_default().insert(inst.id.clone());
         }
         self.insts.insert(inst.id.clone(), inst);
     }
 
-    pub fn get(&self, id: &str) -> Option<&Inst> {
+    pub fn get(&self, id: &str) -> Option<&Instance> {
         self.insts.get(id)
     }
 
     /// Takes a beat or a copy from a peer. Returns the entries that changed in more than their sequence.
-    pub fn offer(&mut self, inst: Inst) -> Vec<Inst> {
+    pub fn offer(&mut self, inst: Instance) -> Vec<Instance> {
         let is_new = !self.insts.contains_key(&inst.id);
         if is_new && self.insts.len() >= INSTS_MAX {
             return Vec::new();
@@ -63,7 +63,8 @@
             Some(held) if inst.sequence <= held.sequence => None,
             Some(held) => {
                 let mut same = inst.clone();
-                (same.sequence, same.cold_us, same.leaving_us) = (held.sequence, held.cold_us, held.leaving_us);
+                (same.sequence, same.cold_left_us, same.leaving_age_us) =
+                    (held.sequence, held.cold_left_us, held.leaving_age_us);
                 let is_same = same == *held;
                 self.keep(inst.clone());
                 if is_same {
@@ -83,7 +84,7 @@
         // A place belongs to one database at a time: the one first heard of later has taken it.
         if is_new && !inst.gone {
             for other in self.insts.values_mut() {
-                if other.addr == inst.addr && other.id != inst.id && !other.gone {
+                if other.address == inst.address && other.id != inst.id && !other.gone {
                     other.gone = true;
                     news.push(other.clone());
                 }
@@ -99,13 +100,13 @@
         let mut sums = vec![0u64; RANGES];
         // Those that left differ from node to node in when they are forgotten; a node that missed a leave still differs.
         for inst in self.insts.values().filter(|inst| !inst.gone) {
-            let text = format!("{}|{}|{}|{}", inst.id, inst.addr, inst.draining, inst.primary);
+            let text = format!("{}|{}|{}|{}", inst.id, inst.address, inst.draining, inst.primary);
             sums[range(&inst.id)] ^= fnv(text.as_bytes());
         }
         sums
     }
 
-    pub fn range(&self, wanted: usize) -> Vec<Inst> {
+    pub fn range(&self, wanted: usize) -> Vec<Instance> {
         self.insts.values().filter(|inst| range(&inst.id) == wanted).cloned().collect()
     }
 
--- a/crates/wv-feed/tests/table.rs
+++ b/crates/wv-feed/tests/table.rs
@@ -1,16 +1,16 @@
 //! Stories of the table of databases: leaves that are heard of before the databases are.
 use wv_feed::Table;
-use wv_inner::Inst;
+use wv_inner::Instance;
 
-fn inst(sequence: u64, gone: bool) -> Inst {
+fn inst(sequence: u64, gone: bool) -> Instance {
     let (id, service, addr) = ("i-1".to_owned(), "s".to_owned(), "10.0.0.1:1".to_owned());
-    Inst { id, service, addr, sequence, gone, ..Inst::default() }
+    Instance { id, service, address: addr, sequence, gone, ..Instance::default() }
 }
 
 #[test]
 fn given_a_leave_of_one_that_was_never_known_when_an_older_word_on_it_comes_then_it_stays_out() {
     let mut table = Table::default();
-    let leave = Inst { id: "i-1".to_owned(), gone: true, ..Inst::default() };
+    let leave = Instance { id: "i-1".to_owned(), gone: true, ..Instance::default() };
     assert!(table.offer(leave).is_empty(), "nobody need hear of it");
     assert!(table.offer(inst(7, false)).is_empty());
     assert!(table.get("i-1").is_some_and(|held| held.gone));
--- a/crates/wv-fleet/src/events.rs
+++ b/crates/wv-fleet/src/events.rs
@@ -3,7 +3,7 @@
 use crate::world::World;
 use crate::MS;
 use wv_access::Lost;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 pub(crate) enum Ev {
     Care(usize),
@@ -48,7 +48,7 @@
     },
     Link {
         to: End,
-        msg: Msg,
+        msg: Message,
     },
     LinkUp {
         control: usize,
--- a/crates/wv-fleet/src/hands.rs
+++ b/crates/wv-fleet/src/hands.rs
@@ -11,8 +11,8 @@
     }
 
     /// A shard changed hands: a line in the course, once for each number.
-    pub(crate) fn note_owner(&mut self, msg: &wv_inner::Msg) {
-        if let wv_inner::Msg::Change { news: wv_inner::News::Slots(map), .. } = msg {
+    pub(crate) fn note_owner(&mut self, msg: &wv_inner::Message) {
+        if let wv_inner::Message::Update { update: wv_inner::FeedUpdate::Slots(map), .. } = msg {
             let held = self.owners.entry(format!("slots/{}", map.shard)).or_default();
             if std::mem::replace(held, map.number.max(*held)) < map.number {
                 let moving =
@@ -30,10 +30,10 @@
             }
             return;
         }
-        let wv_inner::Msg::Change { news: wv_inner::News::Owner(owner), .. } = msg else { return };
+        let wv_inner::Message::Update { update: wv_inner::FeedUpdate::Owner(owner), .. } = msg else { return };
         let held = self.owners.entry(owner.service.clone()).or_default();
-        if std::mem::replace(held, owner.number.max(*held)) < owner.number {
-            self.note(format!("shard {} goes to {} under {}", owner.service, owner.node, owner.number));
+        if std::mem::replace(held, owner.epoch.max(*held)) < owner.epoch {
+            self.note(format!("shard {} goes to {} under {}", owner.service, owner.node, owner.epoch));
         }
     }
 
--- a/crates/wv-fleet/src/links.rs
+++ b/crates/wv-fleet/src/links.rs
@@ -3,7 +3,7 @@
 use crate::world::{Ev, World, HOP};
 use crate::MS;
 use wv_access::Telling;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 impl World {
     /// The access node's side of its session, as its link keeps it up.
@@ -17,9 +17,9 @@
             let telling = if node.beats % 10 == 0 { Telling::Round } else { Telling::Beat };
             let is_leaving = node.core.as_ref().is_some_and(|core| core.is_leaving());
             let sights = node.core.as_mut().map(|core| core.take_sights(telling)).unwrap_or_default();
-            self.put(HOP, Ev::Link { to: end, msg: Msg::Here { leaving: is_leaving } });
+            self.put(HOP, Ev::Link { to: end, msg: Message::AccessHeartbeat { leaving: is_leaving } });
             if !sights.is_empty() {
-                self.put(HOP, Ev::Link { to: end, msg: Msg::Sights(sights) });
+                self.put(HOP, Ev::Link { to: end, msg: Message::HealthReports(sights) });
             }
             self.send_reports(at, end, false);
             return;
@@ -39,18 +39,18 @@
             HOP,
             Ev::Link {
                 to: end,
-                msg: Msg::Hello {
+                msg: Message::Hello {
                     node: name,
-                    control: String::new(),
+                    control_address: String::new(),
                     zone: String::new(),
-                    place: format!("hand:{at}"),
-                    life,
+                    handover_address: format!("hand:{at}"),
+                    incarnation: life,
                 },
             },
         );
-        self.put(HOP, Ev::Link { to: end, msg: Msg::Follow { life: place.0, place: place.1 } });
+        self.put(HOP, Ev::Link { to: end, msg: Message::Subscribe { incarnation: place.0, position: place.1 } });
         let sights = self.access[at].core.as_mut().map(|core| core.take_sights(Telling::Whole)).unwrap_or_default();
-        self.put(HOP, Ev::Link { to: end, msg: Msg::Sights(sights) });
+        self.put(HOP, Ev::Link { to: end, msg: Message::HealthReports(sights) });
         self.send_reports(at, end, true);
     }
 
@@ -75,7 +75,7 @@
         self.put(2 * HOP, Ev::LinkUp { control: at, link });
     }
 
-    pub(crate) fn link_msg(&mut self, to: End, msg: Msg) {
+    pub(crate) fn link_msg(&mut self, to: End, msg: Message) {
         match to {
             End::Control { at, link, life } if self.controls[at].life == life => {
                 self.controls[at].heard.insert(link, self.now);
@@ -93,24 +93,24 @@
                     return;
                 }
                 self.access[at].heard = self.now;
-                if matches!(msg, Msg::Beat { fresh: false }) {
+                if matches!(msg, Message::ControlHeartbeat { has_majority: false }) {
                     let far = self.access[at].session.take();
                     return far.into_iter().for_each(|end| self.put(HOP, Ev::LinkDown { end }));
                 }
                 let name = self.access[at].name.clone();
                 self.weigh(&name, &msg);
                 match msg {
-                    Msg::Beat { .. } | Msg::Peers { .. } => {}
-                    Msg::Marked { shard, attempt, life, serial, .. } => {
+                    Message::ControlHeartbeat { .. } | Message::Peers { .. } => {}
+                    Message::DirtyKeysAck { shard, attempt, incarnation: life, serial, .. } => {
                         self.with_access(at, |core, now| core.marked(&shard, attempt, (life, serial), now));
                     }
-                    Msg::Filled { shard, life, serial, .. } => {
+                    Message::KeySamplesAck { shard, incarnation: life, serial, .. } => {
                         self.with_access(at, |core, now| core.filled(&shard, (life, serial), now));
                     }
                     msg => {
                         let is_fed = self.with_access(at, |core, now| core.feed(msg, now).is_ok());
                         if let Some(to) = self.access[at].session.filter(|_| is_fed == Some(false)) {
-                            self.put(HOP, Ev::Link { to, msg: Msg::Follow { life: 0, place: 0 } });
+                            self.put(HOP, Ev::Link { to, msg: Message::Subscribe { incarnation: 0, position: 0 } });
                         }
                     }
                 }
@@ -119,17 +119,18 @@
         }
     }
 
-    fn weigh(&mut self, name: &str, msg: &Msg) {
+    fn weigh(&mut self, name: &str, msg: &Message) {
         let Some(crossed) = self.crossed.as_mut() else { return };
         let mut frame = Vec::new();
         wv_inner::put_frame(&mut frame, msg);
         let held = crossed.entry(name.to_owned()).or_default();
         held.bytes += frame.len() as u64;
         held.longest = held.longest.max(frame.len() as u64);
-        held.parts += u64::from(matches!(msg, Msg::Takeover(wv_inner::Takeover::Part { .. })));
-        let is_conf =
-            |news: &wv_inner::News| matches!(news, wv_inner::News::Conf { .. } | wv_inner::News::ConfChange { .. });
-        held.confs += u64::from(matches!(msg, Msg::Change { news, .. } if is_conf(news)));
+        held.parts += u64::from(matches!(msg, Message::Takeover(wv_inner::Takeover::Part { .. })));
+        let is_conf = |news: &wv_inner::FeedUpdate| {
+            matches!(news, wv_inner::FeedUpdate::Configuration { .. } | wv_inner::FeedUpdate::ConfigurationDelta { .. })
+        };
+        held.confs += u64::from(matches!(msg, Message::Update { update: news, .. } if is_conf(news)));
     }
 
     /// No connection can be made between these two: that takes both ways.
--- a/crates/wv-fleet/src/nodes.rs
+++ b/crates/wv-fleet/src/nodes.rs
@@ -3,7 +3,7 @@
 use crate::{MS, S};
 use std::collections::BTreeMap;
 use wv_access::Act as AccessAct;
-use wv_inner::Msg;
+use wv_inner::Message;
 
 /// One end of a link between nodes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -136,7 +136,7 @@
             self.put(next.saturating_sub(now), Ev::Timer(at));
         }
         if let Some(to) = self.access[at].session.filter(|_| !sights.is_empty()) {
-            self.put(HOP, Ev::Link { to, msg: Msg::Sights(sights) });
+            self.put(HOP, Ev::Link { to, msg: Message::HealthReports(sights) });
         }
         if let Some(to) = self.access[at].session {
             reports.into_iter().for_each(|msg| self.put(HOP, Ev::Link { to, msg }));
--- a/crates/wv-inner/src/lib.rs
+++ b/crates/wv-inner/src/lib.rs
@@ -1,225 +1,230 @@
-//! What windvalve's own processes say to each other: nanoserde binary in length-prefixed frames.
+//! Messages between the nodes of a deployment: nanoserde binary encoding in length-prefixed frames.
 //!
-//! An answer belongs to its question by what it carries, not by the link that it comes over: the life that asked (a
-//! number drawn at random for each life of a process), the question's number in that life, and what it was about (the
-//! register, the set of voters, the database, the shard and its try, the hand and its ask). Whoever asked passes over
-//! all that does not match in each of these, and counts each speaker once. So an answer to an earlier question, to an
-//! earlier life or to somebody else means nothing, however late, however often and wherever it comes. A link adds one
-//! thing: what was asked over it is not answered any more once it has ended.
+//! A reply is matched to its request by its content, not by its connection: the incarnation of the requester (a random
+//! number drawn at process start), the request number within it, and the subject (register, voter set, database, shard
+//! and attempt, or session and request). The requester ignores replies that differ in any of these and counts each
+//! sender once, so late, repeated and misdirected replies have no effect. Requests received over a connection are not
+//! answered after it has closed.
+mod access_nodes;
+mod drain;
+mod feed;
 mod frame;
 mod hand;
 mod handover;
-mod inst;
-mod leaving;
-mod news;
-mod nodes;
+mod health;
+mod instance;
 mod register;
-mod sight;
 mod slots;
 mod takeover;
 mod voters;
 
+pub use access_nodes::{Owner, Session};
+pub use drain::{new_work_window_us, LeaveTime, StallDetector, DEFAULT_CONTACT_US, DEFAULT_DRAIN_US, UNKNOWN_AGE_US};
+pub use feed::FeedUpdate;
 pub use frame::{cut_frame, put_frame, InnerError, FRAME_MAX};
 pub use hand::{Hand, HandId};
 pub use handover::Handover;
-pub use inst::Inst;
-pub use leaving::{new_work_us, LeavingSince, StallWatch, CONTACT_US, DRAIN_US, LONG_AGO_US};
+pub use health::{Health, HealthReport, Leader};
+pub use instance::Instance;
 use nanoserde::{DeBin, SerBin};
-pub use news::News;
-pub use nodes::{Owner, Session};
 pub use register::{Ballot, Cell, Held, Step, Vote};
-pub use sight::{Lead, Sight, Sighting};
 pub use slots::{slot, Entry, Fill, Marks, Phase, Range, SlotMap, SLOTS};
 pub use takeover::{Known, Takeover};
 pub use voters::{Member, Voters};
 
 #[derive(SerBin, DeBin, Clone, PartialEq, Debug)]
-pub enum Msg {
-    /// First on each link: who speaks. `control` is its control address, empty for access nodes.
+pub enum Message {
+    /// First message on each connection. `control_address` is empty for access nodes.
     Hello {
         node: String,
-        control: String,
+        control_address: String,
         zone: String,
-        /// Where an access node takes work handed over.
-        place: String,
-        life: u64,
+        /// Address at which an access node accepts work handed over by other access nodes.
+        handover_address: String,
+        incarnation: u64,
     },
-    /// An access node follows the feed of `life` from `place` on.
-    Follow {
-        life: u64,
-        place: u64,
+    /// An access node subscribes to the feed of `incarnation` from `position` on.
+    Subscribe {
+        incarnation: u64,
+        position: u64,
     },
     Snapshot {
-        life: u64,
-        place: u64,
-        news: Vec<News>,
+        incarnation: u64,
+        position: u64,
+        updates: Vec<FeedUpdate>,
     },
-    Change {
-        place: u64,
-        news: News,
+    Update {
+        position: u64,
+        update: FeedUpdate,
     },
-    /// Session beat of a control node: whether a majority of voters is in fresh contact.
-    Beat {
-        fresh: bool,
+    /// Session heartbeat of a control node: whether it was in recent contact with a majority of voters.
+    ControlHeartbeat {
+        has_majority: bool,
     },
-    /// Session beat of an access node.
-    Here {
+    /// Session heartbeat of an access node.
+    AccessHeartbeat {
         leaving: bool,
     },
-    Sights(Vec<Sighting>),
-    /// Control nodes tell each other: known control addresses, the newest settled voters and those before them.
+    HealthReports(Vec<HealthReport>),
+    /// Between control nodes: known control addresses, the latest settled voter set and its predecessor.
     Peers {
-        addrs: Vec<String>,
-        /// The zone of each of `addrs`, empty where it is not known.
+        addresses: Vec<String>,
+        /// The zone of each of `addresses`, empty if unknown.
         zones: Vec<String>,
         voters: Voters,
-        before: Voters,
+        previous_voters: Voters,
     },
     Sessions {
-        nodes: Vec<Session>,
+        sessions: Vec<Session>,
     },
-    PeerSights {
+    PeerHealthReports {
         node: String,
-        sights: Vec<Sighting>,
+        reports: Vec<HealthReport>,
     },
-    /// The answer counts in the life that asks alone, and is dated by when this was sent.
+    /// The reply is valid only in the requesting incarnation and is dated by the time at which this was sent.
     Ping {
-        asker: u64,
+        requester: u64,
         request: u64,
     },
-    /// `disk` is the speaker's own, none where it keeps nothing; `set` the one it votes in, `sealed` that in which it is sealed,
-    /// 0 for none. `ready`: that disk is no member of the newest set, and holds what a voter held but for the last moments.
+    /// State of the sender's disk.
     Pong {
-        asker: u64,
+        requester: u64,
         request: u64,
-        conf: u64,
+        /// Version of the configuration that the sender holds.
+        version: u64,
+        /// Identifier of the sender's disk, `None` if it stores nothing.
         disk: Option<u64>,
-        set: u64,
-        sealed: u64,
+        /// The voter set in which the sender votes, 0 for none.
+        voter_set: u64,
+        /// The voter set in which the sender is sealed, 0 for none.
+        sealed_set: u64,
+        /// The disk is not a member of the latest voter set and holds a voter's data except for the most recent writes.
         ready: bool,
     },
-    /// Calls on registers name the life that asks and the set they are counted in; voters of another one do not answer.
-    Call {
-        asker: u64,
+    /// A step on a register. Voters of a set other than `voter_set` do not reply.
+    RegisterRequest {
+        requester: u64,
         request: u64,
-        set: u64,
+        voter_set: u64,
         key: String,
         step: Step,
     },
-    /// The answer counts only in the life that asked, for that request and that register.
-    Voted {
-        asker: u64,
+    /// Valid only for the requester, request and register that it names.
+    RegisterReply {
+        requester: u64,
         request: u64,
         key: String,
         vote: Vote,
     },
-    /// The right to name the successor of `set`, under a fence.
-    Claim {
+    /// Requests the right to propose the successor of `voter_set` under a fence.
+    PrepareSuccessor {
         request: u64,
-        set: u64,
+        voter_set: u64,
         fence: u64,
     },
-    /// What this voter last accepted as the successor; `ok` false where it has seen a higher fence.
-    Claimed {
+    /// The successor this voter last accepted; `ok` is false if it has seen a higher fence.
+    SuccessorVote {
         request: u64,
         ok: bool,
         fence: u64,
-        next: Option<(u64, Voters)>,
+        successor: Option<(u64, Voters)>,
     },
-    Settle {
+    AcceptSuccessor {
         request: u64,
-        set: u64,
+        voter_set: u64,
         fence: u64,
-        next: Voters,
+        successor: Voters,
     },
-    Settled {
+    SuccessorAccepted {
         request: u64,
         ok: bool,
     },
     Takeover(Takeover),
     Handover(Handover),
-    /// The speaker is about to end: what it holds others take up now.
+    /// The sender is about to shut down; other nodes take over its duties.
     Leaving,
-    /// What was accepted under this ballot stands in a register by agreement, for voters, which have it.
+    /// The value accepted under this ballot is committed. Sent to voters, which already hold it.
     Committed {
         key: String,
         accepted: Ballot,
     },
-    /// `request` 0 wants no answer.
-    Inst {
-        asker: u64,
+    /// `request` 0 asks for no acknowledgement.
+    Instance {
+        requester: u64,
         request: u64,
-        inst: Inst,
+        instance: Instance,
     },
-    InstHeld {
-        asker: u64,
+    InstanceAck {
+        requester: u64,
         request: u64,
         id: String,
     },
-    /// Tell what stands in no register, to one that was out of contact: databases in ranges that differ, leads, owners.
-    Recap {
-        asker: u64,
+    /// Requests state that is not kept in registers, after a loss of contact: instances in ranges whose digests differ,
+    /// leaders and owners.
+    Resync {
+        requester: u64,
         request: u64,
-        ranges: Vec<u64>,
+        digests: Vec<u64>,
     },
-    Recapped {
-        asker: u64,
+    ResyncDone {
+        requester: u64,
         request: u64,
     },
-    /// Repair: digests of the instance table over ranges of keys.
-    Digests {
-        ranges: Vec<u64>,
+    /// Anti-entropy repair: digests of the instance table by key range.
+    InstanceDigests {
+        digests: Vec<u64>,
     },
-    Range {
+    InstanceRange {
         range: u32,
-        insts: Vec<Inst>,
+        instances: Vec<Instance>,
     },
-    Lead(Lead),
+    Leader(Leader),
     Owner(Owner),
     Promoting {
         service: String,
         id: String,
-        us: u64,
+        max_wait_us: u64,
     },
-    /// A control node saw a database come back from a fall.
-    Eased {
+    /// A control node observed that a database recovered from an outage.
+    Recovered {
         id: String,
-        falls: u32,
+        outages: u32,
     },
     Slots(SlotMap),
-    /// A node's marks and reports, to the holder of the shard's split, and what was taken.
-    Marks(Marks),
-    PeerMarks {
+    /// Keys written while they are being copied, sent to the holder of the shard's split.
+    DirtyKeys(Marks),
+    PeerDirtyKeys {
         node: String,
-        marks: Marks,
+        dirty_keys: Marks,
     },
-    Marked {
+    DirtyKeysAck {
         node: String,
         shard: String,
         attempt: u64,
-        life: u64,
+        incarnation: u64,
         serial: u64,
     },
-    Fill(Fill),
-    PeerFill {
+    /// Sampled keys of a planned shard, sent to the holder of its split.
+    KeySamples(Fill),
+    PeerKeySamples {
         node: String,
-        fill: Fill,
+        samples: Fill,
     },
-    Filled {
+    KeySamplesAck {
         node: String,
         shard: String,
-        life: u64,
+        incarnation: u64,
         serial: u64,
     },
-    /// What the holder of a planned shard shows of it to operators.
-    Outlook {
+    /// Status of a planned shard as its holder shows it to operators.
+    ShardStatus {
         shard: String,
         text: String,
     },
-    /// The speaker holds no newer configuration in force than this version: 0 for none.
-    Lack {
+    /// Requests committed configurations newer than `version`, 0 for none.
+    ConfigurationRequest {
         version: u64,
     },
-    /// Configurations that stand on a majority, the newest last: whole, or as what differs from the one before.
-    InForce(Vec<News>),
+    /// Configurations committed by a majority, the latest last: complete, or as a delta to the one before.
+    CommittedConfigurations(Vec<FeedUpdate>),
 }
--- a/crates/wv-reg/src/change.rs
+++ b/crates/wv-reg/src/change.rs
@@ -1,5 +1,5 @@
 //! Agreeing on the next set of voters: by a majority of the set before it, under a fence.
-use wv_inner::{Handover, Member, Msg, Voters};
+use wv_inner::{Handover, Member, Message, Voters};
 
 /// A voter that is away for this long may be replaced where another stands ready.
 pub const AWAY_US: u64 = 2_500_000;
@@ -121,7 +121,7 @@
     }
 
     /// What is to be sent to whom now; an end where the time is over. What the sender holds is for it to fill in.
-    pub fn tick(&mut self, now: u64) -> Result<Vec<(String, Msg)>, End> {
+    pub fn tick(&mut self, now: u64) -> Result<Vec<(String, Message)>, End> {
         if now >= self.limit {
             return Err(End::Off { seen: 0 });
         }
@@ -131,13 +131,15 @@
         self.resend = now + RESEND_US;
         let (request, set, fence) = (self.request, self.from.number, self.fence);
         let msg = match &self.phase {
-            Phase::Claiming { .. } => Msg::Claim { request, set, fence },
-            Phase::Sealing => Msg::Handover(Handover::Seal { request, set, fence, sum: 0 }),
+            Phase::Claiming { .. } => Message::PrepareSuccessor { request, voter_set: set, fence },
+            Phase::Sealing => Message::Handover(Handover::Seal { request, set, fence, sum: 0 }),
             Phase::Handing => {
                 let next = self.next.clone();
-                Msg::Handover(Handover::Fetch { request, set, next, sums: Vec::new() })
+                Message::Handover(Handover::Fetch { request, set, next, sums: Vec::new() })
+            }
+            Phase::Settling => {
+                Message::AcceptSuccessor { request, voter_set: set, fence, successor: self.next.clone() }
             }
-            Phase::Settling => Msg::Settle { request, set, fence, next: self.next.clone() },
         };
         let open = self.asked().addrs().filter(|addr| !self.acks.iter().any(|known| known == addr));
         Ok(open.map(|addr| (addr.to_owned(), msg.clone())).collect())
--- a/crates/wv-reg/src/quorum.rs
+++ b/crates/wv-reg/src/quorum.rs
@@ -5,7 +5,7 @@
 use crate::line::Line;
 use crate::Edit;
 use std::collections::BTreeMap;
-use wv_inner::{Ballot, Cell, Held, Msg, Vote, Voters};
+use wv_inner::{Ballot, Cell, Held, Message, Vote, Voters};
 
 /// How long one quorum operation may take; callers of the operator wait a second.
 const LIMIT_US: u64 = 900_000;
@@ -35,7 +35,7 @@
     seed: u64,
     lines: BTreeMap<String, Line>,
     known: BTreeMap<String, Held>,
-    out: Vec<(String, Msg)>,
+    out: Vec<(String, Message)>,
     done: Vec<Done>,
 }
 
@@ -210,7 +210,10 @@
         let (asker, request, set) = (self.who, attempt.request, self.voters.number);
         for voter in self.voters.addrs() {
             let Some(step) = attempt.step(voter) else { continue };
-            self.out.push((voter.to_owned(), Msg::Call { asker, request, set, key: key.to_owned(), step }));
+            self.out.push((
+                voter.to_owned(),
+                Message::RegisterRequest { requester: asker, request, voter_set: set, key: key.to_owned(), step },
+            ));
         }
     }
 
@@ -235,7 +238,7 @@
         self.lines.values().filter_map(Line::next_due).min()
     }
 
-    pub fn take_out(&mut self) -> Vec<(String, Msg)> {
+    pub fn take_out(&mut self) -> Vec<(String, Message)> {
         std::mem::take(&mut self.out)
     }
 
--- a/crates/wv-reg/tests/change.rs
+++ b/crates/wv-reg/tests/change.rs
@@ -1,6 +1,6 @@
 //! Stories of agreeing on the next set of voters, word by word.
 use googletest::prelude::*;
-use wv_inner::{Handover, Member, Msg, Voters};
+use wv_inner::{Handover, Member, Message, Voters};
 use wv_reg::{plan, Change, Core, End, AWAY_US};
 
 fn set(number: u64, addrs: &[&str]) -> Voters {
@@ -20,9 +20,11 @@
 
 /// The set is sealed and handed over as it must be before anything is proposed.
 fn proposed(change: &mut Change, request: u64, holders: [&str; 2]) -> Option<Voters> {
-    let is_settling = |msgs: &[(String, Msg)]| msgs.iter().any(|(_, msg)| matches!(msg, Msg::Settle { .. }));
-    let is_handing =
-        |msgs: &[(String, Msg)]| msgs.iter().any(|(_, msg)| matches!(msg, Msg::Handover(Handover::Fetch { .. })));
+    let is_settling =
+        |msgs: &[(String, Message)]| msgs.iter().any(|(_, msg)| matches!(msg, Message::AcceptSuccessor { .. }));
+    let is_handing = |msgs: &[(String, Message)]| {
+        msgs.iter().any(|(_, msg)| matches!(msg, Message::Handover(Handover::Fetch { .. })))
+    };
     for voter in ["a", "b"] {
         let msgs = change.tick(0).unwrap_or_default();
         expect_that!(is_settling(&msgs) || is_handing(&msgs), eq(false));
@@ -33,7 +35,7 @@
         change.fetched(member, request);
     }
     change.tick(0).ok()?.into_iter().find_map(|(_, msg)| match msg {
-        Msg::Settle { next, .. } => Some(next),
+        Message::AcceptSuccessor { successor: next, .. } => Some(next),
         _ => None,
     })
 }
@@ -159,7 +161,8 @@
     }
     expect_that!(change.claimed("b", 6, false, 900, None), none());
     change.claimed("a", 7, true, 300, None);
-    let is_claiming = |msgs: &[(String, Msg)]| msgs.iter().all(|(_, msg)| matches!(msg, Msg::Claim { .. }));
+    let is_claiming =
+        |msgs: &[(String, Message)]| msgs.iter().all(|(_, msg)| matches!(msg, Message::PrepareSuccessor { .. }));
     expect_that!(is_claiming(&change.tick(1_000_000).unwrap_or_default()), eq(true), "one voter of three has answered");
 }
 
