--- a/crates/wv-reg/tests/change_model/act.rs
+++ b/crates/wv-reg/tests/change_model/act.rs
@@ -1,7 +1,7 @@
 //! What each step of a change does, with the code that it stands for.
 use super::{closed, opened, wiped, Ask, Node, Without, World, KEY, NAMES};
 use std::rc::Rc;
-use wv_inner::{Handover, Held, Member, Msg, Voters};
+use wv_inner::{Handover, Held, Member, Message, Voters};
 use wv_reg::{Change, Core, End, AWAY_US};
 
 impl World {
@@ -51,7 +51,7 @@
         let mut heard = change.as_ref().map(|change| change.0.clone());
         let asking = change.as_ref().map_or(0, |change| change.1);
         let end = match ask.msg.clone() {
-            Msg::Claim { request, set, fence } => {
+            Message::PrepareSuccessor { request, voter_set: set, fence } => {
                 let word = self.on_disk(at, |seat, store| seat.claim(store, me, set, fence)).and_then(Result::ok);
                 let hear = |change: &mut Change| {
                     let claimed = word?;
@@ -60,7 +60,7 @@
                 };
                 heard.as_mut().filter(|_| is_heard).and_then(hear)
             }
-            Msg::Handover(Handover::Seal { request, set, fence, .. }) => {
+            Message::Handover(Handover::Seal { request, set, fence, .. }) => {
                 let word = self.on_disk(at, |seat, store| seat.seal(store, me, (set, fence))).and_then(Result::ok);
                 let Some(is_ok) = word.filter(|_| is_heard) else { return };
                 // What it holds stands at the planner before it counts.
@@ -69,7 +69,7 @@
                 }
                 heard.as_mut().and_then(|change| change.sealed(me, request, is_ok))
             }
-            Msg::Handover(Handover::Fetch { request, set, next, .. }) => {
+            Message::Handover(Handover::Fetch { request, set, next, .. }) => {
                 let is_meant = self.seat(at).is_named(me, set, &next);
                 let is_final = change.is_some_and(|change| change.0.is_handing(request));
                 if !is_meant || !is_final || self.seat(ask.from).voters.number != set {
@@ -80,7 +80,7 @@
                 heard.iter_mut().filter(|_| is_heard && is_whole).for_each(|change| change.fetched(me, request));
                 None
             }
-            Msg::Settle { request, set, fence, next } => {
+            Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
                 let word = self.on_disk(at, |seat, store| {
                     seat.fence = if without == Without::Fence { 0 } else { seat.fence };
                     seat.settle(store, me, (set, fence), &next)
--- a/crates/wv-reg/tests/change_model/mod.rs
+++ b/crates/wv-reg/tests/change_model/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use wv_inner::{Ballot, Held, Member, Msg, Voters};
+use wv_inner::{Ballot, Held, Member, Message, Voters};
 use wv_reg::{Change, MemFiles, Seat, State, Store};
 
 pub const KEY: &str = "k";
@@ -54,7 +54,7 @@
 pub struct Ask {
     from: usize,
     to: usize,
-    msg: Msg,
+    msg: Message,
 }
 
 #[derive(Clone)]
@@ -83,9 +83,9 @@
         let name = |at: &usize| NAMES[*at];
         let word = |ask: &Ask| {
             let what = match &ask.msg {
-                Msg::Claim { .. } => "claims",
-                Msg::Settle { .. } => "settles",
-                Msg::Handover(wv_inner::Handover::Seal { .. }) => "seals",
+                Message::PrepareSuccessor { .. } => "claims",
+                Message::AcceptSuccessor { .. } => "settles",
+                Message::Handover(wv_inner::Handover::Seal { .. }) => "seals",
                 _ => "hands to",
             };
             format!("{} {what} {}", name(&ask.from), name(&ask.to))
--- a/crates/wv-reg/tests/change_model/steps.rs
+++ b/crates/wv-reg/tests/change_model/steps.rs
@@ -1,7 +1,7 @@
 //! What may happen while voters change.
 use super::{Step, World, NAMES};
 use std::hash::Hasher;
-use wv_inner::{Handover, Msg};
+use wv_inner::{Handover, Message};
 
 impl wv_search::Model for World {
     type Step = Step;
@@ -37,8 +37,8 @@
         }
         for ask in self.asks.iter().filter(|ask| self.nodes[ask.0.to].is_up) {
             let request = match &ask.0.msg {
-                Msg::Claim { request, .. } | Msg::Settle { request, .. } => *request,
-                Msg::Handover(Handover::Seal { request, .. } | Handover::Fetch { request, .. }) => *request,
+                Message::PrepareSuccessor { request, .. } | Message::AcceptSuccessor { request, .. } => *request,
+                Message::Handover(Handover::Seal { request, .. } | Handover::Fetch { request, .. }) => *request,
                 _ => 0,
             };
             let is_asked = self.nodes[ask.0.from].change.as_ref().is_some_and(|change| change.1 == request);
--- a/crates/wv-reg/tests/common/mod.rs
+++ b/crates/wv-reg/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Proposers and voters in one room: the real proposer's side over real stores, call by call.
 use std::collections::VecDeque;
-use wv_inner::{Ballot, Cell, Member, Msg, Step, Vote, Voters};
+use wv_inner::{Ballot, Cell, Member, Message, Step, Vote, Voters};
 use wv_reg::{cell, raise, Done, MemFiles, Outcome, Quorum, State, Store};
 
 pub const VOTERS: [&str; 3] = ["a", "b", "c"];
@@ -64,7 +64,7 @@
         let quorum = &mut self.quorums[from];
         quorum.tick(self.now);
         for (to, msg) in quorum.take_out() {
-            if let Msg::Call { asker, request, key, step, .. } = msg {
+            if let Message::RegisterRequest { requester: asker, request, key, step, .. } = msg {
                 self.calls.push_back(Call { from, to, asker, request, key, step });
             }
         }
--- a/crates/wv-reg/tests/register_model/mod.rs
+++ b/crates/wv-reg/tests/register_model/mod.rs
@@ -9,7 +9,7 @@
 pub use ledger::{Ledger, Verdict};
 pub use setup::{Setup, Wish, Without};
 use std::rc::Rc;
-use wv_inner::{Ballot, Cell, Member, Msg, Step as Ask, Vote, Voters};
+use wv_inner::{Ballot, Cell, Member, Message, Step as Ask, Vote, Voters};
 use wv_reg::{Done, MemFiles, Quorum, State, Store};
 
 pub const KEY: &str = "k";
@@ -171,7 +171,7 @@
         act(&mut quorum, now);
         quorum.tick(now);
         for (to, msg) in quorum.take_out() {
-            let Msg::Call { asker, request, step, .. } = msg else { continue };
+            let Message::RegisterRequest { requester: asker, request, step, .. } = msg else { continue };
             let to = NAMES.iter().position(|name| *name == to).unwrap_or(0);
             self.note(|ledger| ledger.proposed(&step))?;
             self.proposers[at].request = request;
--- a/crates/wv-reg/tests/successor.rs
+++ b/crates/wv-reg/tests/successor.rs
@@ -1,7 +1,7 @@
 //! Stories of registers while one set of voters follows another: what was decided in the newer one is never undone by
 //! what a straggler of the older one still holds.
 use googletest::prelude::*;
-use wv_inner::{Ballot, Cell, Held, Member, Msg, Step, Vote, Voters};
+use wv_inner::{Ballot, Cell, Held, Member, Message, Step, Vote, Voters};
 use wv_reg::{cell, raise, MemFiles, Outcome, Quorum, Seat, State, Store};
 
 /// Four disks, of which `a b c` are the first set and `a b d` the second.
@@ -63,7 +63,7 @@
             self.now += 10_000;
             quorum.tick(self.now);
             for (to, msg) in quorum.take_out() {
-                let Msg::Call { asker, request, key, step, .. } = msg else { continue };
+                let Message::RegisterRequest { requester: asker, request, key, step, .. } = msg else { continue };
                 let reached = if matches!(step, Step::Accept { .. }) { kept } else { heard };
                 if reached.split(' ').any(|name| name == to) {
                     let vote = vote(&mut self.stores[at(&to)], &key, &step);
