--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -124,7 +124,7 @@
         }
         if code == ErrorCode::WrongNode {
             if let Some(member) = self.checks.member_mut(held.spot) {
-                member.down(wv_internal_protocol::Sight::Refused, self.now);
+                member.down(wv_internal_protocol::Health::Refused, self.now);
             }
         }
     }
--- a/crates/wv-access/src/reports.rs
+++ b/crates/wv-access/src/reports.rs
@@ -1,7 +1,7 @@
 //! What this node tells the holder of a planned shard's split: marks, sampled things, names. One report of a kind is on
 //! its way at a time, and is sent again until it is taken.
 use crate::core::Core;
-use wv_internal_protocol::{Msg, ShardReport, SplitPhase, WriteMarks};
+use wv_internal_protocol::{Message, ShardReport, SplitPhase, WriteMarks};
 use wv_shard_forecast::{hash, slot_for_key, KeySample, Sample};
 
 const AGAIN_US: u64 = 700_000;
@@ -125,7 +125,7 @@
 
 impl Core {
     /// The reports that are due. At the start of a session all that is on its way is sent again.
-    pub fn take_reports(&mut self, is_start: bool) -> Vec<Msg> {
+    pub fn take_reports(&mut self, is_start: bool) -> Vec<Message> {
         let (now, life) = (self.now, self.slots.life);
         self.slots.is_due = false;
         let mut msgs = Vec::new();
@@ -157,7 +157,7 @@
             }
             if let Some((at, sent)) = marks.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
-                msgs.push(Msg::Marks(sent.clone()));
+                msgs.push(Message::DirtyKeys(sent.clone()));
             }
             let fill = &mut shard.fill;
             if fill.retold + RETELL_US <= now {
@@ -187,7 +187,7 @@
             }
             if let Some((at, sent)) = fill.sent.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
-                msgs.push(Msg::Fill(sent.clone()));
+                msgs.push(Message::KeySamples(sent.clone()));
             }
         }
         msgs
--- a/crates/wv-consensus/src/quorum.rs
+++ b/crates/wv-consensus/src/quorum.rs
@@ -5,12 +5,11 @@
 use crate::line::Line;
 use crate::Edit;
 use std::collections::BTreeMap;
-use wv_internal_protocol::{AcceptorState, Ballot, Msg, RegisterReply, RegisterValue, VoterSet};
+use wv_internal_protocol::{AcceptorState, Ballot, Message, RegisterReply, RegisterValue, VoterSet};
 
 /// How long one quorum operation may take; callers of the operator wait a second.
 const LIMIT_US: u64 = 900_000;
 const RESEND_US: u64 = 150_000;
-/// No node runs more operations than this at once.
 const OPS_MAX: usize = 256;
 /// Two proposers that met pause for a random time below this, doubled with each further meeting up to the second.
 const PAUSE_US: u64 = 8_000;
@@ -35,7 +34,7 @@
     seed: u64,
     lines: BTreeMap<String, Line>,
     known: BTreeMap<String, AcceptorState>,
-    out: Vec<(String, Msg)>,
+    out: Vec<(String, Message)>,
     done: Vec<Done>,
 }
 
@@ -212,10 +211,11 @@
             return;
         }
         attempt.resend = now + RESEND_US;
-        let (asker, request, set) = (self.who, attempt.request, self.voters.number);
+        let (requester, request, voter_set) = (self.who, attempt.request, self.voters.number);
         for voter in self.voters.addrs() {
             let Some(step) = attempt.step(voter) else { continue };
-            self.out.push((voter.to_owned(), Msg::Call { asker, request, set, key: key.to_owned(), step }));
+            let message = Message::RegisterRequest { requester, request, voter_set, key: key.to_owned(), step };
+            self.out.push((voter.to_owned(), message));
         }
     }
 
@@ -240,7 +240,7 @@
         self.lines.values().filter_map(Line::next_due).min()
     }
 
-    pub fn take_out(&mut self) -> Vec<(String, Msg)> {
+    pub fn take_out(&mut self) -> Vec<(String, Message)> {
         std::mem::take(&mut self.out)
     }
 
--- a/crates/wv-consensus/tests/change_model/mod.rs
+++ b/crates/wv-consensus/tests/change_model/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use wv_consensus::{Change, MemFiles, Seat, State, Store};
-use wv_internal_protocol::{AcceptorState, Ballot, Member, Msg, VoterSet};
+use wv_internal_protocol::{AcceptorState, Ballot, Member, Message, VoterSet};
 
 pub const KEY: &str = "k";
 pub const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -54,7 +54,7 @@
 pub struct Ask {
     from: usize,
     to: usize,
-    msg: Msg,
+    msg: Message,
 }
 
 #[derive(Clone)]
@@ -83,9 +83,9 @@
         let name = |at: &usize| NAMES[*at];
         let word = |ask: &Ask| {
             let what = match &ask.msg {
-                Msg::Claim { .. } => "claims",
-                Msg::Settle { .. } => "settles",
-                Msg::Handover(wv_internal_protocol::Handover::Seal { .. }) => "seals",
+                Message::PrepareSuccessor { .. } => "claims",
+                Message::AcceptSuccessor { .. } => "settles",
+                Message::Handover(wv_internal_protocol::Handover::Seal { .. }) => "seals",
                 _ => "hands to",
             };
             format!("{} {what} {}", name(&ask.from), name(&ask.to))
--- a/crates/wv-consensus/tests/register_model/mod.rs
+++ b/crates/wv-consensus/tests/register_model/mod.rs
@@ -10,7 +10,7 @@
 pub use setup::{Setup, Wish, Without};
 use std::rc::Rc;
 use wv_consensus::{Done, MemFiles, Quorum, State, Store};
-use wv_internal_protocol::{Ballot, Member, Msg, RegisterReply, RegisterRequest as Ask, RegisterValue, VoterSet};
+use wv_internal_protocol::{Ballot, Member, Message, RegisterReply, RegisterRequest as Ask, RegisterValue, VoterSet};
 
 pub const KEY: &str = "k";
 pub const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -171,7 +171,7 @@
         act(&mut quorum, now);
         quorum.tick(now);
         for (to, msg) in quorum.take_out() {
-            let Msg::Call { asker, request, step, .. } = msg else { continue };
+            let Message::RegisterRequest { requester: asker, request, step, .. } = msg else { continue };
             let to = NAMES.iter().position(|name| *name == to).unwrap_or(0);
             self.note(|ledger| ledger.proposed(&step))?;
             self.proposers[at].request = request;
--- a/crates/wv-consensus/tests/successor.rs
+++ b/crates/wv-consensus/tests/successor.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use wv_consensus::{cell, raise, MemFiles, Outcome, Quorum, Seat, State, Store};
 use wv_internal_protocol::{
-    AcceptorState, Ballot, Member, Msg, RegisterReply, RegisterRequest, RegisterValue, VoterSet,
+    AcceptorState, Ballot, Member, Message, RegisterReply, RegisterRequest, RegisterValue, VoterSet,
 };
 
 /// Four disks, of which `a b c` are the first set and `a b d` the second.
@@ -65,7 +65,7 @@
             self.now += 10_000;
             quorum.tick(self.now);
             for (to, msg) in quorum.take_out() {
-                let Msg::Call { asker, request, key, step, .. } = msg else { continue };
+                let Message::RegisterRequest { requester: asker, request, key, step, .. } = msg else { continue };
                 let reached = if matches!(step, RegisterRequest::Accept { .. }) { kept } else { heard };
                 if reached.split(' ').any(|name| name == to) {
                     let vote = vote(&mut self.stores[at(&to)], &key, &step);
--- a/crates/wv-control/src/takeover.rs
+++ b/crates/wv-control/src/takeover.rs
@@ -2,7 +2,7 @@
 use crate::core::Core;
 use std::collections::BTreeSet;
 use wv_consensus::parts;
-use wv_internal_protocol::{AcceptorState, CatchUp, Msg};
+use wv_internal_protocol::{AcceptorState, CatchUp, Message};
 
 /// A learner that holds everything compares again after this.
 const LEARN_US: u64 = 500_000;
@@ -84,7 +84,7 @@
             (self.seat.voters.clone(), self.seat.before.clone(), self.quorum.next_request());
         let sum = parts::total(&parts::sums(&self.store));
         let (now, open) = (self.now, Vec::new());
-        self.send_peer(&source, Msg::Takeover(CatchUp::Compare { request, voters, previous: before, digest: sum }));
+        self.send_peer(&source, Message::Takeover(CatchUp::Compare { request, voters, previous: before, digest: sum }));
         self.progress.current = Some(Comparison { source, request, began: now, heard: now, set: 0, open, asked: 0 });
     }
 
@@ -117,14 +117,14 @@
                 if set > 0 {
                     let sums = parts::sums(&self.store);
                     let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                    self.send(link, Msg::Takeover(CatchUp::Digests { request, set, digests: sums }));
+                    self.send(link, Message::Takeover(CatchUp::Digests { request, set, digests: sums }));
                 }
             }
             CatchUp::CompareRanges { request, ranges } => {
                 let (cells, is_whole) = parts::part(&self.store, &ranges);
                 self.send(
                     link,
-                    Msg::Takeover(CatchUp::NewerRegisters { request, registers: cells, is_complete: is_whole }),
+                    Message::Takeover(CatchUp::NewerRegisters { request, registers: cells, is_complete: is_whole }),
                 );
             }
             CatchUp::Digests { request, set, digests: sums } => self.compared(addr, request, set, &sums),
@@ -178,7 +178,7 @@
         let ranges = parts::listed(&self.store, &held.open);
         held.asked = ranges.len();
         let (source, request) = (held.source.clone(), held.request);
-        self.send_peer(&source, Msg::Takeover(CatchUp::CompareRanges { request, ranges }));
+        self.send_peer(&source, Message::Takeover(CatchUp::CompareRanges { request, ranges }));
     }
 
     /// All that the source held when it was asked stands here.
--- a/crates/wv-health/src/lib.rs
+++ b/crates/wv-health/src/lib.rs
@@ -29,9 +29,9 @@
 impl Default for Checks {
     fn default() -> Checks {
         Checks {
-            new_work_us: wv_internal_protocol::new_work_us(
-                wv_internal_protocol::DRAIN_US,
-                wv_internal_protocol::CONTACT_US,
+            new_work_us: wv_internal_protocol::new_work_window_us(
+                wv_internal_protocol::DEFAULT_DRAIN_US,
+                wv_internal_protocol::DEFAULT_CONTACT_US,
             ),
             checkers: Vec::new(),
             names: Default::default(),
@@ -88,8 +88,8 @@
     /// Takes what the feed says of a database, and since when it leaves where it does.
     pub fn inst(
         &mut self,
-        inst: &wv_internal_protocol::Inst,
-        since: wv_internal_protocol::LeavingSince,
+        inst: &wv_internal_protocol::Instance,
+        since: wv_internal_protocol::LeaveTime,
         now: u64,
     ) -> Option<Spot> {
         // One that is gone and was never known here needs no seat. Whoever tells of it may not know its service.
@@ -97,7 +97,7 @@
             let spot = self.spot(&inst.id)?;
             let held = &self.member(spot)?.inst;
             let sequence = held.sequence.max(inst.sequence);
-            let gone = wv_internal_protocol::Inst { gone: true, sequence, ..held.clone() };
+            let gone = wv_internal_protocol::Instance { gone: true, sequence, ..held.clone() };
             self.checker_mut(spot.service)?.seat(Some(spot.seat), &gone, since, now);
             return Some(spot);
         }
@@ -118,7 +118,7 @@
         self.checker(spot.service).is_some_and(|checker| checker.is_past_drain(spot.seat, now))
     }
 
-    pub fn lead(&mut self, lead: &wv_internal_protocol::Lead, now: u64) -> bool {
+    pub fn lead(&mut self, lead: &wv_internal_protocol::Leader, now: u64) -> bool {
         let service = self.service(&lead.service);
         self.checkers.get_mut(service as usize).is_some_and(|checker| checker.lead(lead, now))
     }
--- a/crates/wv-simulation/src/hands.rs
+++ b/crates/wv-simulation/src/hands.rs
@@ -11,8 +11,9 @@
     }
 
     /// A shard changed hands: a line in the course, once for each number.
-    pub(crate) fn note_owner(&mut self, msg: &wv_internal_protocol::Msg) {
-        if let wv_internal_protocol::Msg::Change { news: wv_internal_protocol::News::Slots(map), .. } = msg {
+    pub(crate) fn note_owner(&mut self, msg: &wv_internal_protocol::Message) {
+        if let wv_internal_protocol::Message::Update { update: wv_internal_protocol::FeedUpdate::Slots(map), .. } = msg
+        {
             let held = self.owners.entry(format!("slots/{}", map.shard)).or_default();
             if std::mem::replace(held, map.version.max(*held)) < map.version {
                 let moving =
@@ -30,12 +31,13 @@
             }
             return;
         }
-        let wv_internal_protocol::Msg::Change { news: wv_internal_protocol::News::Owner(owner), .. } = msg else {
+        let wv_internal_protocol::Message::Update { update: wv_internal_protocol::FeedUpdate::Owner(owner), .. } = msg
+        else {
             return;
         };
         let held = self.owners.entry(owner.service.clone()).or_default();
-        if std::mem::replace(held, owner.number.max(*held)) < owner.number {
-            self.note(format!("shard {} goes to {} under {}", owner.service, owner.node, owner.number));
+        if std::mem::replace(held, owner.epoch.max(*held)) < owner.epoch {
+            self.note(format!("shard {} goes to {} under {}", owner.service, owner.node, owner.epoch));
         }
     }
 
