--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -82,7 +82,7 @@
     /// How many access nodes there were before this life.
     pub(crate) nodes_recalled: u32,
     pub(crate) conf: Option<wv_configuration::Conf>,
-    pub(crate) duties: BTreeMap<String, wv_promotion::Duty>,
+    pub(crate) duties: BTreeMap<String, wv_promotion::PromotionCoordinator>,
     pub(crate) fences: BTreeMap<String, u64>,
     pub(crate) calls: crate::post::Calls,
     pub(crate) counts: crate::metrics::Counts,
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use std::collections::{BTreeMap, BTreeSet};
 use wv_internal_protocol::Instance;
-use wv_promotion::{Left, Silent, StatusReply};
+use wv_promotion::{DepartedDatabase, StatusError, StatusReply};
 
 /// One that left is looked at no more often, at first and when it serves on: most end soon, and what was seen of the
 /// primary counts only from then on.
@@ -30,13 +30,13 @@
 
 impl Core {
     /// What the duty is told of one that left. Whoever took its place came after its end.
-    pub(crate) fn departed(&self, inst: &Instance) -> Left {
+    pub(crate) fn departed(&self, inst: &Instance) -> DepartedDatabase {
         let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
         let heir = self.table.of(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
         let held = self.left.get(&inst.id);
         let dark = held.and_then(|held| held.dark).map(|dark| dark + DARK_US).filter(|end| *end <= self.now);
         let ended = held.and_then(|held| held.ended).or(dark);
-        Left { ended_us: ended.map(|ended| self.now.saturating_sub(ended)), heir }
+        DepartedDatabase { stopped_for_us: ended.map(|ended| self.now.saturating_sub(ended)), successor: heir }
     }
 
     /// The holder looks at those that left under the present lead until they have ended.
@@ -69,7 +69,7 @@
             if self.led.get(&inst.service).is_some_and(|led| held.at < *led) {
                 continue;
             }
-            match self.departed(inst).ended_us {
+            match self.departed(inst).stopped_for_us {
                 None => drop(needed.insert(id.clone())),
                 Some(ago) => {
                     let ended = self.now.saturating_sub(ago);
@@ -84,14 +84,14 @@
 
     /// What a look at one that left says of its end.
     pub(crate) fn note_ended(&mut self, id: &str, word: StatusReply) {
-        let is_replaced = self.table.get(id).is_some_and(|inst| inst.gone && self.departed(inst).heir.is_some());
+        let is_replaced = self.table.get(id).is_some_and(|inst| inst.gone && self.departed(inst).successor.is_some());
         let now = self.now;
         let Some(held) = self.left.get_mut(id) else { return };
         match word {
             Ok(_) => (held.ended, held.dark) = (None, None),
-            Err(Silent::Refused) => held.ended = held.ended.or(Some(now)),
-            Err(Silent::Dark) if is_replaced => held.ended = held.ended.or(Some(now)),
-            Err(Silent::Dark) => held.dark = held.dark.or(Some(now)),
+            Err(StatusError::Refused) => held.ended = held.ended.or(Some(now)),
+            Err(StatusError::Unreachable) if is_replaced => held.ended = held.ended.or(Some(now)),
+            Err(StatusError::Unreachable) => held.dark = held.dark.or(Some(now)),
         }
     }
 }
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -3,7 +3,7 @@
 use crate::types::{Asked, Waiting};
 use wv_consensus::Outcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
-use wv_promotion::{Database, Effect, Event, Silent, StatusReply, View};
+use wv_promotion::{Database, Effect, Event, ServiceView, StatusError, StatusReply};
 
 /// A node that has just started, or was out of contact, first hears who is there.
 const SETTLE_US: u64 = 800_000;
@@ -42,31 +42,35 @@
         let database = |inst: &wv_internal_protocol::Instance| Database {
             id: inst.id.clone(),
             is_draining: inst.draining,
-            refused_us: self.refused_us(&inst.id),
-            left: inst.gone.then(|| self.departed(inst)),
+            refused_for_us: self.refused_us(&inst.id),
+            departed: inst.gone.then(|| self.departed(inst)),
         };
         self.table.of(service).filter(is_counted).map(database).collect()
     }
 
-    fn with_duty(&mut self, service: &str, turn: impl FnOnce(&mut wv_promotion::Duty, &View<'_>)) {
+    fn with_duty(
+        &mut self,
+        service: &str,
+        turn: impl FnOnce(&mut wv_promotion::PromotionCoordinator, &ServiceView<'_>),
+    ) {
         let Some(mut duty) = self.duties.remove(service) else { return };
         let lead = self.feed.lead(service).map(|lead| lead.id.clone());
         let databases = self.databases(service, lead.as_deref());
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
-        let view = View {
+        let view = ServiceView {
             now: self.now,
-            is_holder: self.roster.is_duty_holder(service) && self.is_settled(SETTLE_US),
-            lead: lead.as_deref(),
+            is_duty_holder: self.roster.is_duty_holder(service) && self.is_settled(SETTLE_US),
+            leader: lead.as_deref(),
             sync_replicas: service_conf.map_or(1, |held| held.sync_replicas),
             databases: &databases,
-            is_raise_wanted: self.is_raise_wanted(service),
-            is_lead_doubted: lead
+            is_switchover_requested: self.is_raise_wanted(service),
+            is_leader_suspected: lead
                 .as_deref()
                 .is_some_and(|lead| self.words(lead).any(|(sight, _)| sight.health != Health::Up)),
-            is_lead_past_drain: lead.as_deref().is_some_and(|lead| self.is_past_drain(lead)),
-            is_lead_down: lead.as_deref().is_some_and(|lead| self.is_down(lead)),
+            is_leader_closed_to_new_work: lead.as_deref().is_some_and(|lead| self.is_past_drain(lead)),
+            is_leader_down: lead.as_deref().is_some_and(|lead| self.is_down(lead)),
             term: self.known_term(service),
-            fenced: lead.as_deref().and_then(|lead| self.fenced(lead)),
+            fenced_position: lead.as_deref().and_then(|lead| self.fenced(lead)),
         };
         turn(&mut duty, &view);
         let effects = duty.take_effects();
@@ -77,7 +81,8 @@
     /// All duties that are held here, and those held until now, which have something to undo.
     pub(crate) fn run_duties(&mut self) {
         let Some(conf) = self.conf.as_ref() else { return };
-        let is_engaged = |service: &&String| self.duties.get(*service).is_some_and(wv_promotion::Duty::is_engaged);
+        let is_engaged =
+            |service: &&String| self.duties.get(*service).is_some_and(wv_promotion::PromotionCoordinator::is_active);
         let is_meant = |service: &&String| self.roster.is_duty_holder(service) || is_engaged(service);
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
@@ -102,13 +107,13 @@
     }
 
     pub(crate) fn turn(&self, service: &str) -> u64 {
-        self.duties.get(service).map_or(0, wv_promotion::Duty::step_number)
+        self.duties.get(service).map_or(0, wv_promotion::PromotionCoordinator::step_number)
     }
 
     /// An answer counts in the step that asked for it; in a later one it would pass for another's answer.
     pub(crate) fn duty_event(&mut self, service: &str, turn: u64, event: Event) {
         if turn > 0 && turn == self.turn(service) {
-            self.with_duty(service, |duty, view| duty.event(event, view));
+            self.with_duty(service, |duty, view| duty.handle_event(event, view));
         }
     }
 
@@ -122,19 +127,19 @@
         log::info!("duty {service}: {effect:?}");
         let turn = self.turn(service);
         match effect {
-            Effect::Claim => self.claim_duty(service),
-            Effect::Confirm => {
+            Effect::ClaimFence => self.claim_duty(service),
+            Effect::ConfirmFence => {
                 self.calls.confirms.insert(service.to_owned(), self.now);
                 self.ask_register(service, Waiting::Confirm(service.to_owned(), turn), None);
             }
-            Effect::Look { id } => self.ask_db(service, id, "ENQUIRY".to_owned(), turn),
+            Effect::QueryStatus { id } => self.ask_db(service, id, "ENQUIRY".to_owned(), turn),
             Effect::Suspend { id, term } => self.ask_db(service, id, format!("SUSPEND {term}"), turn),
             Effect::Continue { id } => self.ask_db(service, id, "CONTINUE".to_owned(), 0),
             Effect::Yield { id, term } => self.ask_db(service, id, format!("YIELD {term}"), 0),
-            Effect::Depose { id, term } => self.ask_db(service, id, format!("YIELD {term}"), turn),
-            Effect::Post { id, fence } => self.post(service, id, fence),
-            Effect::Stalled(obstacle) => self.count_stall(service, &obstacle),
-            Effect::Led { id, term } => {
+            Effect::Demote { id, term } => self.ask_db(service, id, format!("YIELD {term}"), turn),
+            Effect::RequestPromotion { id, fence } => self.post(service, id, fence),
+            Effect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
+            Effect::AnnounceLeader { id, term } => {
                 let lead = Leader { service: service.to_owned(), id, term };
                 self.send_peers(&Message::Leader(lead.clone()));
                 self.lead_told(lead);
@@ -166,7 +171,7 @@
                 let ask = self.ask(service, &id, turn);
                 self.acts.push(Act::Request { ask, service: service.to_owned(), id, addr, text });
             }
-            None => self.duty_event(service, turn, Event::Row { id, reply: Err(Silent::Refused) }),
+            None => self.duty_event(service, turn, Event::Status { id, reply: Err(StatusError::Refused) }),
         }
     }
 
@@ -176,7 +181,7 @@
         let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
         log::info!("duty {service}: row of {id}: {reply:?}");
         self.note_ended(&id, reply);
-        self.duty_event(&service, turn, Event::Row { id, reply });
+        self.duty_event(&service, turn, Event::Status { id, reply });
         self.run_quorum();
     }
 
@@ -185,7 +190,7 @@
         self.at(now);
         let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
         log::info!("duty {service}: platform returned {code:?} for {id}");
-        self.duty_event(&service, turn, Event::Posted(code));
+        self.duty_event(&service, turn, Event::PromotionReturned(code));
         self.run_quorum();
     }
 
@@ -221,7 +226,7 @@
         if let Some(fence) = fence {
             self.fences.insert(service.clone(), fence);
         }
-        self.duty_event(&service, turn, Event::Claimed(fence.map(|fence| (fence, is_succession))));
+        self.duty_event(&service, turn, Event::FenceClaimed(fence.map(|fence| (fence, is_succession))));
     }
 
     /// Whether the register still names this node under its own last fence.
@@ -232,6 +237,6 @@
 
     pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
         let is_ours = self.is_ours(&service, &outcome);
-        self.duty_event(&service, turn, Event::Confirmed(is_ours));
+        self.duty_event(&service, turn, Event::FenceConfirmed(is_ours));
     }
 }
--- a/crates/wv-control/src/leaving.rs
+++ b/crates/wv-control/src/leaving.rs
@@ -18,7 +18,7 @@
     /// A promotion that is under way is brought to its end first, and two holders that are in touch do not call the
     /// platform one right after the other.
     pub(crate) fn run_leaving(&mut self) {
-        let is_under_way = |duty: &wv_promotion::Duty| duty.is_engaged() && !duty.is_resting();
+        let is_under_way = |duty: &wv_promotion::PromotionCoordinator| duty.is_active() && !duty.is_idle();
         let is_busy = self.duties.values().any(is_under_way)
             || (self.calls.made_at > 0 && self.calls.made_at + TURNS_US > self.now);
         if !self.is_leaving || self.is_leave_told || is_busy {
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use std::collections::BTreeMap;
 use wv_metrics::{MetricsError, Page};
-use wv_promotion::Obstacle;
+use wv_promotion::BlockedReason;
 
 /// Of one service's attempts at a promotion that lead nowhere, no more than one a span is written to the log.
 const STALL_LOG_US: u64 = 2_000_000;
@@ -30,7 +30,7 @@
     }
 
     /// An attempt at a promotion led nowhere.
-    pub(crate) fn count_stall(&mut self, service: &str, obstacle: &Obstacle) {
+    pub(crate) fn count_stall(&mut self, service: &str, obstacle: &BlockedReason) {
         let promotions = self.counts.services.entry(service.to_owned()).or_default();
         promotions.stalls += 1;
         if promotions.logged_at.is_none_or(|at| at + STALL_LOG_US <= self.now) {
--- a/crates/wv-control/src/post.rs
+++ b/crates/wv-control/src/post.rs
@@ -108,7 +108,7 @@
     fn unsent(&mut self, ask: u64) {
         let Some(asked) = self.calls.asks.remove(&ask) else { return };
         log::warn!("duty {}: no call under a confirmation that is over", asked.service);
-        self.duty_event(&asked.service, asked.turn, Event::Confirmed(false));
+        self.duty_event(&asked.service, asked.turn, Event::FenceConfirmed(false));
     }
 
     /// The same, from the one that was to make it.
--- a/crates/wv-control/src/request.rs
+++ b/crates/wv-control/src/request.rs
@@ -2,7 +2,7 @@
 use crate::exec::Node;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use wv_promotion::{Silent, StatusReply};
+use wv_promotion::{StatusError, StatusReply};
 use wv_wire_protocol::{parse_status, split_line, DatabaseLine, DatabaseStatus};
 
 const ASK: std::time::Duration = std::time::Duration::from_millis(400);
@@ -40,10 +40,10 @@
 
 async fn request(addr: SocketAddr, service: &str, id: &str, text: &str) -> StatusReply {
     let stream = wv_http::connect(addr, CONNECT).await.map_err(|error| match error.kind() {
-        std::io::ErrorKind::ConnectionRefused => Silent::Refused,
-        _ => Silent::Dark,
+        std::io::ErrorKind::ConnectionRefused => StatusError::Refused,
+        _ => StatusError::Unreachable,
     })?;
-    converse(stream, service, id, text).await.ok_or(Silent::Dark)
+    converse(stream, service, id, text).await.ok_or(StatusError::Unreachable)
 }
 
 async fn converse(mut stream: tokio::net::TcpStream, service: &str, id: &str, text: &str) -> Option<DatabaseStatus> {
@@ -62,10 +62,10 @@
 impl Node {
     pub(crate) async fn ask_db(self, ask: u64, service: String, id: String, (addr, text): (String, String)) {
         let word = match addr.parse() {
-            Ok(addr) => {
-                tokio::time::timeout(ASK, request(addr, &service, &id, &text)).await.unwrap_or(Err(Silent::Dark))
-            }
-            Err(_) => Err(Silent::Dark),
+            Ok(addr) => tokio::time::timeout(ASK, request(addr, &service, &id, &text))
+                .await
+                .unwrap_or(Err(StatusError::Unreachable)),
+            Err(_) => Err(StatusError::Unreachable),
         };
         self.with(|core, now| core.row(ask, word, now));
     }
--- a/crates/wv-health/src/service.rs
+++ b/crates/wv-health/src/service.rs
@@ -58,8 +58,8 @@
         self.databases.iter_mut()
     }
 
-    /// Updates the database at `index`, or adds it, and returns its index. If the entry of a departed database is reused,
-    /// the id of that database is returned too.
+    /// Updates the database at `index`, or adds it, and returns its index. If the entry of a departed database is
+    /// reused, the id of that database is returned too.
     pub fn upsert(
         &mut self,
         index: Option<u16>,
--- a/crates/wv-promotion/src/lib.rs
+++ b/crates/wv-promotion/src/lib.rs
@@ -1,69 +1,71 @@
-//! The duty of promotion, one machine per service: events and time in, effects out.
-mod choice;
-mod depose;
-mod duty;
+//! Promotion of a new leader: one state machine per service, with events and time as input and effects as output. It
+//! runs on the duty holder, the node that is responsible for promotions of the service.
+mod candidate;
+mod coordinator;
+mod demotion;
+mod events;
 mod step;
-mod steps;
 
-pub use choice::{choose_candidate, Choice, Obstacle};
-pub use duty::Duty;
+pub use candidate::{choose_candidate, BlockedReason, Choice};
+pub use coordinator::PromotionCoordinator;
 
 use wv_wire_protocol::{DatabaseStatus, LogPosition};
 
-/// A database of the service as the duty sees it.
+/// A database of the service.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Database {
     pub id: String,
     pub is_draining: bool,
-    /// Whoever looks at it from an access node says its connections are refused, and has said so for this long.
-    pub refused_us: Option<u64>,
-    /// It left since the present lead came to lead. What it had received counts; it may serve on, and receive, until it ends.
-    pub left: Option<Left>,
+    /// For how long every reporting access node has had its connections refused, if all report so.
+    pub refused_for_us: Option<u64>,
+    /// Set if it departed under the current leader. Its received position still counts, and until it stops it may go on
+    /// receiving.
+    pub departed: Option<DepartedDatabase>,
 }
 
-/// A database that left: for how long it is known to have ended, and which one took over its place and with it its log.
+/// A departed database: for how long it is known to have stopped, and the database that took over its address and log.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Left {
-    pub ended_us: Option<u64>,
-    pub heir: Option<String>,
+pub struct DepartedDatabase {
+    pub stopped_for_us: Option<u64>,
+    pub successor: Option<String>,
 }
 
 impl Database {
-    /// Whether it may still receive, and say what it has.
-    pub fn is_asked(&self) -> bool {
-        self.left.as_ref().is_none_or(|left| left.ended_us.is_none())
+    /// Whether it may still receive log records and report its status.
+    pub fn may_be_running(&self) -> bool {
+        self.departed.as_ref().is_none_or(|departed| departed.stopped_for_us.is_none())
     }
 }
 
-/// What the duty reads at each turn.
-pub struct View<'a> {
+/// The state of the service that the coordinator reads on every tick and event.
+pub struct ServiceView<'a> {
     pub now: u64,
-    pub is_holder: bool,
-    pub lead: Option<&'a str>,
+    pub is_duty_holder: bool,
+    pub leader: Option<&'a str>,
     pub sync_replicas: u32,
     pub databases: &'a [Database],
-    /// The lead is to be left behind by a newer term, though nothing is wrong with it.
-    pub is_raise_wanted: bool,
-    /// Some node says the lead is down: reason enough to look, not to act.
-    pub is_lead_doubted: bool,
-    /// The lead leaves or is gone, and no access node in touch gives it new work any more.
-    pub is_lead_past_drain: bool,
-    /// Agreeing sightings of several nodes say the lead is down.
-    pub is_lead_down: bool,
-    /// The newest term that anyone has seen, 0 for none.
+    /// A healthy leader is to be replaced under a newer term.
+    pub is_switchover_requested: bool,
+    /// At least one node reports the leader as unhealthy, which starts a probe but no promotion.
+    pub is_leader_suspected: bool,
+    /// The leader is leaving or gone, and no connected access node gives it new work any more.
+    pub is_leader_closed_to_new_work: bool,
+    /// Enough nodes agree that the leader is down.
+    pub is_leader_down: bool,
+    /// The newest known term, 0 for none.
     pub term: u64,
-    /// The newest fenced sighting of the lead: how long ago, and its place.
-    pub fenced: Option<(u64, LogPosition)>,
+    /// The newest fenced position of the leader and its age.
+    pub fenced_position: Option<(u64, LogPosition)>,
 }
 
-/// What the duty wants done; each but `Led` and `Stalled` comes back as an event.
+/// An action for the caller. `Continue`, `Yield`, `AnnounceLeader` and `ReportBlocked` are not answered by an event.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Effect {
-    /// Take the fence in the register.
-    Claim,
-    /// Make sure at a majority that the fence is still ours.
-    Confirm,
-    Look {
+    /// Claim the next fence in the register.
+    ClaimFence,
+    /// Confirm with a majority that this node still owns the fence.
+    ConfirmFence,
+    QueryStatus {
         id: String,
     },
     Suspend {
@@ -77,45 +79,46 @@
         id: String,
         term: u64,
     },
-    /// The same for the primary that is about to be replaced, which answers with its row.
-    Depose {
+    /// Tell the primary that is being replaced to yield; it answers with its status.
+    Demote {
         id: String,
         term: u64,
     },
-    Post {
+    /// Ask the platform to promote a database, which also presents the fence.
+    RequestPromotion {
         id: String,
         fence: u64,
     },
-    /// Tell all who leads now.
-    Led {
+    /// Announce the leader to all nodes.
+    AnnounceLeader {
         id: String,
         term: u64,
     },
-    /// Tell the operators why this attempt led nowhere. Nothing comes back of it.
-    Stalled(Obstacle),
+    /// Report to operators why this attempt was abandoned.
+    ReportBlocked(BlockedReason),
 }
 
-/// How a database that was asked gave no row.
+/// Why a database did not return its status.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Silent {
-    /// Its machine says that nothing listens there.
+pub enum StatusError {
+    /// The connection was refused.
     Refused,
-    Dark,
+    Unreachable,
 }
 
-pub type StatusReply = Result<DatabaseStatus, Silent>;
+pub type StatusReply = Result<DatabaseStatus, StatusError>;
 
-/// What came of an effect.
+/// The result of an effect.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Event {
-    /// The fence, and whether another node held the duty before.
-    Claimed(Option<(u64, bool)>),
-    Confirmed(bool),
-    /// What came of a `Look`, `Suspend` or `Depose`.
-    Row {
+    /// The claimed fence, and whether another node may have held the duty before.
+    FenceClaimed(Option<(u64, bool)>),
+    FenceConfirmed(bool),
+    /// The result of `QueryStatus`, `Suspend` or `Demote`.
+    Status {
         id: String,
         reply: StatusReply,
     },
-    /// The platform's return; `None` for silence.
-    Posted(Option<u16>),
+    /// The HTTP status returned by the platform, `None` if it did not answer.
+    PromotionReturned(Option<u16>),
 }
--- a/crates/wv-promotion/src/step.rs
+++ b/crates/wv-promotion/src/step.rs
@@ -1,70 +1,70 @@
-//! The steps of a promotion, and how long each may take.
+//! Steps of a promotion and their timeouts.
 
-/// How long databases may take to give their rows.
-pub(crate) const ROWS_US: u64 = 450_000;
-/// How long the holder's own failed look stands while others come to agree.
-pub(crate) const AGREE_US: u64 = 800_000;
-pub(crate) const CLAIM_US: u64 = 1_200_000;
-pub(crate) const POST_US: u64 = 1_500_000;
-/// Between looks at a candidate that is on its way to lead.
-pub(crate) const WATCH_GAP_US: u64 = 300_000;
-pub(crate) const WATCH_US: u64 = 2_500_000;
-/// After an attempt that led nowhere.
-pub(crate) const PAUSE_FIRST_US: u64 = 150_000;
-/// Between looks at a lead that some doubt and that answers.
-pub(crate) const PAUSE_UP_US: u64 = 500_000;
-pub(crate) const PAUSE_LAST_US: u64 = 1_200_000;
+/// Time for databases to return their status.
+pub(crate) const STATUS_TIMEOUT_US: u64 = 450_000;
+/// Time for other nodes to agree after the duty holder's own probe of the leader failed.
+pub(crate) const AGREEMENT_TIMEOUT_US: u64 = 800_000;
+pub(crate) const REGISTER_TIMEOUT_US: u64 = 1_200_000;
+pub(crate) const PROMOTION_CALL_TIMEOUT_US: u64 = 1_500_000;
+/// Interval between status queries of a candidate that is being promoted.
+pub(crate) const LEADER_POLL_INTERVAL_US: u64 = 300_000;
+pub(crate) const LEADER_TIMEOUT_US: u64 = 2_500_000;
+/// Bounds of the delay after an abandoned attempt.
+pub(crate) const RETRY_DELAY_MIN_US: u64 = 150_000;
+pub(crate) const RETRY_DELAY_MAX_US: u64 = 1_200_000;
+/// Upper bound of the delay between probes of a suspected leader that answers.
+pub(crate) const PROBE_DELAY_MAX_US: u64 = 500_000;
 
 #[derive(Clone, PartialEq, Debug)]
 pub(crate) enum Step {
-    Rest {
+    Idle {
         until: u64,
     },
-    /// The holder's own look at a lead that another calls down.
+    /// The duty holder probes a leader that other nodes report as down.
     Probing {
         deadline: u64,
     },
-    /// From here it is down as well; others have still to agree.
-    Agreeing {
+    /// The probe failed; other nodes have yet to agree.
+    AwaitingAgreement {
         deadline: u64,
     },
-    Claiming {
+    ClaimingFence {
         deadline: u64,
     },
-    /// The fence is confirmed, to be shown to the platform.
-    Showing {
-        lead: String,
+    /// The fence is being confirmed before it is presented to the platform.
+    ConfirmingFence {
+        leader: String,
         deadline: u64,
     },
-    /// A predecessor may have a call under way: the platform is shown the new fence first.
-    Fencing {
+    /// The new fence is presented to the platform, so that it rejects pending calls of a previous duty holder.
+    PresentingFence {
         deadline: u64,
     },
-    Looking {
+    QueryingReplicas {
         deadline: u64,
     },
-    Suspending {
+    SuspendingReplicas {
         deadline: u64,
     },
-    /// The primary's own row is asked for, as a silent replica is in the way.
-    Comparing {
+    /// The primary's own status is queried because a replica is unavailable.
+    QueryingPrimary {
         candidate: String,
         deadline: u64,
     },
-    /// The primary is told to yield, once the fence is confirmed.
-    Deposing {
+    /// The fence is being confirmed, and then the primary is told to yield.
+    Demoting {
         candidate: String,
         deadline: u64,
     },
-    Confirming {
+    ConfirmingPromotion {
         candidate: String,
         deadline: u64,
     },
-    Posting {
+    RequestingPromotion {
         candidate: String,
         deadline: u64,
     },
-    Watching {
+    AwaitingLeader {
         candidate: String,
         next: u64,
         deadline: u64,
@@ -72,22 +72,22 @@
 }
 
 impl Step {
-    /// From then on nothing that was asked for in it counts any more.
+    /// Results that arrive from this time on are ignored.
     pub(crate) fn deadline(&self) -> Option<u64> {
         match self {
-            Step::Rest { .. } => None,
+            Step::Idle { .. } => None,
             Step::Probing { deadline }
-            | Step::Agreeing { deadline }
-            | Step::Claiming { deadline }
-            | Step::Fencing { deadline }
-            | Step::Looking { deadline }
-            | Step::Suspending { deadline }
-            | Step::Showing { deadline, .. }
-            | Step::Comparing { deadline, .. }
-            | Step::Deposing { deadline, .. }
-            | Step::Confirming { deadline, .. }
-            | Step::Posting { deadline, .. }
-            | Step::Watching { deadline, .. } => Some(*deadline),
+            | Step::AwaitingAgreement { deadline }
+            | Step::ClaimingFence { deadline }
+            | Step::PresentingFence { deadline }
+            | Step::QueryingReplicas { deadline }
+            | Step::SuspendingReplicas { deadline }
+            | Step::ConfirmingFence { deadline, .. }
+            | Step::QueryingPrimary { deadline, .. }
+            | Step::Demoting { deadline, .. }
+            | Step::ConfirmingPromotion { deadline, .. }
+            | Step::RequestingPromotion { deadline, .. }
+            | Step::AwaitingLeader { deadline, .. } => Some(*deadline),
         }
     }
 }
--- a/crates/wv-promotion/tests/model_fence.rs
+++ b/crates/wv-promotion/tests/model_fence.rs
@@ -1,143 +1,157 @@
-//! All interleavings of a few promotions by nodes that take the duty from each other: the real duties.
+//! Explores all interleavings of promotions by nodes that take over the duty from each other.
 mod fence_model;
 
-use fence_model::{Setup, Without, World};
+use fence_model::{Disabled, Setup, World};
 use googletest::prelude::*;
 use wv_model_checker::{search, Bound};
 
-const FENCED: Setup =
-    Setup { without: Without::Nothing, nodes: 2, is_fencing: true, is_prompt: false, turns: 1, lapses: 0, tries: 1 };
-const OPEN: Setup = Setup { is_fencing: false, ..FENCED };
+const CHECKED: Setup = Setup {
+    disabled: Disabled::None,
+    nodes: 2,
+    checks_fences: true,
+    calls_at_once: false,
+    handovers: 1,
+    timeouts: 0,
+    retries: 1,
+};
+const UNCHECKED: Setup = Setup { checks_fences: false, ..CHECKED };
 
-/// As many states as take some seconds in all; `WV_MODEL_DEPTH` takes the bound away.
-const STATES: usize = 20_000;
+/// Bound of the explored states, lifted by `WV_MODEL_DEPTH`.
+const STATES_MAX: usize = 20_000;
 
-fn holds(name: &str, setup: Setup) {
-    let seen = search(World::new(setup), Bound::of(99, STATES));
-    println!("{}", seen.line(name));
-    expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
+fn assert_safe(name: &str, setup: Setup) {
+    let result = search(World::new(setup), Bound::of(99, STATES_MAX));
+    println!("{}", result.line(name));
+    expect_that!(result.found.map(|found| found.fault), none(), "{name}");
 }
 
-/// A node comes to hold the duty, looks and claims, as far as the register.
-fn claims(node: &str) -> Vec<String> {
-    let ways = ["{} ticks", "{} hears of r", "{} ticks", "{} hears of p", "{}'s claim is decided"];
-    ways.iter().map(|way| way.replace("{}", node)).collect()
+/// The steps from a node becoming duty holder to the decision of its claim by the register.
+fn claim_steps(node: &str) -> Vec<String> {
+    let steps =
+        ["{} ticks", "{} receives the status of r", "{} ticks", "{} receives the status of p", "{}'s claim is decided"];
+    steps.iter().map(|step| step.replace("{}", node)).collect()
 }
 
-/// What is broken, and the shortest way there: `claim n0` stands for what comes before and with a claim.
-fn breaks(setup: Setup, fault: &str, story: &[&str]) {
-    let seen = search(World::new(setup), Bound { depth: 99, states: 100_000 });
-    println!("{}", seen.line(&format!("without {:?}", setup.without)));
-    let Some(found) = seen.found else { panic!("{:?} is not missed", setup.without) };
+/// Asserts the expected violation and the shortest steps to it. `claim n0` stands for `claim_steps("n0")`.
+fn assert_violation(setup: Setup, fault: &str, expected_steps: &[&str]) {
+    let result = search(World::new(setup), Bound { depth: 99, states: 100_000 });
+    println!("{}", result.line(&format!("disabled {:?}", setup.disabled)));
+    let Some(found) = result.found else { panic!("no violation with {:?} disabled", setup.disabled) };
     let steps: Vec<String> = found.steps.iter().map(|step| format!("{step:?}")).collect();
     expect_that!(found.fault, eq(fault));
-    let told = |reply: &&str| reply.strip_prefix("claim ").map_or(vec![(*reply).to_owned()], claims);
-    expect_that!(steps, eq(&story.iter().flat_map(told).collect::<Vec<String>>()));
+    let expand = |reply: &&str| reply.strip_prefix("claim ").map_or(vec![(*reply).to_owned()], claim_steps);
+    expect_that!(steps, eq(&expected_steps.iter().flat_map(expand).collect::<Vec<String>>()));
 }
 
 #[gtest]
-fn given_a_platform_that_checks_then_nothing_older_is_accepted_once_a_successor_went_on() {
-    holds("one succession", FENCED);
-    holds("one succession, limits run out", Setup { lapses: 1, ..FENCED });
-    holds("two successions", Setup { turns: 2, ..FENCED });
-    holds("three holders", Setup { turns: 2, nodes: 3, ..FENCED });
+fn given_a_platform_that_checks_fences_then_no_older_fence_is_accepted_once_a_newer_one_is_in_use() {
+    assert_safe("one handover", CHECKED);
+    assert_safe("one handover, timeouts", Setup { timeouts: 1, ..CHECKED });
+    assert_safe("two handovers", Setup { handovers: 2, ..CHECKED });
+    assert_safe("three nodes", Setup { handovers: 2, nodes: 3, ..CHECKED });
 }
 
 #[gtest]
-fn given_a_platform_that_checks_nothing_and_calls_right_after_their_confirmation_then_fences_only_rise() {
-    holds("unchecked, prompt", Setup { is_prompt: true, ..OPEN });
-    holds("unchecked, prompt, two successions, limits run out", Setup { is_prompt: true, turns: 2, lapses: 1, ..OPEN });
+fn given_no_fence_checks_and_calls_at_once_after_confirmation_then_fences_only_increase() {
+    assert_safe("unchecked, calls at once", Setup { calls_at_once: true, ..UNCHECKED });
+    assert_safe(
+        "unchecked, calls at once, two handovers, timeouts",
+        Setup { calls_at_once: true, handovers: 2, timeouts: 1, ..UNCHECKED },
+    );
 }
 
-/// What is not promised: no protocol without clocks can take back a call that waits in a frozen process.
+/// Not guaranteed without fence checks: a call may still be sent by a process that was paused after the confirmation.
 #[gtest]
-fn given_a_platform_that_checks_nothing_and_a_freeze_between_confirmation_and_call_then_the_window_is_found() {
-    breaks(
-        OPEN,
-        "fence 1 is sent after 2",
+fn given_no_fence_checks_and_a_pause_between_confirmation_and_call_then_the_violation_is_found() {
+    assert_violation(
+        UNCHECKED,
+        "fence 1 is sent after fence 2",
         &[
             "claim n0",
-            "n0 hears its claim of 1",
-            "n0 hears of r",
-            "n0's fence is read",
-            "n0 hears that its fence stands",
-            "the duty goes to n1",
+            "n0 receives its claim of fence 1",
+            "n0 receives the status of r",
+            "n0's confirmation is read",
+            "n0 receives the confirmation of its fence",
+            "the duty moves to n1",
             "claim n1",
-            "n1 hears its claim of 2",
-            "n1 hears of r",
-            "n1's fence is read",
-            "n1 hears that its fence stands",
-            "n1 calls under 2",
-            "n0 calls under 1",
+            "n1 receives its claim of fence 2",
+            "n1 receives the status of r",
+            "n1's confirmation is read",
+            "n1 receives the confirmation of its fence",
+            "n1 calls with fence 2",
+            "n0 calls with fence 1",
         ],
     );
 }
 
-/// A claim's answer that comes late shows no fence that another has risen above.
+/// A late reply to a claim must not present a fence that is lower than another node's.
 #[gtest]
-fn given_a_show_of_a_fence_then_it_is_confirmed_like_any_call() {
-    holds("unchecked, prompt, three holders", Setup { is_prompt: true, turns: 2, nodes: 3, ..OPEN });
+fn given_a_presented_fence_then_it_is_confirmed_like_any_call() {
+    assert_safe(
+        "unchecked, calls at once, three nodes",
+        Setup { calls_at_once: true, handovers: 2, nodes: 3, ..UNCHECKED },
+    );
 }
 
 #[gtest]
-fn given_calls_that_nobody_confirms_then_the_model_finds_it() {
-    let setup = Setup { without: Without::Confirm, is_prompt: true, ..OPEN };
-    breaks(
+fn given_unconfirmed_calls_then_the_violation_is_found() {
+    let setup = Setup { disabled: Disabled::Confirmation, calls_at_once: true, ..UNCHECKED };
+    assert_violation(
         setup,
-        "fence 1 is sent after 2",
+        "fence 1 is sent after fence 2",
         &[
             "claim n0",
-            "n0 hears its claim of 1",
-            "n0 hears of r",
-            "the duty goes to n1",
+            "n0 receives its claim of fence 1",
+            "n0 receives the status of r",
+            "the duty moves to n1",
             "claim n1",
-            "n1 hears its claim of 2",
-            "n1 hears of r",
-            "n1 hears that its fence stands",
-            "n0 hears that its fence stands",
+            "n1 receives its claim of fence 2",
+            "n1 receives the status of r",
+            "n1 receives the confirmation of its fence",
+            "n0 receives the confirmation of its fence",
         ],
     );
 }
 
 #[gtest]
-fn given_claims_that_leave_the_fence_then_the_model_finds_it() {
-    breaks(
-        Setup { without: Without::Rise, ..FENCED },
-        "two holders call under fence 1",
+fn given_claims_that_do_not_increment_the_fence_then_the_violation_is_found() {
+    assert_violation(
+        Setup { disabled: Disabled::FenceIncrement, ..CHECKED },
+        "two nodes call with fence 1",
         &[
             "claim n0",
-            "n0 hears its claim of 1",
-            "n0 hears of r",
-            "n0's fence is read",
-            "n0 hears that its fence stands",
-            "the duty goes to n1",
+            "n0 receives its claim of fence 1",
+            "n0 receives the status of r",
+            "n0's confirmation is read",
+            "n0 receives the confirmation of its fence",
+            "the duty moves to n1",
             "claim n1",
-            "n1 hears its claim of 1",
-            "n0 calls under 1",
-            "n1 hears of r",
-            "n1's fence is read",
-            "n1 hears that its fence stands",
-            "n1 calls under 1",
+            "n1 receives its claim of fence 1",
+            "n0 calls with fence 1",
+            "n1 receives the status of r",
+            "n1's confirmation is read",
+            "n1 receives the confirmation of its fence",
+            "n1 calls with fence 1",
         ],
     );
 }
 
 #[gtest]
-fn given_a_successor_that_does_not_show_its_fence_before_it_looks_then_the_model_finds_it() {
-    let fault = "fence 1 is accepted after the holder of 2 went on";
-    breaks(
-        Setup { without: Without::Show, ..FENCED },
+fn given_a_new_duty_holder_that_does_not_present_its_fence_then_the_violation_is_found() {
+    let fault = "fence 1 is accepted after fence 2 was in use";
+    assert_violation(
+        Setup { disabled: Disabled::FencePresentation, ..CHECKED },
         fault,
         &[
             "claim n0",
-            "n0 hears its claim of 1",
-            "n0 hears of r",
-            "n0's fence is read",
-            "n0 hears that its fence stands",
-            "the duty goes to n1",
+            "n0 receives its claim of fence 1",
+            "n0 receives the status of r",
+            "n0's confirmation is read",
+            "n0 receives the confirmation of its fence",
+            "the duty moves to n1",
             "claim n1",
-            "n1 hears its claim of 2",
-            "n0 calls under 1",
+            "n1 receives its claim of fence 2",
+            "n0 calls with fence 1",
         ],
     );
 }
--- a/crates/wv-simulation/src/controls.rs
+++ b/crates/wv-simulation/src/controls.rs
@@ -81,9 +81,9 @@
                     !held.is_dark && !self.is_cut(&self.controls[at].name, &held.id)
                 };
                 let word = match self.base(&id).filter(is_open) {
-                    None => Err(wv_promotion::Silent::Dark),
-                    Some(base) if !self.bases[base].is_up => Err(wv_promotion::Silent::Refused),
-                    Some(base) => self.bases[base].request(&text).ok_or(wv_promotion::Silent::Dark),
+                    None => Err(wv_promotion::StatusError::Unreachable),
+                    Some(base) if !self.bases[base].is_up => Err(wv_promotion::StatusError::Refused),
+                    Some(base) => self.bases[base].request(&text).ok_or(wv_promotion::StatusError::Unreachable),
                 };
                 self.note(format!("{} requests {id}: {text}", self.controls[at].name));
                 let wait = if word.is_ok() { 15 * MS } else { 100 * MS };
