--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -56,7 +56,7 @@
         disk: 1,
         who: 1,
     };
-    let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty store");
+    let store = wv_consensus::Store::open(Box::new(wv_consensus::MemoryFiles::default())).expect("an empty store");
     let mut core = wv_control::Core::new(start, store).expect("a control node");
     core.tick(1);
     core
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -16,7 +16,7 @@
     #[error("configuration {0}: {1}")]
     Conf(String, wv_configuration::ConfError),
     #[error("data folder {0}: {1}")]
-    Data(String, wv_consensus::RegError),
+    Data(String, wv_consensus::RegisterError),
     #[error("{0}: {1}")]
     Replay(String, wv_replay::ReplayError),
     #[error("{0}: {1}")]
@@ -73,11 +73,11 @@
 /// Says what a data folder holds, and changes nothing in it.
 fn check_data(dir: &str) -> Result<(), MainError> {
     let named = |error| MainError::Data(dir.to_owned(), error);
-    let (state, seat) = wv_consensus::inspect(std::path::Path::new(dir)).map_err(named)?;
-    println!("disk {:x} of {}", seat.disk, state.me);
-    println!("votes in set {}, newest set {}:", seat.set, seat.voters.number);
+    let (state, seat) = wv_consensus::inspect_data_dir(std::path::Path::new(dir)).map_err(named)?;
+    println!("disk {:x} of {}", seat.disk, state.addr);
+    println!("votes in set {}, newest set {}:", seat.installed_set, seat.voters.number);
     seat.voters.members.iter().for_each(|member| println!("  {} disk {:x}", member.addr, member.disk));
-    let shown = state.cells.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL));
+    let shown = state.registers.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL_KEY_PREFIX));
     for (key, held) in shown {
         println!(
             "{key}: version {}, {} bytes, round {}",
--- a/crates/wv-consensus/examples/store.rs
+++ b/crates/wv-consensus/examples/store.rs
@@ -1,7 +1,7 @@
 //! What changes of a long configuration cost a voter's store: `cargo run --release -p wv-consensus --example store`.
 //! One line a run: changes, bytes on the disk (at the end, and the most), bytes written and microseconds a change, with
 //! files in memory; microseconds to open it again.
-use wv_consensus::{cell, Files, MemFiles, State, Store};
+use wv_consensus::{register_value, DurableFiles, MemoryFiles, Store, StoreState};
 use wv_internal_protocol::Ballot;
 
 /// A packed configuration of 2,000 routes.
@@ -12,16 +12,16 @@
     Ballot { round, proposer: 1 }
 }
 
-fn held(files: &MemFiles) -> usize {
+fn held(files: &MemoryFiles) -> usize {
     files.files.borrow().values().map(Vec::len).sum()
 }
 
-fn measure(changes: u64) -> Result<(), wv_consensus::RegError> {
-    let files = MemFiles::default();
+fn measure(changes: u64) -> Result<(), wv_consensus::RegisterError> {
+    let files = MemoryFiles::default();
     let mut store = Store::open(Box::new(files.clone()))?;
-    store.reset(State { me: "10.0.0.1:80".to_owned(), ..State::default() })?;
+    store.reset(StoreState { addr: "10.0.0.1:80".to_owned(), ..StoreState::default() })?;
     for at in 0..DUTIES {
-        store.accept(&format!("duty/service-{at}"), ballot(1), &cell(1, vec![7; 24]))?;
+        store.accept(&format!("duty/service-{at}"), ballot(1), &register_value(1, vec![7; 24]))?;
     }
     let mut body: Vec<u8> = (0..CONF).map(|at| (at * 31 % 251) as u8).collect();
     let (written, start, mut most) = (files.written.get(), std::time::Instant::now(), 0);
@@ -30,13 +30,13 @@
         body[at] = body[at].wrapping_add(1);
         // As a voter keeps it: the promise, then the cell.
         store.promise("conf", ballot(2 * change + 2))?;
-        store.accept("conf", ballot(2 * change + 2), &cell(change + 1, body.clone()))?;
+        store.accept("conf", ballot(2 * change + 2), &register_value(change + 1, body.clone()))?;
         most = most.max(held(&files));
     }
     let spent = start.elapsed().as_micros() as u64 / changes.max(1);
     let each = (files.written.get() - written) as u64 / changes.max(1);
     let start = std::time::Instant::now();
-    let size = Store::open(Box::new(files.copy()))?.size();
+    let size = Store::open(Box::new(files.copy()))?.size_bytes();
     let open = start.elapsed().as_micros();
     let log = files.read("log")?.map_or(0, |log| log.len());
     println!(
@@ -46,6 +46,6 @@
     Ok(())
 }
 
-fn main() -> Result<(), wv_consensus::RegError> {
+fn main() -> Result<(), wv_consensus::RegisterError> {
     [10, 1_000, 10_000].into_iter().try_for_each(measure)
 }
--- a/crates/wv-consensus/src/attempt.rs
+++ b/crates/wv-consensus/src/attempt.rs
@@ -1,210 +1,211 @@
-//! One attempt at one register: what voters have said so far, and what follows from it.
+//! A single attempt to read or update one register: collects the voters' replies and decides the next phase.
 use wv_internal_protocol::{AcceptorState, Ballot, RegisterReply, RegisterRequest, RegisterValue, VoterSet};
 
-/// What a caller makes of what stands: a cell to write in its place, or none to leave it.
-pub type Edit = Box<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
+/// Maps the current value to the value to write, or to `None` to leave the register unchanged.
+pub type UpdateFn = Box<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
 
-/// Rounds of one set; those of a later set are all above them.
-const ROUNDS: u32 = 40;
+/// Number of low bits of a round that count rounds within a voter set; the bits above hold the set's number.
+const ROUND_BITS: u32 = 40;
 
-/// The set in which a ballot was proposed; 0 for those from before rounds told it.
-pub(crate) fn set_of(ballot: Ballot) -> u64 {
-    ballot.round >> ROUNDS
+/// Returns the number of the voter set in which a ballot was proposed, or 0 for rounds that do not encode a set.
+pub(crate) fn voter_set_number(ballot: Ballot) -> u64 {
+    ballot.round >> ROUND_BITS
 }
 
-/// The round below all of the set.
-pub(crate) fn first_round(set: u64) -> u64 {
-    set << ROUNDS
+/// Returns a round lower than every round proposed in the voter set.
+pub(crate) fn base_round(set: u64) -> u64 {
+    set << ROUND_BITS
 }
 
-/// An edit that copies of an attempt share.
-type Shared = std::rc::Rc<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
+type SharedUpdateFn = std::rc::Rc<dyn Fn(&RegisterValue) -> Option<RegisterValue>>;
 
-/// One caller's wish: a read where there is no edit.
+/// One caller's operation; it is a read if there is no update.
 #[derive(Clone)]
-pub(crate) struct Op {
+pub(crate) struct Operation {
     pub token: u64,
-    pub edit: Option<Shared>,
-    pub limit: u64,
-    /// What stood before the edit, and whether the edit changed it.
-    pub before: RegisterValue,
-    pub is_ours: bool,
+    pub update: Option<SharedUpdateFn>,
+    pub deadline: u64,
+    /// The value that the update was applied to, and whether the update changed it.
+    pub previous: RegisterValue,
+    pub is_applied: bool,
 }
 
-impl std::fmt::Debug for Op {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "{} {} {:?} {}", self.token, self.edit.is_some(), self.before, self.is_ours)
+impl std::fmt::Debug for Operation {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{} {} {:?} {}", self.token, self.update.is_some(), self.previous, self.is_applied)
     }
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Copies are compared; nothing is promised.
-    Looking,
-    /// A majority is to take nothing below the ballot.
+    /// Collects the accepted values of a majority without asking for promises.
+    Reading,
+    /// Asks a majority to promise to accept nothing below the ballot.
     Preparing,
-    /// A majority is to keep the cell.
-    Accepting { cell: RegisterValue },
-    /// Another proposer was met: after a pause of random length it is tried again.
-    Pausing { until: u64 },
+    /// Asks a majority to accept the value.
+    Accepting { value: RegisterValue },
+    /// Another proposer interfered: waits for a random time before the next try.
+    BackingOff { until: u64 },
 }
 
-/// What is to be done next.
-pub(crate) enum Next {
+/// What to do after a reply.
+pub(crate) enum Transition {
     Wait,
-    /// The register holds this, on a majority.
+    /// The value is accepted by a majority.
     Decided(Ballot, RegisterValue),
-    /// Begin the next phase.
-    Turn(Phase, Ballot),
-    /// More was promised elsewhere: try above it.
-    Met,
+    /// Enter the next phase.
+    Enter(Phase, Ballot),
+    /// A voter has promised a higher ballot: retry with a ballot above it.
+    Conflict,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    pub ops: Vec<Op>,
-    pub request: u64,
+    pub ops: Vec<Operation>,
+    pub request_id: u64,
     pub phase: Phase,
     pub ballot: Ballot,
-    pub tries: u32,
-    pub resend: u64,
-    /// The newest copy that the asker had when the phase began; voters do not send that again.
+    pub conflicts: u32,
+    pub resend_at: u64,
+    /// The newest state known to the proposer when the phase began; voters omit this value from their replies.
     pub known: AcceptorState,
-    copies: Vec<(String, AcceptorState)>,
+    states: Vec<(String, AcceptorState)>,
     acks: Vec<String>,
 }
 
 impl Attempt {
-    pub fn new(ops: Vec<Op>, known: AcceptorState) -> Attempt {
+    pub fn new(ops: Vec<Operation>, known: AcceptorState) -> Attempt {
         Attempt {
             ops,
-            request: 0,
-            phase: Phase::Looking,
+            request_id: 0,
+            phase: Phase::Reading,
             ballot: Ballot::default(),
-            tries: 0,
-            resend: 0,
+            conflicts: 0,
+            resend_at: 0,
             known,
-            copies: Vec::new(),
+            states: Vec::new(),
             acks: Vec::new(),
         }
     }
 
     pub fn is_read(&self) -> bool {
-        self.ops.iter().all(|op| op.edit.is_none())
+        self.ops.iter().all(|op| op.update.is_none())
     }
 
-    /// Whether no other proposer has been met yet, and none of our cells was proposed.
+    /// Whether no conflict has occurred yet and none of this proposer's values has been proposed.
     pub fn is_first_round(&self) -> bool {
-        self.tries == 0 && matches!(self.phase, Phase::Preparing)
+        self.conflicts == 0 && matches!(self.phase, Phase::Preparing)
     }
 
-    /// Begins `phase` under `request`; what was said before counts no more, but for copies that hold the cell already.
-    pub fn turn(&mut self, phase: Phase, ballot: Ballot, request: u64) {
-        let has_it = |copy: &&(String, AcceptorState)| copy.1.accepted == ballot && ballot != Ballot::default();
-        let is_repair = matches!((&self.phase, &phase), (Phase::Looking, Phase::Accepting { .. }));
-        let acks = self.copies.iter().filter(|copy| is_repair && has_it(copy)).map(|(voter, _)| voter.clone());
+    /// Enters `phase` under a new request ID. Replies to earlier requests are discarded, except that voters known to
+    /// hold the value of `ballot` already count as having accepted it.
+    pub fn enter(&mut self, phase: Phase, ballot: Ballot, request_id: u64) {
+        let has_value = |state: &&(String, AcceptorState)| state.1.accepted == ballot && ballot != Ballot::default();
+        let is_repair = matches!((&self.phase, &phase), (Phase::Reading, Phase::Accepting { .. }));
+        let acks = self.states.iter().filter(|state| is_repair && has_value(state)).map(|(voter, _)| voter.clone());
         self.acks = acks.collect();
-        self.copies.clear();
-        (self.phase, self.ballot, self.request, self.resend) = (phase, ballot, request, 0);
+        self.states.clear();
+        (self.phase, self.ballot, self.request_id, self.resend_at) = (phase, ballot, request_id, 0);
     }
 
-    /// What `voter` is still to be asked in this phase.
-    pub fn step(&self, voter: &str) -> Option<RegisterRequest> {
-        let has_copy = || self.copies.iter().any(|(known, _)| known == voter);
+    /// Returns the request that `voter` has not answered in this phase.
+    pub fn request_for(&self, voter: &str) -> Option<RegisterRequest> {
+        let has_replied = || self.states.iter().any(|(known, _)| known == voter);
         match &self.phase {
-            Phase::Looking => (!has_copy()).then_some(RegisterRequest::Read { known: self.known.accepted }),
+            Phase::Reading => (!has_replied()).then_some(RegisterRequest::Read { known: self.known.accepted }),
             Phase::Preparing => {
-                (!has_copy()).then_some(RegisterRequest::Prepare { ballot: self.ballot, known: self.known.accepted })
+                (!has_replied()).then_some(RegisterRequest::Prepare { ballot: self.ballot, known: self.known.accepted })
             }
-            Phase::Accepting { cell } => (!self.acks.iter().any(|known| known == voter))
-                .then(|| RegisterRequest::Accept { ballot: self.ballot, value: cell.clone() }),
-            Phase::Pausing { .. } => None,
+            Phase::Accepting { value } => (!self.acks.iter().any(|known| known == voter))
+                .then(|| RegisterRequest::Accept { ballot: self.ballot, value: value.clone() }),
+            Phase::BackingOff { .. } => None,
         }
     }
 
-    /// Takes a vote in.
-    pub fn hear(&mut self, voter: &str, vote: RegisterReply, voters: &VoterSet) -> Next {
+    /// Handles a voter's reply.
+    pub fn handle_reply(&mut self, voter: &str, reply: RegisterReply, voters: &VoterSet) -> Transition {
         let majority = voters.majority();
-        match (&self.phase, vote) {
-            (Phase::Looking | Phase::Preparing, RegisterReply::Current { accepted, value: cell }) => {
-                if self.copies.iter().any(|(known, _)| known == voter) {
-                    return Next::Wait;
+        match (&self.phase, reply) {
+            (Phase::Reading | Phase::Preparing, RegisterReply::Current { accepted, value }) => {
+                if self.states.iter().any(|(known, _)| known == voter) {
+                    return Transition::Wait;
                 }
-                let cell = cell.unwrap_or_else(|| self.known.value.clone());
-                self.copies.push((voter.to_owned(), AcceptorState { promised: accepted, accepted, value: cell }));
-                if self.copies.len() < majority {
-                    return Next::Wait;
+                let value = value.unwrap_or_else(|| self.known.value.clone());
+                self.states.push((voter.to_owned(), AcceptorState { promised: accepted, accepted, value }));
+                if self.states.len() < majority {
+                    return Transition::Wait;
                 }
-                if matches!(self.phase, Phase::Looking) {
-                    self.looked(voters)
+                if matches!(self.phase, Phase::Reading) {
+                    self.finish_read(voters)
                 } else {
-                    self.prepared(voters)
+                    self.finish_prepare(voters)
                 }
             }
-            (Phase::Accepting { cell }, RegisterReply::Accepted) => {
+            (Phase::Accepting { value }, RegisterReply::Accepted) => {
                 if !self.acks.iter().any(|known| known == voter) {
                     self.acks.push(voter.to_owned());
                 }
                 if self.acks.len() >= majority {
-                    Next::Decided(self.ballot, cell.clone())
+                    Transition::Decided(self.ballot, value.clone())
                 } else {
-                    Next::Wait
+                    Transition::Wait
                 }
             }
-            (Phase::Preparing | Phase::Accepting { .. }, RegisterReply::Rejected { .. }) => Next::Met,
-            _ => Next::Wait,
+            (Phase::Preparing | Phase::Accepting { .. }, RegisterReply::Rejected { .. }) => Transition::Conflict,
+            _ => Transition::Wait,
         }
     }
 
     fn newest(&self) -> AcceptorState {
-        let newest = |best: AcceptorState, (_, copy): &(String, AcceptorState)| {
-            if copy.is_newer_than(&best) {
-                copy.clone()
+        let newest = |newest: AcceptorState, (_, state): &(String, AcceptorState)| {
+            if state.is_newer_than(&newest) {
+                state.clone()
             } else {
-                best
+                newest
             }
         };
-        self.copies.iter().fold(AcceptorState::default(), newest)
+        self.states.iter().fold(AcceptorState::default(), newest)
     }
 
-    /// A copy of this set that a majority holds alike is decided. One of an earlier set may have come by taking over,
-    /// below a promise: a later proposal of that set may still turn up. Where nobody wrote, there is nothing to undo.
-    fn is_agreed(&self, newest: &AcceptorState, voters: &VoterSet) -> bool {
-        let is_same =
-            |(_, copy): &&(String, AcceptorState)| copy.accepted == newest.accepted && copy.value == newest.value;
+    /// A value that a majority accepted under the same ballot of the current set is decided. A value from an earlier
+    /// set may have been copied during catch-up, below a promise, so a later proposal of that set may still surface. A
+    /// register that was never written has nothing to lose.
+    fn is_decided(&self, newest: &AcceptorState, voters: &VoterSet) -> bool {
+        let matches_newest =
+            |(_, state): &&(String, AcceptorState)| state.accepted == newest.accepted && state.value == newest.value;
         let is_empty = newest.value == RegisterValue::default() && newest.accepted == Ballot::default();
-        (is_empty || set_of(newest.accepted) == voters.number)
-            && self.copies.iter().filter(is_same).count() >= voters.majority()
+        (is_empty || voter_set_number(newest.accepted) == voters.number)
+            && self.states.iter().filter(matches_newest).count() >= voters.majority()
     }
 
-    fn looked(&mut self, voters: &VoterSet) -> Next {
+    fn finish_read(&mut self, voters: &VoterSet) -> Transition {
         let newest = self.newest();
-        // Nothing is shown before a majority holds it, else a later reader could miss it.
-        if self.is_agreed(&newest, voters) {
-            return Next::Decided(newest.accepted, newest.value);
+        // A read returns only values held by a majority, otherwise a later reader could miss them.
+        if self.is_decided(&newest, voters) {
+            return Transition::Decided(newest.accepted, newest.value);
         }
-        // A ballot has one cell for ever, so whoever sees it may help it along; nobody's proposal is disturbed by that.
-        // Copies of an earlier set, or from before there were ballots, need a proposal in this one.
-        if set_of(newest.accepted) != voters.number {
-            return Next::Turn(Phase::Preparing, Ballot::default());
+        // A ballot is bound to one value, so any proposer may complete it without disturbing others. Values from an
+        // earlier set, or from before ballots were introduced, need a new proposal in the current set.
+        if voter_set_number(newest.accepted) != voters.number {
+            return Transition::Enter(Phase::Preparing, Ballot::default());
         }
-        Next::Turn(Phase::Accepting { cell: newest.value }, newest.accepted)
+        Transition::Enter(Phase::Accepting { value: newest.value }, newest.accepted)
     }
 
-    /// A majority takes nothing older any more: what may have been decided is among what it told.
-    fn prepared(&mut self, voters: &VoterSet) -> Next {
+    /// A majority has promised to accept nothing older, so any value that may have been decided is among the replies.
+    fn finish_prepare(&mut self, voters: &VoterSet) -> Transition {
         let newest = self.newest();
-        let mut cell = newest.value.clone();
+        let mut value = newest.value.clone();
         for op in &mut self.ops {
-            op.before = cell.clone();
-            let edited = op.edit.as_ref().and_then(|edit| edit(&cell));
-            op.is_ours = edited.is_some();
-            cell = edited.unwrap_or(cell);
+            op.previous = value.clone();
+            let updated = op.update.as_ref().and_then(|update| update(&value));
+            op.is_applied = updated.is_some();
+            value = updated.unwrap_or(value);
         }
-        // Nobody changes anything and a majority holds it already: no second round.
-        if cell == newest.value && self.is_agreed(&newest, voters) {
-            return Next::Decided(newest.accepted, cell);
+        // No update changes the value and a majority already holds it: the accept phase is not needed.
+        if value == newest.value && self.is_decided(&newest, voters) {
+            return Transition::Decided(newest.accepted, value);
         }
-        Next::Turn(Phase::Accepting { cell }, self.ballot)
+        Transition::Enter(Phase::Accepting { value }, self.ballot)
     }
 }
--- a/crates/wv-consensus/src/files.rs
+++ b/crates/wv-consensus/src/files.rs
@@ -1,92 +1,93 @@
 use std::io::Write;
 
-/// The few file calls that the store needs; each returns only once the disk holds the bytes.
-pub trait Files {
+/// File operations of the store; each returns only after the data is durable.
+pub trait DurableFiles {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>>;
     fn write(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()>;
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()>;
 }
 
-/// Calls on one folder as a disk offers them: a loss of power may undo, or tear, whatever was not synced after it.
-pub trait Folder {
+/// Operations on one directory without implicit syncing: a power loss may undo or tear anything that was not synced
+/// afterwards.
+pub trait Directory {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>>;
-    fn has(&self, name: &str) -> bool;
-    /// Makes the file, or empties it.
+    fn exists(&self, name: &str) -> bool;
+    /// Creates or truncates the file.
     fn create(&mut self, name: &str) -> std::io::Result<()>;
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()>;
-    /// What the file holds lasts.
+    /// Makes the file's contents durable.
     fn sync(&self, name: &str) -> std::io::Result<()>;
-    /// The names that the folder has now last.
-    fn sync_names(&self) -> std::io::Result<()>;
+    /// Makes the directory's current entries durable.
+    fn sync_directory(&self) -> std::io::Result<()>;
 }
 
-/// The files of a folder, each call synced.
-pub struct Synced<F> {
-    folder: F,
-    /// A name was made that may not last yet, also where an earlier call failed after it.
-    is_name_due: bool,
+/// Files of a directory, synced after every operation.
+pub struct SyncedDirectory<F> {
+    directory: F,
+    /// Whether a new directory entry may not be durable yet, including after a failed operation.
+    needs_directory_sync: bool,
 }
 
-impl<F: Folder> Synced<F> {
-    pub fn over(folder: F) -> std::io::Result<Synced<F>> {
-        // A process that was killed may have left names that a loss of power would still take away.
-        folder.sync_names()?;
-        Ok(Synced { folder, is_name_due: false })
+impl<F: Directory> SyncedDirectory<F> {
+    pub fn over(directory: F) -> std::io::Result<SyncedDirectory<F>> {
+        // A killed process may have left directory entries that a power loss would still remove.
+        directory.sync_directory()?;
+        Ok(SyncedDirectory { directory, needs_directory_sync: false })
     }
 }
 
-impl<F: Folder> Synced<F> {
+impl<F: Directory> SyncedDirectory<F> {
     fn create(&mut self, name: &str) -> std::io::Result<()> {
-        self.is_name_due |= !self.folder.has(name);
-        self.folder.create(name)
+        self.needs_directory_sync |= !self.directory.exists(name);
+        self.directory.create(name)
     }
 
-    fn finish(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        self.folder.append(name, bytes)?;
-        self.folder.sync(name)?;
-        if self.is_name_due {
-            self.folder.sync_names()?;
+    fn append_synced(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
+        self.directory.append(name, bytes)?;
+        self.directory.sync(name)?;
+        if self.needs_directory_sync {
+            self.directory.sync_directory()?;
         }
-        self.is_name_due = false;
+        self.needs_directory_sync = false;
         Ok(())
     }
 }
 
-impl<F: Folder> Files for Synced<F> {
+impl<F: Directory> DurableFiles for SyncedDirectory<F> {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
-        let bytes = self.folder.read(name)?;
-        // What a killed process wrote and did not sync is read like all else: from now on others may rest on it.
-        bytes.iter().try_for_each(|_| self.folder.sync(name))?;
+        let bytes = self.directory.read(name)?;
+        // Data written but not synced by a killed process must be durable before it is used.
+        bytes.iter().try_for_each(|_| self.directory.sync(name))?;
         Ok(bytes)
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
         self.create(name)?;
-        self.finish(name, bytes)
+        self.append_synced(name, bytes)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        if !self.folder.has(name) {
+        if !self.directory.exists(name) {
             self.create(name)?;
         }
-        self.finish(name, bytes)
+        self.append_synced(name, bytes)
     }
 }
 
-/// A folder of the real disk.
-pub struct Dir {
+/// A directory of the operating system's file system.
+pub struct OsDirectory {
     path: std::path::PathBuf,
-    /// The file that was written last.
-    tail: Option<(String, std::fs::File)>,
+    /// The most recently written file.
+    last_written: Option<(String, std::fs::File)>,
 }
 
-impl Dir {
-    fn tail(&self, name: &str) -> Option<&std::fs::File> {
-        self.tail.as_ref().filter(|(held, _)| held == name).map(|(_, file)| file)
+impl OsDirectory {
+    fn last_written(&self, name: &str) -> Option<&std::fs::File> {
+        self.last_written.as_ref().filter(|(last_name, _)| last_name == name).map(|(_, file)| file)
     }
 }
 
-impl Folder for Dir {
+impl Directory for OsDirectory {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
         match std::fs::read(self.path.join(name)) {
             Ok(bytes) => Ok(Some(bytes)),
@@ -95,71 +96,71 @@
         }
     }
 
-    fn has(&self, name: &str) -> bool {
-        self.tail(name).is_some() || self.path.join(name).exists()
+    fn exists(&self, name: &str) -> bool {
+        self.last_written(name).is_some() || self.path.join(name).exists()
     }
 
     fn create(&mut self, name: &str) -> std::io::Result<()> {
-        self.tail = None;
-        self.tail = Some((name.to_owned(), std::fs::File::create(self.path.join(name))?));
+        self.last_written = None;
+        self.last_written = Some((name.to_owned(), std::fs::File::create(self.path.join(name))?));
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        if self.tail(name).is_none() {
+        if self.last_written(name).is_none() {
             let file = std::fs::OpenOptions::new().append(true).open(self.path.join(name))?;
-            self.tail = Some((name.to_owned(), file));
+            self.last_written = Some((name.to_owned(), file));
         }
-        let (_, file) = self.tail.as_mut().ok_or(std::io::ErrorKind::NotFound)?;
+        let (_, file) = self.last_written.as_mut().ok_or(std::io::ErrorKind::NotFound)?;
         file.write_all(bytes)
     }
 
     fn sync(&self, name: &str) -> std::io::Result<()> {
-        match self.tail(name) {
+        match self.last_written(name) {
             Some(file) => file.sync_data(),
             None => std::fs::OpenOptions::new().write(true).open(self.path.join(name))?.sync_data(),
         }
     }
 
-    fn sync_names(&self) -> std::io::Result<()> {
-        std::fs::File::open(&self.path).and_then(|dir| dir.sync_all())
+    fn sync_directory(&self) -> std::io::Result<()> {
+        std::fs::File::open(&self.path).and_then(|handle| handle.sync_all())
     }
 }
 
-/// Files in a folder of the real disk.
-pub type DirFiles = Synced<Dir>;
+/// Durable files in a directory of the operating system's file system.
+pub type OsFiles = SyncedDirectory<OsDirectory>;
 
-impl DirFiles {
-    pub fn open(path: &std::path::Path) -> std::io::Result<DirFiles> {
+impl OsFiles {
+    pub fn open(path: &std::path::Path) -> std::io::Result<OsFiles> {
         let is_new = !path.exists();
         std::fs::create_dir_all(path)?;
         let parent = path.parent().filter(|parent| is_new && !parent.as_os_str().is_empty());
         parent.into_iter().try_for_each(|parent| std::fs::File::open(parent)?.sync_all())?;
-        Synced::over(Dir { path: path.to_owned(), tail: None })
+        SyncedDirectory::over(OsDirectory { path: path.to_owned(), last_written: None })
     }
 }
 
-/// Files in memory: for nodes without a disk and for the in-memory fleet, which tears and wipes them.
+/// In-memory files, for nodes without a data directory and for simulations that inject faults.
 #[derive(Clone, Default)]
-pub struct MemFiles {
-    /// Set where the disk takes nothing more.
+pub struct MemoryFiles {
+    /// Whether writes fail because the disk is full.
     pub is_full: std::rc::Rc<std::cell::Cell<bool>>,
-    /// Set where whole files are written and the caller is yet told that they were not.
-    pub fails_late: std::rc::Rc<std::cell::Cell<bool>>,
-    /// Bytes written since the start.
+    /// Whether whole-file writes take effect and still return an error.
+    pub fails_after_write: std::rc::Rc<std::cell::Cell<bool>>,
+    /// Total number of bytes written.
     pub written: std::rc::Rc<std::cell::Cell<usize>>,
     pub files: std::rc::Rc<std::cell::RefCell<std::collections::BTreeMap<String, Vec<u8>>>>,
 }
 
-impl MemFiles {
-    /// The same files, on their own from now on.
-    pub fn copy(&self) -> MemFiles {
+impl MemoryFiles {
+    /// Returns an independent copy of the files.
+    pub fn copy(&self) -> MemoryFiles {
         let files = self.files.borrow().clone();
-        MemFiles { files: std::rc::Rc::new(std::cell::RefCell::new(files)), ..MemFiles::default() }
+        MemoryFiles { files: std::rc::Rc::new(std::cell::RefCell::new(files)), ..MemoryFiles::default() }
     }
 }
 
-impl Files for MemFiles {
+impl DurableFiles for MemoryFiles {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
         Ok(self.files.borrow().get(name).cloned())
     }
@@ -170,7 +171,7 @@
         }
         self.written.set(self.written.get() + bytes.len());
         self.files.borrow_mut().insert(name.to_owned(), bytes.to_vec());
-        if self.fails_late.get() {
+        if self.fails_after_write.get() {
             return Err(std::io::ErrorKind::TimedOut.into());
         }
         Ok(())
--- a/crates/wv-consensus/src/lib.rs
+++ b/crates/wv-consensus/src/lib.rs
@@ -1,51 +1,52 @@
-//! The control state: registers decided by a majority of disks, one ballot after the other; no log, no leader.
+//! Replicated control state: independent registers, each decided by a majority of disks through ballots. There is no
+//! log and no leader.
+pub mod anti_entropy;
 mod attempt;
-mod change;
-mod done;
+mod completion;
+mod disk_format;
 mod files;
-mod line;
-pub mod parts;
-mod quorum;
-mod record;
-mod seal;
-mod seat;
+mod handover;
+mod proposer;
+mod register_queue;
 mod store;
-mod thread;
+mod threaded_files;
+mod voter_set_change;
+mod voter_state;
 
-pub use attempt::Edit;
-pub use change::{plan, Change, Core, End, AWAY_US};
-pub use done::{Done, Outcome};
-pub use files::{Dir, DirFiles, Files, Folder, MemFiles, Synced};
-pub use quorum::Quorum;
-pub use record::State;
-pub use seat::{inspect, Claimed, Seat};
+pub use attempt::UpdateFn;
+pub use completion::{Completion, OperationOutcome};
+pub use disk_format::StoreState;
+pub use files::{Directory, DurableFiles, MemoryFiles, OsDirectory, OsFiles, SyncedDirectory};
+pub use proposer::Proposer;
 pub use store::Store;
-pub use thread::ThreadFiles;
+pub use threaded_files::ThreadedFiles;
+pub use voter_set_change::{plan_successor, Candidate, ChangeOutcome, VoterSetChange, REPLACE_AFTER_US};
+pub use voter_state::{inspect_data_dir, PrepareResult, VoterState};
 
 #[derive(thiserror::Error, Debug)]
-pub enum RegError {
-    #[error("disk: {0}")]
+pub enum RegisterError {
+    #[error("disk I/O error: {0}")]
     Disk(#[from] std::io::Error),
-    #[error("nothing is kept on this disk yet")]
-    Empty,
-    #[error("no slot can be read: the disk counts as lost")]
+    #[error("store is not initialized")]
+    NotInitialized,
+    #[error("no readable slot in the store")]
     Unreadable,
-    #[error("the value of {0} bytes does not fit the store")]
-    Oversize(usize),
+    #[error("register value of {0} bytes exceeds the size limit")]
+    TooLarge(usize),
 }
 
-/// Registers under this stand on one disk alone and are no part of any quorum.
-pub const LOCAL: &str = "local/";
-/// No store grows over this; far under the smallest data folder.
-pub const STORE_MAX: usize = 8 << 20;
+/// Keys with this prefix are stored on the local disk only and are not replicated.
+pub const LOCAL_KEY_PREFIX: &str = "local/";
+/// Upper bound on the total size of a store.
+pub const MAX_STORE_BYTES: usize = 8 << 20;
 
-/// A cell whose tie word is drawn from its bytes.
-pub fn cell(version: u64, value: Vec<u8>) -> wv_internal_protocol::RegisterValue {
-    let tie = crc32fast::hash(&value);
-    wv_internal_protocol::RegisterValue { version, tie_breaker: tie, bytes: value }
+/// Builds a register value; its tie breaker is the checksum of its bytes.
+pub fn register_value(version: u64, bytes: Vec<u8>) -> wv_internal_protocol::RegisterValue {
+    let tie_breaker = crc32fast::hash(&bytes);
+    wv_internal_protocol::RegisterValue { version, tie_breaker, bytes }
 }
 
-/// The edit that puts `cell` where nothing of its version or above stands; said again it finds itself there.
-pub fn raise(cell: wv_internal_protocol::RegisterValue) -> Edit {
-    Box::new(move |held| (held.version < cell.version || *held == cell).then(|| cell.clone()))
+/// Returns an idempotent update that writes `value` unless the register already has the same or a higher version.
+pub fn write_if_newer(value: wv_internal_protocol::RegisterValue) -> UpdateFn {
+    Box::new(move |current| (current.version < value.version || *current == value).then(|| value.clone()))
 }
--- a/crates/wv-consensus/src/store.rs
+++ b/crates/wv-consensus/src/store.rs
@@ -1,131 +1,142 @@
-use crate::record::{play, put_record, put_slot, read_slot, Change};
-use crate::{Files, RegError, State, STORE_MAX};
+use crate::disk_format::{decode_slot, encode_record, encode_slot, replay, RegisterChange};
+use crate::{DurableFiles, RegisterError, StoreState, MAX_STORE_BYTES};
 use wv_internal_protocol::{AcceptorState, Ballot, RegisterValue};
 
-const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
-const LOG: &str = "log";
-/// All files that a store has.
-pub(crate) const NAMES: [&str; 3] = [SLOTS[0], SLOTS[1], LOG];
-/// The log is folded into the next slot once it is longer than this and than the slot: what a change costs on the disk
-/// is then bounded by its own bytes, and the three files together by three times the state and a little.
-const LOG_MIN: usize = 256 << 10;
-/// What a register costs beyond its value, about.
-const OVERHEAD: usize = 96;
-
-/// Two slots written in turn with a short log between them.
+const SLOT_FILES: [&str; 2] = ["slot-a", "slot-b"];
+const LOG_FILE: &str = "log";
+/// All files of a store.
+pub(crate) const FILE_NAMES: [&str; 3] = [SLOT_FILES[0], SLOT_FILES[1], LOG_FILE];
+/// The log is compacted into the next slot once it exceeds both this size and the size of the state. This bounds the
+/// write amplification of a change, and the disk usage to about three times the state.
+const DEFAULT_LOG_LIMIT_BYTES: usize = 256 << 10;
+/// Approximate size of a register beyond its key and value.
+const REGISTER_OVERHEAD_BYTES: usize = 96;
+
+/// Two slots written alternately, with a log of the changes since the last slot.
 pub struct Store {
-    files: Box<dyn Files>,
-    state: Option<State>,
-    /// Bytes of all registers, about.
-    size: usize,
+    files: Box<dyn DurableFiles>,
+    state: Option<StoreState>,
+    /// Approximate size of all registers.
+    size_bytes: usize,
     generation: u64,
-    /// What came of the last write is not known: a slot that yet comes to stand hides what is appended under the older
-    /// generation, a torn tail all that follows. First a slot must be written again.
-    is_doubtful: bool,
-    log_len: usize,
-    log_min: usize,
+    /// Set while the result of the last write is unknown: a slot that did get written would hide records of the older
+    /// generation, and a torn log tail would hide all records after it. A new slot must be written before the log is
+    /// appended to.
+    needs_new_slot: bool,
+    log_len_bytes: usize,
+    log_limit_bytes: usize,
 }
 
-fn bytes(key: &str, cell: &RegisterValue) -> usize {
-    OVERHEAD + key.len() + cell.bytes.len()
+fn register_bytes(key: &str, value: &RegisterValue) -> usize {
+    REGISTER_OVERHEAD_BYTES + key.len() + value.bytes.len()
 }
 
 impl Store {
-    /// Reads what the disk holds; torn tails and a torn slot are passed over. Errors are those of the files.
-    pub fn open(files: Box<dyn Files>) -> Result<Store, RegError> {
-        Store::open_folding(files, LOG_MIN)
+    /// Opens the store; a torn log tail and a torn slot are ignored. Returns I/O errors.
+    pub fn open(files: Box<dyn DurableFiles>) -> Result<Store, RegisterError> {
+        Store::open_with_log_limit(files, DEFAULT_LOG_LIMIT_BYTES)
     }
 
-    /// The same with a log that is folded from `log_min` bytes on.
-    pub fn open_folding(files: Box<dyn Files>, log_min: usize) -> Result<Store, RegError> {
-        let mut best: Option<(u64, State, bool)> = None;
+    /// Like `open`, with a log that is compacted once it exceeds `log_limit_bytes`.
+    pub fn open_with_log_limit(files: Box<dyn DurableFiles>, log_limit_bytes: usize) -> Result<Store, RegisterError> {
+        let mut best: Option<(u64, StoreState, bool)> = None;
         let mut has_slots = false;
-        for name in SLOTS {
+        for name in SLOT_FILES {
             let bytes = files.read(name)?;
             has_slots |= bytes.is_some();
-            let slot = bytes.and_then(|bytes| read_slot(&bytes));
+            let slot = bytes.and_then(|bytes| decode_slot(&bytes));
             if slot.as_ref().map(|slot| slot.0) > best.as_ref().map(|slot| slot.0) {
                 best = slot;
             }
         }
-        let mut store = Store { files, state: None, size: 0, generation: 0, is_doubtful: false, log_len: 0, log_min };
+        let mut store = Store {
+            files,
+            state: None,
+            size_bytes: 0,
+            generation: 0,
+            needs_new_slot: false,
+            log_len_bytes: 0,
+            log_limit_bytes,
+        };
         if has_slots && best.is_none() {
-            // As good as a lost disk: it votes again once it was taken in anew.
-            log::error!("no slot on this disk can be read: it counts as lost");
+            // Equivalent to a lost disk: the node votes again after it has caught up as a new member.
+            log::error!("no readable slot in the store; treating the disk as lost");
         }
-        let Some((generation, mut state, is_present)) = best else { return Ok(store) };
+        let Some((generation, mut state, is_current_format)) = best else { return Ok(store) };
         store.generation = generation;
-        let log = store.files.read(LOG)?.unwrap_or_default();
-        let read = play(&log, generation, &mut state);
-        store.size = state.cells.iter().map(|(key, held)| bytes(key, &held.value)).sum();
+        let log = store.files.read(LOG_FILE)?.unwrap_or_default();
+        let read = replay(&log, generation, &mut state);
+        store.size_bytes = state.registers.iter().map(|(key, current)| register_bytes(key, &current.value)).sum();
         store.state = Some(state);
-        store.log_len = log.len();
-        // A torn tail would hide later records, and a slot of the older format is left behind at once.
-        if read < log.len() || !is_present {
-            store.fold()?;
+        store.log_len_bytes = log.len();
+        // A torn tail would hide later records, and an older slot format is upgraded immediately.
+        if read < log.len() || !is_current_format {
+            store.compact()?;
         }
         Ok(store)
     }
 
-    pub fn state(&self) -> Option<&State> {
+    pub fn state(&self) -> Option<&StoreState> {
         self.state.as_ref()
     }
 
     pub fn get(&self, key: &str) -> Option<&AcceptorState> {
-        self.state.as_ref()?.cells.get(key)
+        self.state.as_ref()?.registers.get(key)
     }
 
-    /// All registers here, by key.
+    /// Iterates over all registers by key.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &AcceptorState)> {
-        self.state.iter().flat_map(|state| state.cells.iter().map(|(key, held)| (key.as_str(), held)))
+        self.state.iter().flat_map(|state| state.registers.iter().map(|(key, current)| (key.as_str(), current)))
     }
 
-    /// Bytes of all registers, about.
-    pub fn size(&self) -> usize {
-        self.size
+    /// Returns the approximate size of all registers.
+    pub fn size_bytes(&self) -> usize {
+        self.size_bytes
     }
 
-    /// Puts a whole state down, for a first start or with a new set of voters.
-    pub fn reset(&mut self, state: State) -> Result<(), RegError> {
+    /// Replaces the whole state.
+    pub fn reset(&mut self, state: StoreState) -> Result<(), RegisterError> {
         self.write_slot(state)
     }
 
-    /// Promises to take nothing below `ballot`. False where more was promised before.
-    pub fn promise(&mut self, key: &str, ballot: Ballot) -> Result<bool, RegError> {
-        let promised = self.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted));
+    /// Promises to accept nothing below `ballot`. Returns false if a higher ballot was already promised.
+    pub fn promise(&mut self, key: &str, ballot: Ballot) -> Result<bool, RegisterError> {
+        let promised = self.get(key).map_or(Ballot::default(), |current| current.promised.max(current.accepted));
         if ballot <= promised {
-            // The same proposal said again is promised already.
+            // A repeated prepare request with the promised ballot succeeds.
             return Ok(ballot == promised);
         }
-        self.change(vec![Change { key: key.to_owned(), promised: ballot, accepted: None }]).map(|()| true)
+        self.change(vec![RegisterChange { key: key.to_owned(), promised: ballot, accepted: None }]).map(|()| true)
     }
 
-    /// Keeps what was proposed under `ballot`. False where more was promised before.
-    pub fn accept(&mut self, key: &str, ballot: Ballot, cell: &RegisterValue) -> Result<bool, RegError> {
-        let held = self.get(key);
-        if held.is_some_and(|held| held.promised.max(held.accepted) > ballot) {
+    /// Accepts the value proposed under `ballot`. Returns false if a higher ballot was promised.
+    pub fn accept(&mut self, key: &str, ballot: Ballot, value: &RegisterValue) -> Result<bool, RegisterError> {
+        let current = self.get(key);
+        if current.is_some_and(|current| current.promised.max(current.accepted) > ballot) {
             return Ok(false);
         }
-        if held.is_some_and(|held| held.accepted == ballot && held.value == *cell) {
+        if current.is_some_and(|current| current.accepted == ballot && current.value == *value) {
             return Ok(true);
         }
-        self.fits(key, cell)?;
-        let change = Change { key: key.to_owned(), promised: ballot, accepted: Some((ballot, cell.clone())) };
+        self.check_size(key, value)?;
+        let change = RegisterChange { key: key.to_owned(), promised: ballot, accepted: Some((ballot, value.clone())) };
         self.change(vec![change]).map(|()| true)
     }
 
-    /// Keeps those of `copies` that are newer than what is held, in one write: for a disk that does not vote with them
-    /// yet. Returns how many were.
-    pub fn adopt(&mut self, copies: Vec<(String, AcceptorState)>) -> Result<usize, RegError> {
-        let is_news = |(key, copy): &(String, AcceptorState)| self.get(key).is_none_or(|held| copy.is_newer_than(held));
-        let news: Vec<(String, AcceptorState)> = copies.into_iter().filter(is_news).collect();
-        // No bound here: those that told it keep it, and a vote must never wait for a local hint that is shorter there.
-        let change = |(key, copy): (String, AcceptorState)| Change {
+    /// Stores those of `copies` that are newer than the local registers in one write and returns their number. Only for
+    /// a disk that does not vote on them yet.
+    pub fn adopt_newer(&mut self, copies: Vec<(String, AcceptorState)>) -> Result<usize, RegisterError> {
+        let is_newer =
+            |(key, state): &(String, AcceptorState)| self.get(key).is_none_or(|current| state.is_newer_than(current));
+        let newer: Vec<(String, AcceptorState)> = copies.into_iter().filter(is_newer).collect();
+        // The size limit does not apply: the sources hold the same registers, and catching up must not fail because of
+        // larger local data.
+        let change = |(key, state): (String, AcceptorState)| RegisterChange {
             key,
-            promised: copy.accepted,
-            accepted: Some((copy.accepted, copy.value)),
+            promised: state.accepted,
+            accepted: Some((state.accepted, state.value)),
         };
-        let changes: Vec<Change> = news.into_iter().map(change).collect();
+        let changes: Vec<RegisterChange> = newer.into_iter().map(change).collect();
         let count = changes.len();
         if count > 0 {
             self.change(changes)?;
@@ -133,70 +144,71 @@
         Ok(count)
     }
 
-    /// Keeps what stands on this disk alone.
-    pub fn put_local(&mut self, key: &str, value: Vec<u8>) -> Result<(), RegError> {
-        let round = self.get(key).map_or(1, |held| held.accepted.round + 1);
-        let (ballot, cell) = (Ballot { round, proposer: 0 }, crate::cell(round, value));
-        self.fits(key, &cell)?;
-        self.change(vec![Change { key: key.to_owned(), promised: ballot, accepted: Some((ballot, cell)) }])
+    /// Stores a local register, which is not replicated.
+    pub fn put_local(&mut self, key: &str, value: Vec<u8>) -> Result<(), RegisterError> {
+        let round = self.get(key).map_or(1, |current| current.accepted.round + 1);
+        let (ballot, value) = (Ballot { round, proposer: 0 }, crate::register_value(round, value));
+        self.check_size(key, &value)?;
+        self.change(vec![RegisterChange { key: key.to_owned(), promised: ballot, accepted: Some((ballot, value)) }])
     }
 
-    fn fits(&self, key: &str, cell: &RegisterValue) -> Result<(), RegError> {
-        let replaced = self.get(key).map_or(0, |held| held.value.bytes.len());
-        // A register crosses in one frame, with some room for what stands around it.
-        let is_long = cell.bytes.len() > wv_internal_protocol::MAX_FRAME_BYTES - (64 << 10);
-        let is_over = is_long || self.size - replaced + cell.bytes.len() > STORE_MAX;
-        if is_over {
-            return Err(RegError::Oversize(cell.bytes.len()));
+    fn check_size(&self, key: &str, value: &RegisterValue) -> Result<(), RegisterError> {
+        let replaced = self.get(key).map_or(0, |current| current.value.bytes.len());
+        // A register must fit into one frame, including the enclosing message.
+        let exceeds_frame = value.bytes.len() > wv_internal_protocol::MAX_FRAME_BYTES - (64 << 10);
+        let is_too_large = exceeds_frame || self.size_bytes - replaced + value.bytes.len() > MAX_STORE_BYTES;
+        if is_too_large {
+            return Err(RegisterError::TooLarge(value.bytes.len()));
         }
         Ok(())
     }
 
-    /// First the disk, then memory: what was not synced is never shown.
-    fn change(&mut self, changes: Vec<Change>) -> Result<(), RegError> {
+    /// Updates the disk before memory, so that state that is not durable is never visible.
+    fn change(&mut self, changes: Vec<RegisterChange>) -> Result<(), RegisterError> {
         if self.state.is_none() {
-            return Err(RegError::Empty);
+            return Err(RegisterError::NotInitialized);
         }
-        let record = put_record(self.generation, &changes);
-        if self.is_doubtful || self.log_len + record.len() > self.log_min.max(self.size) {
+        let record = encode_record(self.generation, &changes);
+        if self.needs_new_slot || self.log_len_bytes + record.len() > self.log_limit_bytes.max(self.size_bytes) {
             let mut changed = self.state.clone().unwrap_or_default();
-            changes.into_iter().for_each(|change| change.apply(&mut changed.cells));
+            changes.into_iter().for_each(|change| change.apply(&mut changed.registers));
             return self.write_slot(changed);
         }
-        if let Err(error) = self.files.append(LOG, &record) {
-            // What came of it is not known: the next write begins a slot of its own.
-            self.is_doubtful = true;
+        if let Err(error) = self.files.append(LOG_FILE, &record) {
+            // The result is unknown: the next write starts a new slot.
+            self.needs_new_slot = true;
             return Err(error.into());
         }
-        self.log_len += record.len();
+        self.log_len_bytes += record.len();
         for change in changes {
             let Some(state) = self.state.as_mut() else { continue };
-            let before = state.cells.get(&change.key).map_or(0, |held| bytes(&change.key, &held.value));
+            let before =
+                state.registers.get(&change.key).map_or(0, |current| register_bytes(&change.key, &current.value));
             let key = change.key.clone();
-            change.apply(&mut state.cells);
-            let after = state.cells.get(&key).map_or(0, |held| bytes(&key, &held.value));
-            self.size = self.size + after - before;
+            change.apply(&mut state.registers);
+            let after = state.registers.get(&key).map_or(0, |current| register_bytes(&key, &current.value));
+            self.size_bytes = self.size_bytes + after - before;
         }
         Ok(())
     }
 
-    fn fold(&mut self) -> Result<(), RegError> {
+    fn compact(&mut self) -> Result<(), RegisterError> {
         self.state.clone().map_or(Ok(()), |state| self.write_slot(state))
     }
 
-    /// Writes the slot that does not hold the state in force; only when it stands does it take that one's place.
-    fn write_slot(&mut self, state: State) -> Result<(), RegError> {
-        // One that failed is written again in its own place; until then nothing is appended.
+    /// Writes the inactive slot, which becomes the active one once it is durable.
+    fn write_slot(&mut self, state: StoreState) -> Result<(), RegisterError> {
+        // A failed slot is written again in the same place; the log is not appended to until then.
         let generation = self.generation + 1;
-        self.is_doubtful = true;
-        self.files.write(SLOTS[generation as usize % 2], &put_slot(generation, &state))?;
-        self.size = state.cells.iter().map(|(key, held)| bytes(key, &held.value)).sum();
+        self.needs_new_slot = true;
+        self.files.write(SLOT_FILES[generation as usize % 2], &encode_slot(generation, &state))?;
+        self.size_bytes = state.registers.iter().map(|(key, current)| register_bytes(key, &current.value)).sum();
         (self.generation, self.state) = (generation, Some(state));
-        // Older records are passed over by their generation; emptied, the log is only shorter. Until it is, nothing is
-        // appended: what failed may have left a tail there that hides all that follows.
-        match self.files.write(LOG, b"") {
-            Ok(()) => (self.log_len, self.is_doubtful) = (0, false),
-            Err(error) => log::warn!("the log is not emptied: {error}"),
+        // Records of older generations are ignored on replay, so truncating the log only saves space. Until it succeeds
+        // nothing is appended, because a failed append may have left a torn tail that would hide later records.
+        match self.files.write(LOG_FILE, b"") {
+            Ok(()) => (self.log_len_bytes, self.needs_new_slot) = (0, false),
+            Err(error) => log::warn!("failed to truncate the store log: {error}"),
         }
         Ok(())
     }
--- a/crates/wv-consensus/tests/change.rs
+++ b/crates/wv-consensus/tests/change.rs
@@ -1,6 +1,6 @@
 //! Stories of agreeing on the next set of voters, word by word.
 use googletest::prelude::*;
-use wv_consensus::{plan, Change, Core, End, AWAY_US};
+use wv_consensus::{plan_successor, Candidate, ChangeOutcome, VoterSetChange, REPLACE_AFTER_US};
 use wv_internal_protocol::{Handover, Member, Message, VoterSet};
 
 fn set(number: u64, addrs: &[&str]) -> VoterSet {
@@ -8,31 +8,31 @@
     VoterSet { number, members }
 }
 
-fn cores(all: &[(&str, u64, bool)]) -> Vec<Core> {
-    let core = |(addr, disk, is_up): &(&str, u64, bool)| Core {
+fn cores(all: &[(&str, u64, bool)]) -> Vec<Candidate> {
+    let core = |(addr, disk, is_up): &(&str, u64, bool)| Candidate {
         member: Member { addr: (*addr).to_owned(), disk: *disk },
         is_up: *is_up,
         is_ready: true,
-        ..Core::default()
+        ..Candidate::default()
     };
     all.iter().map(core).collect()
 }
 
 /// The set is sealed and handed over as it must be before anything is proposed.
-fn proposed(change: &mut Change, request: u64, holders: [&str; 2]) -> Option<VoterSet> {
+fn proposed(change: &mut VoterSetChange, request: u64, holders: [&str; 2]) -> Option<VoterSet> {
     let is_settling =
         |msgs: &[(String, Message)]| msgs.iter().any(|(_, msg)| matches!(msg, Message::AcceptSuccessor { .. }));
-    let is_handing = |msgs: &[(String, Message)]| {
+    let is_handing_over = |msgs: &[(String, Message)]| {
         msgs.iter().any(|(_, msg)| matches!(msg, Message::Handover(Handover::Fetch { .. })))
     };
     for voter in ["a", "b"] {
         let msgs = change.tick(0).unwrap_or_default();
-        expect_that!(is_settling(&msgs) || is_handing(&msgs), eq(false));
-        expect_that!(change.sealed(voter, request, true), none());
+        expect_that!(is_settling(&msgs) || is_handing_over(&msgs), eq(false));
+        expect_that!(change.handle_sealed(voter, request, true), none());
     }
     for member in holders {
         expect_that!(is_settling(&change.tick(0).unwrap_or_default()), eq(false));
-        change.fetched(member, request);
+        change.handle_fetched(member, request);
     }
     change.tick(0).ok()?.into_iter().find_map(|(_, msg)| match msg {
         Message::AcceptSuccessor { successor: next, .. } => Some(next),
@@ -44,44 +44,48 @@
 fn given_a_successor_that_some_voter_accepted_then_the_next_claimer_proposes_it_and_not_its_own() {
     let from = set(1, &["a", "b", "c"]);
     let (ours, older, newer) = (set(2, &["a", "b", "x"]), set(2, &["a", "c", "y"]), set(2, &["b", "c", "z"]));
-    let mut change = Change::new(7, 300, from.clone(), ours.clone(), 0);
-    expect_that!(change.claimed("a", 7, true, 300, Some((100, older))), none());
-    expect_that!(change.claimed("b", 7, true, 300, Some((200, newer.clone()))), none());
+    let mut change = VoterSetChange::new(7, 300, from.clone(), ours.clone(), 0);
+    expect_that!(change.handle_prepared("a", 7, true, 300, Some((100, older))), none());
+    expect_that!(change.handle_prepared("b", 7, true, 300, Some((200, newer.clone()))), none());
     // Of several, the one under the highest fence: only that can have been settled.
     expect_that!(proposed(&mut change, 7, ["b", "c"]), some(eq(&newer)));
-    expect_that!(change.settled("a", 7, true), none());
-    expect_that!(change.settled("a", 7, true), none());
-    expect_that!(change.settled("c", 7, true), some(eq(&End::Settled(newer))));
+    expect_that!(change.handle_accepted("a", 7, true), none());
+    expect_that!(change.handle_accepted("a", 7, true), none());
+    expect_that!(change.handle_accepted("c", 7, true), some(eq(&ChangeOutcome::Accepted(newer))));
     // With nothing accepted before, its own.
-    let mut change = Change::new(8, 400, from, ours.clone(), 0);
-    change.claimed("b", 8, true, 400, None);
-    change.claimed("c", 8, true, 400, None);
+    let mut change = VoterSetChange::new(8, 400, from, ours.clone(), 0);
+    change.handle_prepared("b", 8, true, 400, None);
+    change.handle_prepared("c", 8, true, 400, None);
     expect_that!(proposed(&mut change, 8, ["a", "x"]), some(eq(&ours)));
-    expect_that!(change.settled("b", 8, false), some(matches_pattern!(End::Off { .. })));
+    expect_that!(change.handle_accepted("b", 8, false), some(matches_pattern!(ChangeOutcome::Aborted { .. })));
 }
 
 #[gtest]
 fn given_voters_lost_wiped_or_too_few_then_one_step_is_planned_and_nobody_is_dropped_for_nothing() {
     let voters = set(4, &["a", "b", "c"]);
-    let all_up = |addr: &str| if addr == "gone" { AWAY_US } else { 0 };
+    let all_up = |addr: &str| if addr == "gone" { REPLACE_AFTER_US } else { 0 };
     // A wiped disk comes back under its own address before any other newcomer.
-    let found = plan(&voters, &cores(&[("a", 0, true), ("b", 9, true), ("c", 0, true), ("d", 5, true)]), all_up);
+    let found =
+        plan_successor(&voters, &cores(&[("a", 0, true), ("b", 9, true), ("c", 0, true), ("d", 5, true)]), all_up);
     let members = found.map(|next| next.members).unwrap_or_default();
     expect_that!(members.contains(&Member { addr: "b".to_owned(), disk: 9 }), eq(true));
     expect_that!(members.len(), eq(3));
     // Away for long, and nobody to take its place.
-    let away = |addr: &str| if addr == "c" { AWAY_US } else { 0 };
-    expect_that!(plan(&voters, &cores(&[("a", 0, true), ("b", 0, true)]), away), none());
+    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
+    expect_that!(plan_successor(&voters, &cores(&[("a", 0, true), ("b", 0, true)]), away), none());
     // One more core machine than voters makes no even set; two make a larger one.
     let four = cores(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true)]);
-    expect_that!(plan(&voters, &four, all_up), none());
+    expect_that!(plan_successor(&voters, &four, all_up), none());
     let five = cores(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true), ("e", 6, true)]);
-    expect_that!(plan(&voters, &five, all_up).map(|next| (next.number, next.members.len())), some(eq((5, 5))));
+    expect_that!(
+        plan_successor(&voters, &five, all_up).map(|next| (next.number, next.members.len())),
+        some(eq((5, 5)))
+    );
 }
 
-fn core(addr: &str, zone: &str) -> Core {
+fn core(addr: &str, zone: &str) -> Candidate {
     let member = Member { addr: addr.to_owned(), disk: 0 };
-    Core { member, zone: zone.to_owned(), is_up: true, is_ready: true, is_leaving: false }
+    Candidate { member, zone: zone.to_owned(), is_up: true, is_ready: true, is_leaving: false }
 }
 
 fn has(next: &Option<VoterSet>, addr: &str) -> bool {
@@ -91,12 +95,12 @@
 #[gtest]
 fn given_newcomers_in_several_zones_then_the_one_whose_zone_has_fewest_voters_comes_in() {
     let voters = set(4, &["a", "b", "c"]);
-    let away = |addr: &str| if addr == "c" { AWAY_US } else { 0 };
+    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
     let near = [core("a", "x"), core("b", "y"), core("d", "x"), core("e", "y"), core("f", "z")];
-    let next = plan(&voters, &near, away);
+    let next = plan_successor(&voters, &near, away);
     expect_that!((has(&next, "f"), next.map_or(0, |next| next.members.len())), eq((true, 3)));
     // Where there is no other zone a shared one is better than nobody.
-    expect_that!(has(&plan(&voters, &near[..4], away), "d"), eq(true));
+    expect_that!(has(&plan_successor(&voters, &near[..4], away), "d"), eq(true));
     // Also where two are added, one after the other.
     let all = [
         core("a", "x"),
@@ -107,60 +111,62 @@
         core("f", "w"),
         core("g", "v"),
     ];
-    let next = plan(&voters, &all, |_| 0);
+    let next = plan_successor(&voters, &all, |_| 0);
     expect_that!((has(&next, "e"), has(&next, "g"), next.map_or(0, |next| next.members.len())), eq((true, true, 5)));
 }
 
 #[gtest]
 fn given_a_newcomer_that_is_not_ready_or_about_to_end_then_it_is_no_newcomer() {
     let voters = set(4, &["a", "b", "c"]);
-    let away = |addr: &str| if addr == "c" { AWAY_US } else { 0 };
+    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
     let [a, b, d] = [core("a", ""), core("b", ""), core("d", "")];
-    for late in
-        [Core { is_ready: false, ..d.clone() }, Core { is_leaving: true, ..d.clone() }, Core { is_up: false, ..d }]
-    {
-        expect_that!(plan(&voters, &[a.clone(), b.clone(), late], away), none());
+    for late in [
+        Candidate { is_ready: false, ..d.clone() },
+        Candidate { is_leaving: true, ..d.clone() },
+        Candidate { is_up: false, ..d },
+    ] {
+        expect_that!(plan_successor(&voters, &[a.clone(), b.clone(), late], away), none());
     }
     // Nor is a wiped disk before it has learnt: another that is ready goes before it.
-    let wiped = Core { member: Member { addr: "b".to_owned(), disk: 9 }, is_ready: false, ..b };
-    expect_that!(plan(&voters, &[a.clone(), core("c", ""), wiped.clone()], |_| 0), none());
-    let next = plan(&voters, &[a, core("c", ""), wiped, core("d", "")], |_| 0);
+    let wiped = Candidate { member: Member { addr: "b".to_owned(), disk: 9 }, is_ready: false, ..b };
+    expect_that!(plan_successor(&voters, &[a.clone(), core("c", ""), wiped.clone()], |_| 0), none());
+    let next = plan_successor(&voters, &[a, core("c", ""), wiped, core("d", "")], |_| 0);
     expect_that!((has(&next, "b"), has(&next, "d")), eq((false, true)));
 }
 
 #[gtest]
 fn given_a_member_that_is_about_to_end_then_it_is_replaced_only_where_the_rest_could_not_bear_a_loss() {
-    let leaving = |addr: &str| Core { is_leaving: true, ..core(addr, "") };
+    let leaving = |addr: &str| Candidate { is_leaving: true, ..core(addr, "") };
     let three = [core("a", ""), core("b", ""), leaving("c"), core("d", "")];
-    let next = plan(&set(4, &["a", "b", "c"]), &three, |_| 0);
+    let next = plan_successor(&set(4, &["a", "b", "c"]), &three, |_| 0);
     expect_that!((has(&next, "c"), has(&next, "d")), eq((false, true)));
     let five = [core("a", ""), core("b", ""), leaving("c"), core("d", ""), core("e", ""), core("f", "")];
-    expect_that!(plan(&set(4, &["a", "b", "c", "d", "e"]), &five, |_| 0), none());
+    expect_that!(plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &five, |_| 0), none());
     // With another one down it is needed, but what is away for long goes first.
     let down = [
-        Core { is_up: false, ..core("a", "") },
+        Candidate { is_up: false, ..core("a", "") },
         core("b", ""),
         leaving("c"),
         core("d", ""),
         core("e", ""),
         core("f", ""),
     ];
-    let next = plan(&set(4, &["a", "b", "c", "d", "e"]), &down, |_| 0);
+    let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, |_| 0);
     expect_that!((has(&next, "c"), has(&next, "f")), eq((false, true)));
-    let away = |addr: &str| if addr == "a" { AWAY_US } else { 0 };
-    let next = plan(&set(4, &["a", "b", "c", "d", "e"]), &down, away);
+    let away = |addr: &str| if addr == "a" { REPLACE_AFTER_US } else { 0 };
+    let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, away);
     expect_that!((has(&next, "a"), has(&next, "c")), eq((false, true)));
 }
 
 #[gtest]
 fn given_words_under_another_number_or_of_a_stranger_then_they_count_for_nothing_and_end_nothing() {
     let from = set(1, &["a", "b", "c"]);
-    let mut change = Change::new(7, 300, from, set(2, &["a", "b", "x"]), 0);
+    let mut change = VoterSetChange::new(7, 300, from, set(2, &["a", "b", "x"]), 0);
     for (voter, request) in [("b", 6), ("b", 300), ("x", 7)] {
-        expect_that!(change.claimed(voter, request, true, 300, None), none());
+        expect_that!(change.handle_prepared(voter, request, true, 300, None), none());
     }
-    expect_that!(change.claimed("b", 6, false, 900, None), none());
-    change.claimed("a", 7, true, 300, None);
+    expect_that!(change.handle_prepared("b", 6, false, 900, None), none());
+    change.handle_prepared("a", 7, true, 300, None);
     let is_claiming =
         |msgs: &[(String, Message)]| msgs.iter().all(|(_, msg)| matches!(msg, Message::PrepareSuccessor { .. }));
     expect_that!(is_claiming(&change.tick(1_000_000).unwrap_or_default()), eq(true), "one voter of three has answered");
@@ -169,7 +175,7 @@
 #[gtest]
 fn given_two_lives_then_no_number_of_the_one_is_ever_one_of_the_other() {
     let numbers = |who: u64| {
-        let mut quorum = wv_consensus::Quorum::new(who);
+        let mut quorum = wv_consensus::Proposer::new(who);
         (0..1_000).map(|_| quorum.next_request()).collect::<std::collections::BTreeSet<u64>>()
     };
     let lives: Vec<_> = [1u64, 2, 3, 77, 1 << 63, u64::MAX].map(numbers).into_iter().collect();
--- a/crates/wv-consensus/tests/change_model/mod.rs
+++ b/crates/wv-consensus/tests/change_model/mod.rs
@@ -1,4 +1,4 @@
-//! The change of voters as a model: the real seats, disks, plans and attempts (`Seat`, `Store`, `plan`, `Change`) with
+//! The change of voters as a model: the real seats, disks, plans and attempts (`VoterState`, `Store`, `plan`, `VoterSetChange`) with
 //! the net between them. What was asked may arrive at any time, any number of times, or never. Who may plan, what is
 //! carried and how a disk takes its vote up stand for `voters.rs`, `handover.rs` and `takeover.rs` of wv-control.
 mod act;
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use wv_consensus::{Change, MemFiles, Seat, State, Store};
+use wv_consensus::{MemoryFiles, Store, StoreState, VoterSetChange, VoterState};
 use wv_internal_protocol::{AcceptorState, Ballot, Member, Message, VoterSet};
 
 pub const KEY: &str = "k";
@@ -109,8 +109,8 @@
 
 /// What stands on a disk, with its hash.
 pub struct Disk {
-    files: MemFiles,
-    seat: Seat,
+    files: MemoryFiles,
+    seat: VoterState,
     held: AcceptorState,
     hash: u64,
 }
@@ -120,7 +120,7 @@
     disk: Rc<Disk>,
     is_up: bool,
     /// With the request that its answers are known by, and its hash.
-    change: Option<Rc<(Change, u64, u64)>>,
+    change: Option<Rc<(VoterSetChange, u64, u64)>>,
     /// The highest fence that was met.
     met: u64,
     /// Members of the set before that told all.
@@ -151,7 +151,7 @@
     doubts: u8,
 }
 
-fn opened(files: &MemFiles) -> (Store, MemFiles) {
+fn opened(files: &MemoryFiles) -> (Store, MemoryFiles) {
     let files = files.copy();
     (Store::open(Box::new(files.clone())).expect("readable"), files)
 }
@@ -162,20 +162,20 @@
 
 /// A disk of a first start.
 fn fresh(at: usize, number: u64) -> Rc<Disk> {
-    let (mut store, files) = opened(&MemFiles::default());
-    let seat = Seat::open(&mut store, NAMES[at], &seeds(), true, number).expect("kept");
+    let (mut store, files) = opened(&MemoryFiles::default());
+    let seat = VoterState::open(&mut store, NAMES[at], &seeds(), true, number).expect("kept");
     closed(store, files, seat)
 }
 
 /// A disk that comes back empty, under this number.
 fn wiped(at: usize, number: u64) -> Rc<Disk> {
-    let (mut store, files) = opened(&MemFiles::default());
-    store.reset(State::default()).expect("kept");
-    let seat = Seat::open(&mut store, NAMES[at], &[], false, number).expect("kept");
+    let (mut store, files) = opened(&MemoryFiles::default());
+    store.reset(StoreState::default()).expect("kept");
+    let seat = VoterState::open(&mut store, NAMES[at], &[], false, number).expect("kept");
     closed(store, files, seat)
 }
 
-fn closed(store: Store, files: MemFiles, seat: Seat) -> Rc<Disk> {
+fn closed(store: Store, files: MemoryFiles, seat: VoterState) -> Rc<Disk> {
     let held = store.get(KEY).cloned().unwrap_or_default();
     let hash = wv_model_checker::hash_of(&(&held, &seat));
     Rc::new(Disk { files, seat, held, hash })
@@ -197,7 +197,7 @@
         for at in 3..setup.nodes {
             let (mut store, files) = opened(&nodes[at].disk.files);
             let mut seat = nodes[at].disk.seat.clone();
-            seat.learn(&mut store, NAMES[at], &set, &VoterSet::default()).expect("kept");
+            seat.update_voters(&mut store, NAMES[at], &set, &VoterSet::default()).expect("kept");
             nodes[at].disk = closed(store, files, seat);
         }
         World {
@@ -213,25 +213,25 @@
         }
     }
 
-    fn seat(&self, at: usize) -> &Seat {
+    fn seat(&self, at: usize) -> &VoterState {
         &self.nodes[at].disk.seat
     }
 
     /// Lets a node's disk do something.
-    fn on_disk<T>(&mut self, at: usize, act: impl FnOnce(&mut Seat, &mut Store) -> T) -> T {
+    fn on_disk<T>(&mut self, at: usize, act: impl FnOnce(&mut VoterState, &mut Store) -> T) -> T {
         let (mut store, files) = opened(&self.nodes[at].disk.files);
         // Read again from its files, as after a restart.
-        let mut seat = Seat::open(&mut store, NAMES[at], &[], false, 99).expect("kept");
+        let mut seat = VoterState::open(&mut store, NAMES[at], &[], false, 99).expect("kept");
         let word = act(&mut seat, &mut store);
         self.nodes[at].disk = closed(store, files, seat);
         word
     }
 
     /// The set in whose registers a node votes.
-    fn votes_in(&self, at: usize) -> u64 {
+    fn voting_set(&self, at: usize) -> u64 {
         match self.setup.without {
-            Without::Seal => self.seat(at).sits_in(NAMES[at]),
-            _ => self.seat(at).votes_in(NAMES[at]),
+            Without::Seal => self.seat(at).successor_voting_set(NAMES[at]),
+            _ => self.seat(at).voting_set(NAMES[at]),
         }
     }
 
--- a/crates/wv-consensus/tests/change_model/promise.rs
+++ b/crates/wv-consensus/tests/change_model/promise.rs
@@ -6,14 +6,14 @@
 impl World {
     /// Members of a set whose disks vote in it, up or down.
     fn voting(&self, voters: &VoterSet) -> Vec<usize> {
-        let votes = |member: &Member| self.at(member).filter(|at| self.votes_in(*at) == voters.number);
+        let votes = |member: &Member| self.at(member).filter(|at| self.voting_set(*at) == voters.number);
         voters.members.iter().filter_map(votes).collect()
     }
 
     fn sets(&self) -> Result<BTreeMap<u64, VoterSet>, String> {
         let mut sets = BTreeMap::new();
         let seats = self.nodes.iter().map(|node| &node.disk.seat);
-        for voters in seats.flat_map(|seat| [&seat.voters, &seat.before]).filter(|voters| voters.number > 0) {
+        for voters in seats.flat_map(|seat| [&seat.voters, &seat.previous]).filter(|voters| voters.number > 0) {
             let known: &mut VoterSet = sets.entry(voters.number).or_insert_with(|| voters.clone());
             if known != voters {
                 return Err(format!("two sets have the number {}", voters.number));
@@ -52,7 +52,7 @@
     fn settled(&self, voters: &VoterSet) -> Option<VoterSet> {
         let accepted = |member: &Member| {
             let seat = self.seat(self.at(member)?);
-            seat.next.clone().filter(|_| seat.set == voters.number)
+            seat.successor.clone().filter(|_| seat.installed_set == voters.number)
         };
         let all: Vec<(u64, VoterSet)> = voters.members.iter().filter_map(accepted).collect();
         let is_most = |next: &&(u64, VoterSet)| all.iter().filter(|other| other == next).count() >= voters.majority();
@@ -79,7 +79,7 @@
             pairs().filter(|(at, other)| at != other).for_each(|(at, other)| calm.tell(at, other));
             for (at, other) in pairs().filter(|(at, other)| at != other) {
                 let seat = calm.seat(at);
-                if seat.is_member(NAMES[at]) && seat.sits_in(NAMES[at]) == 0 {
+                if seat.is_member(NAMES[at]) && seat.successor_voting_set(NAMES[at]) == 0 {
                     calm.take_over(at, other);
                 }
             }
@@ -87,7 +87,7 @@
                 return calm.is_kept();
             }
             for at in up.iter().copied() {
-                if calm.seat(at).sits_in(NAMES[at]) > 0 {
+                if calm.seat(at).successor_voting_set(NAMES[at]) > 0 {
                     calm.nodes[at].change = None;
                     calm.asks.clear();
                     calm.plan(at, None);
--- a/crates/wv-consensus/tests/change_model/steps.rs
+++ b/crates/wv-consensus/tests/change_model/steps.rs
@@ -10,13 +10,14 @@
         let up: Vec<usize> = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_up).collect();
         let mut steps = Vec::new();
         for at in up.iter().copied() {
-            let is_asked = self.votes_in(at) == self.writer.set.number && !self.writer.kept.contains(&at);
+            let is_asked = self.voting_set(at) == self.writer.set.number && !self.writer.kept.contains(&at);
             steps.extend((self.writer.number <= self.setup.writes && is_asked).then_some(Step::Write(at)));
             let number = self.seat(at).voters.number;
             steps.extend((number > self.writer.set.number).then_some(Step::Switch(number)));
             steps.extend(self.nodes[at].change.is_some().then_some(Step::Abandon(at)));
             // Everyone that has a say may plan: the duty's holder may be two for a while.
-            let is_planner = self.seat(at).sits_in(NAMES[at]) > 0 && self.nodes[at].change.is_none() && self.plans > 0;
+            let is_planner =
+                self.seat(at).successor_voting_set(NAMES[at]) > 0 && self.nodes[at].change.is_none() && self.plans > 0;
             steps.extend(is_planner.then_some(Step::Plan(at, None)));
             let doubted = up.iter().filter(|other| is_planner && self.doubts > 0 && **other != at);
             steps.extend(doubted.map(|other| Step::Plan(at, Some(*other))));
@@ -24,10 +25,10 @@
                 let (own, theirs) = (self.seat(at), self.seat(other));
                 steps.extend((own.voters.number < theirs.voters.number).then_some(Step::Tell(other, at)));
                 let is_lacking = match own.is_member(NAMES[at]) {
-                    true => own.sits_in(NAMES[at]) == 0,
-                    false => !self.nodes[at].is_ready && self.votes_in(other) == own.voters.number,
+                    true => own.successor_voting_set(NAMES[at]) == 0,
+                    false => !self.nodes[at].is_ready && self.voting_set(other) == own.voters.number,
                 };
-                steps.extend((is_lacking && theirs.set > 0).then_some(Step::Take(at, other)));
+                steps.extend((is_lacking && theirs.installed_set > 0).then_some(Step::Take(at, other)));
             }
             steps.extend((self.falls > 0).then_some(Step::Fall(at)));
         }
--- a/crates/wv-consensus/tests/common/mod.rs
+++ b/crates/wv-consensus/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Proposers and voters in one room: the real proposer's side over real stores, call by call.
 use std::collections::VecDeque;
-use wv_consensus::{cell, raise, Done, MemFiles, Outcome, Quorum, State, Store};
+use wv_consensus::{
+    register_value, write_if_newer, Completion, MemoryFiles, OperationOutcome, Proposer, Store, StoreState,
+};
 use wv_internal_protocol::{Ballot, Member, Message, RegisterReply, RegisterRequest, RegisterValue, VoterSet};
 
 pub const VOTERS: [&str; 3] = ["a", "b", "c"];
@@ -17,10 +19,10 @@
 /// Proposers, voters and the calls between them that have not arrived.
 pub struct Room {
     pub now: u64,
-    pub quorums: Vec<Quorum>,
+    pub quorums: Vec<Proposer>,
     pub stores: Vec<Store>,
     pub calls: VecDeque<Call>,
-    pub done: Vec<(usize, Done)>,
+    pub done: Vec<(usize, Completion)>,
     /// Syncs of all voters, and messages both ways.
     pub syncs: usize,
     pub messages: usize,
@@ -33,13 +35,13 @@
 impl Room {
     pub fn new(proposers: usize) -> Room {
         let quorum = |who| {
-            let mut quorum = Quorum::new(who as u64 + 1);
+            let mut quorum = Proposer::new(who as u64 + 1);
             quorum.set_voters(set(1));
             quorum
         };
         let store = |_| {
-            let mut store = Store::open(Box::new(MemFiles::default())).expect("readable");
-            store.reset(State::default()).expect("kept");
+            let mut store = Store::open(Box::new(MemoryFiles::default())).expect("readable");
+            store.reset(StoreState::default()).expect("kept");
             store
         };
         Room {
@@ -55,7 +57,7 @@
 
     /// A caller at `from` wants `value` under `version`, or to read with none.
     pub fn start(&mut self, from: usize, token: u64, wanted: Option<(u64, u8)>) {
-        let edit = wanted.map(|(version, value)| raise(cell(version, vec![value])));
+        let edit = wanted.map(|(version, value)| write_if_newer(register_value(version, vec![value])));
         self.quorums[from].start(token, "k", edit, self.now);
         self.collect(from);
     }
@@ -63,12 +65,12 @@
     pub fn collect(&mut self, from: usize) {
         let quorum = &mut self.quorums[from];
         quorum.tick(self.now);
-        for (to, msg) in quorum.take_out() {
+        for (to, msg) in quorum.take_messages() {
             if let Message::RegisterRequest { requester: asker, request, key, step, .. } = msg {
                 self.calls.push_back(Call { from, to, asker, request, key, step });
             }
         }
-        self.done.extend(quorum.take_done().into_iter().map(|done| (from, done)));
+        self.done.extend(quorum.take_completions().into_iter().map(|done| (from, done)));
     }
 
     /// What a voter's disk says to a step, as a control node's does.
@@ -98,7 +100,7 @@
         let vote = Room::vote(&mut self.stores[at], &call.key, &call.step);
         self.syncs += usize::from(!matches!(call.step, RegisterRequest::Read { .. }));
         self.messages += 2;
-        self.quorums[call.from].voted(&call.to, (call.asker, call.request), &call.key, vote, self.now);
+        self.quorums[call.from].on_reply(&call.to, (call.asker, call.request), &call.key, vote, self.now);
         self.collect(call.from);
     }
 
@@ -113,7 +115,7 @@
         }
     }
 
-    pub fn outcome(&self, token: u64) -> Option<&Outcome> {
+    pub fn outcome(&self, token: u64) -> Option<&OperationOutcome> {
         self.done.iter().find(|(_, done)| done.token == token).map(|(_, done)| &done.outcome)
     }
 
@@ -131,7 +133,7 @@
             self.collect(from);
         }
         match self.outcome(token) {
-            Some(Outcome::Read(cell)) => cell.clone(),
+            Some(OperationOutcome::Read(cell)) => cell.clone(),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/wv-consensus/tests/disk/mod.rs
+++ b/crates/wv-consensus/tests/disk/mod.rs
@@ -2,7 +2,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use wv_consensus::Folder;
+use wv_consensus::Directory;
 
 /// One change of a file that was not synced yet.
 #[derive(Clone, Debug)]
@@ -122,12 +122,12 @@
     all
 }
 
-impl Folder for Disk {
+impl Directory for Disk {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
         Ok(self.files.borrow().get(name).map(|file| file.seen.clone()))
     }
 
-    fn has(&self, name: &str) -> bool {
+    fn exists(&self, name: &str) -> bool {
         self.files.borrow().contains_key(name)
     }
 
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> std::io::Result<()> {
+    fn sync_directory(&self) -> std::io::Result<()> {
         self.call()?;
         self.files.borrow_mut().values_mut().for_each(|file| file.is_named = true);
         Ok(())
--- a/crates/wv-consensus/tests/model_register.rs
+++ b/crates/wv-consensus/tests/model_register.rs
@@ -19,7 +19,7 @@
 fn setup(wishes: &[&[Wish]]) -> Setup {
     Setup {
         without: Without::Nothing,
-        edit: |number, content| wv_consensus::raise(wv_consensus::cell(number, vec![content])),
+        edit: |number, content| wv_consensus::write_if_newer(wv_consensus::register_value(number, vec![content])),
         verdict,
         wishes: wishes.iter().map(|wishes| wishes.to_vec()).collect(),
         rests: 0,
@@ -76,8 +76,8 @@
 
 #[gtest]
 fn given_long_values_that_voters_do_not_send_again_then_the_same_holds() {
-    let edit: fn(u64, u8) -> wv_consensus::Edit =
-        |number, content| wv_consensus::raise(wv_consensus::cell(number, vec![content; 1_024]));
+    let edit: fn(u64, u8) -> wv_consensus::UpdateFn =
+        |number, content| wv_consensus::write_if_newer(wv_consensus::register_value(number, vec![content; 1_024]));
     holds("long values", Setup { edit, ..setup(&[&[W(1, 1), R], &[R, W(2, 2)]]) });
 }
 
--- a/crates/wv-consensus/tests/power.rs
+++ b/crates/wv-consensus/tests/power.rs
@@ -5,7 +5,7 @@
 use disk::{Disk, Left};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
-use wv_consensus::{cell, RegError, State, Store, Synced};
+use wv_consensus::{register_value, RegisterError, Store, StoreState, SyncedDirectory};
 use wv_internal_protocol::{AcceptorState, Ballot};
 
 /// Short enough that the log is folded every few steps.
@@ -42,24 +42,31 @@
     Ballot { round, proposer: 1 }
 }
 
-fn take(store: &mut Store, step: Step) -> Result<(), RegError> {
-    let copy =
-        |round| AcceptorState { accepted: ballot(round), value: cell(round, vec![7; 40]), ..AcceptorState::default() };
+fn take(store: &mut Store, step: Step) -> Result<(), RegisterError> {
+    let copy = |round| AcceptorState {
+        accepted: ballot(round),
+        value: register_value(round, vec![7; 40]),
+        ..AcceptorState::default()
+    };
     match step {
-        Reset => store.reset(State { me: "me".to_owned(), ..State::default() }),
+        Reset => store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }),
         Promise(round) => store.promise("k", ballot(round)).map(|_| ()),
-        Accept(round, len) => store.accept("k", ballot(round), &cell(round, vec![round as u8; len])).map(|_| ()),
-        Adopt(round) => store.adopt(vec![("l".to_owned(), copy(round)), ("m".to_owned(), copy(round))]).map(|_| ()),
+        Accept(round, len) => {
+            store.accept("k", ballot(round), &register_value(round, vec![round as u8; len])).map(|_| ())
+        }
+        Adopt(round) => {
+            store.adopt_newer(vec![("l".to_owned(), copy(round)), ("m".to_owned(), copy(round))]).map(|_| ())
+        }
         Local(len) => store.put_local("local/x", vec![9; len]),
     }
 }
 
-fn opened(disk: &Disk) -> std::result::Result<Store, RegError> {
-    Store::open_folding(Box::new(Synced::over(disk.clone())?), LOG_MIN)
+fn opened(disk: &Disk) -> std::result::Result<Store, RegisterError> {
+    Store::open_with_log_limit(Box::new(SyncedDirectory::over(disk.clone())?), LOG_MIN)
 }
 
 /// What the steps make, before the first and after each.
-fn states() -> Vec<Option<State>> {
+fn states() -> Vec<Option<StoreState>> {
     let mut store = opened(&Disk::new(NEVER)).expect("readable");
     let mut states = vec![None];
     for step in STEPS {
@@ -79,7 +86,7 @@
 }
 
 /// How far the disk is: the number of steps whose outcome it holds, exactly.
-fn found(left: &Left, states: &[Option<State>]) -> Option<usize> {
+fn found(left: &Left, states: &[Option<StoreState>]) -> Option<usize> {
     let store = opened(&Disk::holding(left, NEVER)).ok()?;
     states.iter().position(|state| state.as_ref() == store.state())
 }
@@ -91,7 +98,7 @@
 }
 
 /// Whether what is left is all that `taken` steps made, or one more.
-fn is_held(left: &Left, taken: usize, states: &[Option<State>]) -> bool {
+fn is_held(left: &Left, taken: usize, states: &[Option<StoreState>]) -> bool {
     found(left, states).is_some_and(|found| found == taken || found == taken + 1)
 }
 
@@ -156,7 +163,7 @@
 }
 
 /// What one more step makes of a state.
-fn after(state: &State, step: Step) -> State {
+fn after(state: &StoreState, step: Step) -> StoreState {
     let mut store = opened(&Disk::new(NEVER)).expect("readable");
     store.reset(state.clone()).expect("kept");
     take(&mut store, step).expect("kept");
@@ -169,7 +176,7 @@
     disk.failing = failing.iter().map(|at| (1 << 20) - at).collect();
     let Ok(mut store) = opened(&disk) else { return };
     // What may stand beside the state that the store shows: steps that failed since the last acknowledgement.
-    let (mut sure, mut maybe, mut calm) = (State::default(), Vec::new(), 0);
+    let (mut sure, mut maybe, mut calm) = (StoreState::default(), Vec::new(), 0);
     for step in STEPS {
         match take(&mut store, step) {
             Ok(()) => (sure, maybe, calm) = (store.state().cloned().unwrap_or_default(), Vec::new(), calm + 1),
--- a/crates/wv-consensus/tests/quorum.rs
+++ b/crates/wv-consensus/tests/quorum.rs
@@ -3,7 +3,7 @@
 
 use common::{set, Call, Room, VOTERS};
 use googletest::prelude::*;
-use wv_consensus::{cell, MemFiles, Outcome, State, Store};
+use wv_consensus::{register_value, MemoryFiles, OperationOutcome, Store, StoreState};
 use wv_internal_protocol::{Ballot, RegisterReply, RegisterRequest, RegisterValue};
 
 #[gtest]
@@ -19,11 +19,11 @@
         let written: Vec<&RegisterValue> = outcomes
             .iter()
             .flatten()
-            .filter_map(|outcome| if let Outcome::Written(cell) = outcome { Some(cell) } else { None })
+            .filter_map(|outcome| if let OperationOutcome::Written(cell) = outcome { Some(cell) } else { None })
             .collect();
         expect_that!(written.len(), eq(1), "{outcomes:?}");
-        let held = outcomes.iter().flatten().find(|outcome| matches!(outcome, Outcome::Held(_)));
-        expect_that!(held, some(eq(&Outcome::Held(written[0].clone()))));
+        let held = outcomes.iter().flatten().find(|outcome| matches!(outcome, OperationOutcome::Unchanged(_)));
+        expect_that!(held, some(eq(&OperationOutcome::Unchanged(written[0].clone()))));
         let written = written[0].clone();
         expect_that!(room.read(0, 3), eq(&written));
         expect_that!(room.read(1, 4), eq(&written));
@@ -59,14 +59,14 @@
             room.collect(1);
         }
         let seen = match room.outcome(2) {
-            Some(Outcome::Read(cell) | Outcome::Held(cell)) => cell.clone(),
+            Some(OperationOutcome::Read(cell) | OperationOutcome::Unchanged(cell)) => cell.clone(),
             other => panic!("{other:?}"),
         };
         expect_that!(seen.version, eq(if with == 0 { 0 } else { 5 }), "without {lost}");
         room.calls.clear();
         // The first voter, which had it first, goes with its disk.
-        room.stores[0] = Store::open(Box::new(MemFiles::default())).expect("readable");
-        room.stores[0].reset(State::default()).expect("kept");
+        room.stores[0] = Store::open(Box::new(MemoryFiles::default())).expect("readable");
+        room.stores[0].reset(StoreState::default()).expect("kept");
         let again = if with == 0 { room.read(1, 3) } else { room.read_without(1, 3, "a") };
         expect_that!(again.version >= seen.version, eq(true), "without {lost}");
         expect_that!(room.read(1, 4), eq(&again));
@@ -80,18 +80,18 @@
     let (asker, request) = (room.calls[0].asker, room.calls[0].request);
     let holds = || RegisterReply::Current { accepted: Ballot::default(), value: Some(RegisterValue::default()) };
     for voter in VOTERS {
-        room.quorums[0].voted(voter, (asker + 1, request), "k", holds(), room.now);
-        room.quorums[0].voted(voter, (asker, request + 1), "k", holds(), room.now);
-        room.quorums[0].voted(voter, (asker, request), "other", holds(), room.now);
-        room.quorums[0].voted("nobody", (asker, request), "k", holds(), room.now);
+        room.quorums[0].on_reply(voter, (asker + 1, request), "k", holds(), room.now);
+        room.quorums[0].on_reply(voter, (asker, request + 1), "k", holds(), room.now);
+        room.quorums[0].on_reply(voter, (asker, request), "other", holds(), room.now);
+        room.quorums[0].on_reply("nobody", (asker, request), "k", holds(), room.now);
         // The same voter twice is one voter.
-        room.quorums[0].voted("a", (asker, request), "k", holds(), room.now);
-        room.quorums[0].voted("a", (asker, request), "k", holds(), room.now);
+        room.quorums[0].on_reply("a", (asker, request), "k", holds(), room.now);
+        room.quorums[0].on_reply("a", (asker, request), "k", holds(), room.now);
     }
     room.calls.clear();
     room.collect(0);
     expect_that!(room.calls.iter().any(|call| matches!(call.step, RegisterRequest::Accept { .. })), eq(false));
-    room.quorums[0].voted("b", (asker, request), "k", holds(), room.now);
+    room.quorums[0].on_reply("b", (asker, request), "k", holds(), room.now);
     room.collect(0);
     expect_that!(room.calls.iter().any(|call| matches!(call.step, RegisterRequest::Accept { .. })), eq(true));
 }
@@ -106,8 +106,8 @@
             let start = room.now;
             (0..writers).for_each(|at| room.start(at, at as u64, Some((10 + at as u64, at as u8))));
             room.settle(890_000);
-            let ends =
-                (0..writers as u64).filter(|token| room.outcome(*token).is_some_and(|end| *end != Outcome::Unsure));
+            let ends = (0..writers as u64)
+                .filter(|token| room.outcome(*token).is_some_and(|end| *end != OperationOutcome::Unknown));
             expect_that!(ends.count(), eq(writers), "{writers} writers, round {round}");
             expect_that!(room.read(0, 99).version, eq(9 + writers as u64));
             most = most.max((writers, room.syncs, (room.now - start) as usize));
@@ -158,5 +158,5 @@
     expect_that!(room.calls.is_empty(), eq(true), "nothing is proposed on what the old set said");
     room.calls = fresh;
     room.settle(100_000);
-    expect_that!(room.outcome(1), some(eq(&Outcome::Written(cell(5, vec![1])))));
+    expect_that!(room.outcome(1), some(eq(&OperationOutcome::Written(register_value(5, vec![1])))));
 }
--- a/crates/wv-consensus/tests/register_model/ledger.rs
+++ b/crates/wv-consensus/tests/register_model/ledger.rs
@@ -1,7 +1,7 @@
 //! What was promised to callers so far, and whether it holds.
 use super::Wish;
 use std::collections::BTreeMap;
-use wv_consensus::Outcome;
+use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{Ballot, RegisterRequest as Ask, RegisterValue};
 
 /// What an answer says to an order.
@@ -45,10 +45,14 @@
         &mut self,
         wish: Wish,
         floor: u64,
-        outcome: &Outcome,
+        outcome: &OperationOutcome,
         verdict: fn(&RegisterValue, u64, u8) -> Verdict,
     ) -> Result<(), String> {
-        let (Outcome::Read(cell) | Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return Ok(()) };
+        let (OperationOutcome::Read(cell) | OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell)) =
+            outcome
+        else {
+            return Ok(());
+        };
         if self.shown.entry(cell.version).or_insert_with(|| cell.clone()) != cell {
             return Err(format!("two values of number {}", cell.version));
         }
--- a/crates/wv-consensus/tests/register_model/mod.rs
+++ b/crates/wv-consensus/tests/register_model/mod.rs
@@ -1,4 +1,4 @@
-//! The register as a model: the real proposers (`Quorum`) and disks (`Store`) with the net between them. What was sent
+//! The register as a model: the real proposers (`Proposer`) and disks (`Store`) with the net between them. What was sent
 //! may arrive at any time, any number of times, or never. The voter's word stands for `wv-control/src/voter.rs`.
 mod kept;
 mod ledger;
@@ -9,7 +9,7 @@
 pub use ledger::{Ledger, Verdict};
 pub use setup::{Setup, Wish, Without};
 use std::rc::Rc;
-use wv_consensus::{Done, MemFiles, Quorum, State, Store};
+use wv_consensus::{Completion, MemoryFiles, Proposer, Store, StoreState};
 use wv_internal_protocol::{Ballot, Member, Message, RegisterReply, RegisterRequest as Ask, RegisterValue, VoterSet};
 
 pub const KEY: &str = "k";
@@ -77,8 +77,8 @@
 }
 
 #[derive(Clone)]
-struct Proposer {
-    quorum: Rc<Kept<Quorum>>,
+struct ProposerNode {
+    quorum: Rc<Kept<Proposer>>,
     /// What it asks now; answers to anything else count for nothing.
     request: u64,
     now: u64,
@@ -92,7 +92,7 @@
 }
 
 struct Disk {
-    files: MemFiles,
+    files: MemoryFiles,
     promised: Ballot,
     accepted: Ballot,
 }
@@ -100,7 +100,7 @@
 #[derive(Clone)]
 pub struct World {
     setup: Rc<Setup>,
-    proposers: Vec<Proposer>,
+    proposers: Vec<ProposerNode>,
     /// `None` once the disk is lost.
     disks: Vec<Option<Rc<Kept<Disk>>>>,
     calls: Vec<Rc<Kept<Call>>>,
@@ -113,27 +113,27 @@
 }
 
 /// Without its list of voters, which stands for no order.
-fn kept_quorum(quorum: Quorum) -> Rc<Kept<Quorum>> {
+fn kept_quorum(quorum: Proposer) -> Rc<Kept<Proposer>> {
     let text = format!("{quorum:?}");
-    let text = text.split_once(" who: ").map_or(text.clone(), |(_, text)| text.to_owned());
+    let text = text.split_once(" incarnation: ").map_or(text.clone(), |(_, text)| text.to_owned());
     kept(quorum, &Shown(text))
 }
 
-fn quorum(at: usize, lives: u64, without: Without) -> Quorum {
+fn quorum(at: usize, lives: u64, without: Without) -> Proposer {
     let who = if without == Without::OwnBallots { at as u64 + 1 } else { at as u64 + 1 + lives * 10 };
-    let mut quorum = Quorum::new(who);
+    let mut quorum = Proposer::new(who);
     let members = NAMES.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect();
     quorum.set_voters(VoterSet { number: 1, members });
     quorum
 }
 
 /// A disk as it is found again: whatever is not read from its files is lost.
-fn opened(files: &MemFiles) -> (Store, MemFiles) {
+fn opened(files: &MemoryFiles) -> (Store, MemoryFiles) {
     let files = files.copy();
     (Store::open(Box::new(files.clone())).expect("readable"), files)
 }
 
-fn closed(store: &Store, files: MemFiles) -> Rc<Kept<Disk>> {
+fn closed(store: &Store, files: MemoryFiles) -> Rc<Kept<Disk>> {
     let (promised, accepted) = store.get(KEY).map_or(Default::default(), |held| (held.promised, held.accepted));
     kept(Disk { files, promised, accepted }, &store.state())
 }
@@ -141,14 +141,14 @@
 impl World {
     pub fn new(setup: Setup) -> World {
         let disk = |_| {
-            let (mut store, files) = opened(&MemFiles::default());
-            store.reset(State::default()).expect("kept");
+            let (mut store, files) = opened(&MemoryFiles::default());
+            store.reset(StoreState::default()).expect("kept");
             Some(closed(&store, files))
         };
         let proposer = |at| {
             let quorum = kept_quorum(quorum(at, 0, setup.without));
             let best = (0, Ballot::default(), None);
-            Proposer { quorum, request: 0, now: 1_000, lives: 0, begun: 0, open: None, is_pausing: false, best }
+            ProposerNode { quorum, request: 0, now: 1_000, lives: 0, begun: 0, open: None, is_pausing: false, best }
         };
         World {
             proposers: (0..setup.wishes.len()).map(proposer).collect(),
@@ -165,12 +165,12 @@
     }
 
     /// Lets a proposer's quorum do something and takes up what it sends and what it is done with.
-    fn turn(&mut self, at: usize, act: impl FnOnce(&mut Quorum, u64)) -> Result<(), String> {
+    fn turn(&mut self, at: usize, act: impl FnOnce(&mut Proposer, u64)) -> Result<(), String> {
         let now = self.proposers[at].now;
         let mut quorum = self.proposers[at].quorum.value.clone();
         act(&mut quorum, now);
         quorum.tick(now);
-        for (to, msg) in quorum.take_out() {
+        for (to, msg) in quorum.take_messages() {
             let Message::RegisterRequest { requester: asker, request, step, .. } = msg else { continue };
             let to = NAMES.iter().position(|name| *name == to).unwrap_or(0);
             self.note(|ledger| ledger.proposed(&step))?;
@@ -181,7 +181,7 @@
                 self.calls.push(call);
             }
         }
-        let done = quorum.take_done();
+        let done = quorum.take_completions();
         self.proposers[at].quorum = kept_quorum(quorum);
         done.into_iter().try_for_each(|done| self.done(at, done))
     }
@@ -193,7 +193,7 @@
         word
     }
 
-    fn done(&mut self, at: usize, done: Done) -> Result<(), String> {
+    fn done(&mut self, at: usize, done: Completion) -> Result<(), String> {
         let Some((wish, floor)) = self.proposers[at].open.take() else { return Ok(()) };
         let verdict = self.setup.verdict;
         self.note(|ledger| ledger.done(wish, floor, &done.outcome, verdict))
--- a/crates/wv-consensus/tests/register_model/setup.rs
+++ b/crates/wv-consensus/tests/register_model/setup.rs
@@ -33,7 +33,7 @@
 /// How wishes become edits, and what an answer says to an order; the bounds of what may go wrong.
 pub struct Setup {
     pub without: Without,
-    pub edit: fn(u64, u8) -> wv_consensus::Edit,
+    pub edit: fn(u64, u8) -> wv_consensus::UpdateFn,
     pub verdict: fn(&RegisterValue, u64, u8) -> Verdict,
     pub wishes: Vec<Vec<Wish>>,
     /// Pauses that end, ends of a proposer's life, restarts with the disk and disks that are lost, at most.
--- a/crates/wv-consensus/tests/register_model/steps.rs
+++ b/crates/wv-consensus/tests/register_model/steps.rs
@@ -5,7 +5,7 @@
 };
 use std::hash::Hasher;
 use std::rc::Rc;
-use wv_consensus::{State, Store};
+use wv_consensus::{Store, StoreState};
 use wv_internal_protocol::{Ballot, RegisterReply, RegisterRequest as Ask};
 
 /// What a voter's disk says to a step, as `Core::vote` does.
@@ -27,7 +27,7 @@
             true => RegisterReply::Accepted,
             false if without == Without::Promise => {
                 let mut state = store.state().cloned().unwrap_or_default();
-                let held = state.cells.entry(KEY.to_owned()).or_default();
+                let held = state.registers.entry(KEY.to_owned()).or_default();
                 (held.accepted, held.value) = (*ballot, cell.clone());
                 store.reset(state).expect("kept");
                 RegisterReply::Accepted
@@ -69,14 +69,14 @@
             (_, _, vote) => vote,
         };
         self.turn(call.from, |quorum, now| {
-            quorum.voted(NAMES[call.to], request, KEY, vote.clone(), now);
+            quorum.on_reply(NAMES[call.to], request, KEY, vote.clone(), now);
             if without == Without::OneVote {
-                quorum.voted(NAMES[(call.to + 1) % NAMES.len()], request, KEY, vote, now);
+                quorum.on_reply(NAMES[(call.to + 1) % NAMES.len()], request, KEY, vote, now);
             }
         })?;
         let proposer = &mut self.proposers[call.from];
         if is_refused {
-            proposer.is_pausing = format!("{:?}", proposer.quorum.value).contains("Pausing");
+            proposer.is_pausing = format!("{:?}", proposer.quorum.value).contains("BackingOff");
         }
         Ok(())
     }
@@ -140,7 +140,7 @@
                 self.rests -= 1;
                 let proposer = &mut self.proposers[*at];
                 proposer.is_pausing = false;
-                proposer.now = proposer.quorum.value.next_due().unwrap_or(proposer.now);
+                proposer.now = proposer.quorum.value.next_due_us().unwrap_or(proposer.now);
                 self.turn(*at, |_, _| {})
             }
             Step::Crash(at) => {
@@ -157,7 +157,7 @@
                 let (mut store, files) = opened(&disk.value.files);
                 if self.setup.without == Without::KeptPromise {
                     let mut state = store.state().cloned().unwrap_or_default();
-                    state.cells.values_mut().for_each(|held| held.promised = held.accepted);
+                    state.registers.values_mut().for_each(|held| held.promised = held.accepted);
                     store.reset(state).expect("kept");
                 }
                 self.disks[*at] = Some(closed(&store, files));
@@ -167,7 +167,7 @@
                 self.wipes -= 1;
                 let fresh = || {
                     let (mut store, files) = opened(&Default::default());
-                    store.reset(State::default()).expect("kept");
+                    store.reset(StoreState::default()).expect("kept");
                     closed(&store, files)
                 };
                 // What comes back without its disk is another member, and votes in no set that it was no member of.
--- a/crates/wv-consensus/tests/store.rs
+++ b/crates/wv-consensus/tests/store.rs
@@ -1,21 +1,21 @@
 //! Stories of one disk: what it was told to keep stands, whatever happens to its files.
 use googletest::prelude::*;
-use wv_consensus::{cell, Files, MemFiles, RegError, State, Store, ThreadFiles};
+use wv_consensus::{register_value, DurableFiles, MemoryFiles, RegisterError, Store, StoreState, ThreadedFiles};
 use wv_internal_protocol::Ballot;
 
-fn opened(files: &MemFiles) -> Store {
+fn opened(files: &MemoryFiles) -> Store {
     Store::open(Box::new(files.clone())).expect("readable")
 }
 
-fn started(files: &MemFiles) -> Store {
+fn started(files: &MemoryFiles) -> Store {
     let mut store = opened(files);
-    store.reset(State { me: "me".to_owned(), ..State::default() }).expect("kept");
+    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("kept");
     store
 }
 
 /// Keeps `value` under a ballot of this round.
-fn put(store: &mut Store, key: &str, round: u64, value: Vec<u8>) -> Result<bool, RegError> {
-    store.accept(key, Ballot { round, proposer: 1 }, &cell(round, value))
+fn put(store: &mut Store, key: &str, round: u64, value: Vec<u8>) -> Result<bool, RegisterError> {
+    store.accept(key, Ballot { round, proposer: 1 }, &register_value(round, value))
 }
 
 fn value(store: &Store, key: &str) -> Option<Vec<u8>> {
@@ -24,7 +24,7 @@
 
 #[gtest]
 fn given_a_disk_that_refuses_for_a_while_then_what_it_took_before_and_after_stands_and_nothing_else_shows() {
-    let files = MemFiles::default();
+    let files = MemoryFiles::default();
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, vec![1]), ok(eq(&true)));
     files.is_full.set(true);
@@ -38,11 +38,11 @@
 
 #[gtest]
 fn given_a_slot_that_was_torn_as_it_was_written_then_the_other_and_the_log_hold_everything() {
-    let files = MemFiles::default();
+    let files = MemoryFiles::default();
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, vec![1]), ok(eq(&true)));
     let before = files.files.borrow().clone();
-    store.reset(State { me: "me".to_owned(), ..State::default() }).expect("kept");
+    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("kept");
     // Power went as the new slot was half on the disk, and before the log was emptied.
     let newer: Vec<String> = files
         .files
@@ -63,13 +63,13 @@
 #[gtest]
 fn given_a_slot_that_failed_and_yet_came_to_stand_then_what_was_kept_after_it_is_not_hidden() {
     // Values large enough that the first and the third of them begin a new slot.
-    let (files, big) = (MemFiles::default(), |byte: u8| vec![byte; 700 << 10]);
+    let (files, big) = (MemoryFiles::default(), |byte: u8| vec![byte; 700 << 10]);
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, big(1)), ok(eq(&true)));
     expect_that!(put(&mut store, "a", 2, big(2)), ok(eq(&true)));
-    files.fails_late.set(true);
+    files.fails_after_write.set(true);
     expect_that!(put(&mut store, "a", 3, big(3)), err(anything()));
-    files.fails_late.set(false);
+    files.fails_after_write.set(false);
     expect_that!(put(&mut store, "b", 1, vec![9]), ok(eq(&true)));
     expect_that!(put(&mut store, "c", 1, vec![8]), ok(eq(&true)));
     let store = opened(&files);
@@ -78,7 +78,7 @@
 
 struct Hangs(std::sync::mpsc::Receiver<()>);
 
-impl Files for Hangs {
+impl DurableFiles for Hangs {
     fn read(&self, _: &str) -> std::io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
@@ -95,8 +95,8 @@
 #[gtest]
 fn given_a_disk_that_hangs_then_writes_fail_at_once_and_nothing_more_is_given_to_it() {
     let (let_go, hold) = std::sync::mpsc::channel();
-    let (reader, writer) = (Box::new(MemFiles::default()), Box::new(Hangs(hold)));
-    let mut files = ThreadFiles::start(reader, writer, std::time::Duration::ZERO).expect("a thread");
+    let (reader, writer) = (Box::new(MemoryFiles::default()), Box::new(Hangs(hold)));
+    let mut files = ThreadedFiles::start(reader, writer, std::time::Duration::ZERO).expect("a thread");
     expect_that!(files.write("log", b"1").map_err(|error| error.kind()), err(eq(std::io::ErrorKind::TimedOut)));
     expect_that!(files.append("log", b"2").map_err(|error| error.kind()), err(eq(std::io::ErrorKind::TimedOut)));
     // The disk's thread ends with what it was given: one write, not two.
--- a/crates/wv-control/src/beats.rs
+++ b/crates/wv-control/src/beats.rs
@@ -83,7 +83,7 @@
         if !is_leave {
             return self.ret(token, 200, "{}");
         }
-        let (asker, request, id) = (self.quorum.who(), self.quorum.next_request(), inst.id.clone());
+        let (asker, request, id) = (self.quorum.incarnation(), self.quorum.next_request(), inst.id.clone());
         self.send_peers(&Message::Instance { requester: asker, request, instance: inst });
         self.leave_acks.begin(token, request, id, self.now);
         self.settle_leaves();
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -2,7 +2,7 @@
 use crate::core::{Core, CONF};
 use crate::order::{Decided, Order, Verdict};
 use crate::types::Waiting;
-use wv_consensus::{Done, Outcome};
+use wv_consensus::{Completion, OperationOutcome};
 
 impl Core {
     /// A call of the operator or of a database; the return comes as an act under `token`.
@@ -52,10 +52,10 @@
         self.judge(token, &conf, body);
     }
 
-    pub(crate) fn quorum_done(&mut self, done: Done) {
+    pub(crate) fn quorum_done(&mut self, done: Completion) {
         let Some(waiting) = self.waiting.remove(&done.token) else { return };
         let waiting = match waiting {
-            Waiting::Claim(service, turn) => return self.duty_claimed(service, turn, done.outcome, &done.before),
+            Waiting::Claim(service, turn) => return self.duty_claimed(service, turn, done.outcome, &done.previous),
             Waiting::Call(call) => return self.call_confirmed(*call, done.outcome),
             Waiting::Confirm(service, turn) => return self.duty_confirmed(service, turn, done.outcome),
             Waiting::Swept => return,
@@ -65,28 +65,30 @@
             waiting => waiting,
         };
         if done.key == CONF {
-            if let Outcome::Read(cell) | Outcome::Written(cell) | Outcome::Held(cell) = &done.outcome {
+            if let OperationOutcome::Read(cell) | OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell) =
+                &done.outcome
+            {
                 let is_news = cell.version > self.published;
                 self.in_force(cell);
                 if is_news && matches!(waiting, Waiting::Put(_)) {
-                    self.tell_committed(CONF, done.accepted);
+                    self.tell_committed(CONF, done.ballot);
                 }
             }
         }
         match (waiting, done.outcome) {
-            (Waiting::Put(order), Outcome::Written(cell) | Outcome::Held(cell)) => {
+            (Waiting::Put(order), OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell)) => {
                 self.ordered(done.token, &order, &cell)
             }
-            (Waiting::Get, Outcome::Read(cell)) if cell.version == 0 && cell.bytes.is_empty() => {
+            (Waiting::Get, OperationOutcome::Read(cell)) if cell.version == 0 && cell.bytes.is_empty() => {
                 self.ret(done.token, 404, "{\"cause\":\"no configuration has been taken yet\"}")
             }
-            (Waiting::Get, Outcome::Read(cell)) => {
+            (Waiting::Get, OperationOutcome::Read(cell)) => {
                 match self.packs.unpack(&Decided::read(&cell).body, crate::core::BODY_MAX) {
                     Ok(body) => self.ret(done.token, 200, body),
                     Err(error) => self.ret(done.token, 500, cause(&error.to_string())),
                 }
             }
-            (Waiting::Sync(spell), outcome) => self.conf_synced(spell, matches!(outcome, Outcome::Read(_))),
+            (Waiting::Sync(spell), outcome) => self.conf_synced(spell, matches!(outcome, OperationOutcome::Read(_))),
             (_, _) => self.ret(done.token, 503, "{\"cause\":\"no majority of the voters answers\"}"),
         }
     }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -63,11 +63,11 @@
 
     /// Whether this node is one of those that a majority is made of.
     pub(crate) fn sits(&self) -> bool {
-        self.seat.sits_in(&self.me) > 0
+        self.seat.successor_voting_set(&self.me) > 0
     }
 
     pub(crate) fn ping_msg(&mut self) -> Message {
-        let (asker, request, now) = (self.quorum.who(), self.quorum.next_request(), self.now);
+        let (asker, request, now) = (self.quorum.incarnation(), self.quorum.next_request(), self.now);
         let pings = &mut self.contact.pings;
         pings.retain(|(_, sent)| sent + FRESH_US > now);
         if pings.len() == PINGS_MAX {
@@ -82,7 +82,7 @@
     pub(crate) fn ping_sent(&self, asker: u64, request: u64) -> Option<u64> {
         let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + FRESH_US > self.now;
         let sent = self.contact.pings.iter().find(is_sent).map(|(_, sent)| *sent);
-        sent.filter(|_| asker == self.quorum.who())
+        sent.filter(|_| asker == self.quorum.incarnation())
     }
 
     /// Dates contact with a majority. It never goes back: what was in contact with a majority of the set before stays
@@ -145,7 +145,7 @@
         if !is_due || !self.contact.is_held || self.is_caught_up || self.has_recap() {
             return;
         }
-        let (asker, request) = (self.quorum.who(), self.contact.recap);
+        let (asker, request) = (self.quorum.incarnation(), self.contact.recap);
         let times = |addr: &str| self.contact.asked.iter().filter(|asked| *asked == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
@@ -180,7 +180,7 @@
     }
 
     pub(crate) fn recapped(&mut self, addr: &str, asker: u64, request: u64) {
-        if asker == self.quorum.who() && request == self.contact.recap && self.contact.is_held {
+        if asker == self.quorum.incarnation() && request == self.contact.recap && self.contact.is_held {
             self.contact.told.insert(addr.to_owned());
             self.contact.asked_at = None;
             self.ask_recap();
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -2,12 +2,12 @@
 use crate::types::{Fall, Link, Peer, Waiting};
 use std::collections::BTreeMap;
 use wv_change_feed::{Feed, Table};
-use wv_consensus::{Change, Quorum, Seat, Store};
+use wv_consensus::{Proposer, Store, VoterSetChange, VoterState};
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_membership::Membership;
 
 pub const CONF: &str = "conf";
-pub use wv_consensus::LOCAL;
+pub use wv_consensus::LOCAL_KEY_PREFIX;
 /// The configuration's body is read up to this bound.
 pub const BODY_MAX: usize = wv_configuration::BODY_MAX;
 /// How often a node has its regular turn.
@@ -34,16 +34,16 @@
     pub(crate) seeds: Vec<String>,
     pub(crate) store: Store,
     pub(crate) is_core: bool,
-    pub(crate) seat: Seat,
+    pub(crate) seat: VoterState,
     /// How far this disk is with what voters hold, while it does not vote.
     pub(crate) progress: crate::takeover::Progress,
-    pub(crate) change: Option<Change>,
+    pub(crate) change: Option<VoterSetChange>,
     /// The highest fence met over the next set.
     pub(crate) met: u64,
     pub(crate) changed: u64,
     /// A settled set was told that this disk did not take.
     pub(crate) is_unlearned: bool,
-    pub(crate) quorum: Quorum,
+    pub(crate) quorum: Proposer,
     /// When this node is to be woken next.
     pub(crate) armed: u64,
     pub(crate) feed: Feed,
@@ -122,13 +122,13 @@
 }
 
 impl Core {
-    pub fn new(start: Start, mut store: Store) -> Result<Core, wv_consensus::RegError> {
-        let seat = Seat::open(&mut store, &start.me, &start.seeds, start.is_first, start.disk)?;
-        let mut quorum = Quorum::new(start.who);
+    pub fn new(start: Start, mut store: Store) -> Result<Core, wv_consensus::RegisterError> {
+        let seat = VoterState::open(&mut store, &start.me, &start.seeds, start.is_first, start.disk)?;
+        let mut quorum = Proposer::new(start.who);
         quorum.set_voters(seat.voters.clone());
-        store.iter().for_each(|(_, held)| quorum.see(held.promised.max(held.accepted)));
+        store.iter().for_each(|(_, held)| quorum.observe_ballot(held.promised.max(held.accepted)));
         let mut peers = BTreeMap::new();
-        let known = seat.voters.addrs().chain(seat.before.addrs());
+        let known = seat.voters.addrs().chain(seat.previous.addrs());
         for addr in start.seeds.iter().map(String::as_str).chain(known).filter(|addr| *addr != start.me) {
             peers.insert(addr.to_owned(), Peer::default());
         }
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,7 +1,7 @@
 //! The duties this node holds: what the promotion machines read, and what they order.
 use crate::core::{Act, Core};
 use crate::types::{Asked, Waiting};
-use wv_consensus::Outcome;
+use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
 use wv_promotion::{Database, Effect, Event, Silent, StatusReply, View};
 
@@ -189,7 +189,7 @@
         self.run_quorum();
     }
 
-    pub(crate) fn ask_register(&mut self, service: &str, waiting: Waiting, edit: Option<wv_consensus::Edit>) {
+    pub(crate) fn ask_register(&mut self, service: &str, waiting: Waiting, edit: Option<wv_consensus::UpdateFn>) {
         let token = self.fresh_id();
         self.waiting.insert(token, waiting);
         self.quorum.start(token, &key(service), edit, self.now);
@@ -199,7 +199,8 @@
     fn claim_duty(&mut self, service: &str) {
         self.calls.confirms.insert(service.to_owned(), self.now);
         let name = self.me.clone().into_bytes();
-        let edit: wv_consensus::Edit = Box::new(move |held| Some(wv_consensus::cell(held.version + 1, name.clone())));
+        let edit: wv_consensus::UpdateFn =
+            Box::new(move |held| Some(wv_consensus::register_value(held.version + 1, name.clone())));
         let turn = self.turn(service);
         self.ask_register(service, Waiting::Claim(service.to_owned(), turn), Some(edit));
     }
@@ -209,12 +210,12 @@
         &mut self,
         service: String,
         turn: u64,
-        outcome: Outcome,
+        outcome: OperationOutcome,
         before: &wv_internal_protocol::RegisterValue,
     ) {
         let is_mine = |cell: &wv_internal_protocol::RegisterValue| cell.bytes == self.me.as_bytes();
         let fence = match outcome {
-            Outcome::Written(cell) if is_mine(&cell) => Some(cell.version),
+            OperationOutcome::Written(cell) if is_mine(&cell) => Some(cell.version),
             _ => None,
         };
         let is_succession = before.version > 0 && self.fences.get(&service) != Some(&before.version);
@@ -225,12 +226,12 @@
     }
 
     /// Whether the register still names this node under its own last fence.
-    pub(crate) fn is_ours(&self, service: &str, outcome: &Outcome) -> bool {
+    pub(crate) fn is_ours(&self, service: &str, outcome: &OperationOutcome) -> bool {
         let fence = self.fences.get(service).copied();
-        matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
+        matches!(outcome, OperationOutcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
     }
 
-    pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
+    pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: OperationOutcome) {
         let is_ours = self.is_ours(&service, &outcome);
         self.duty_event(&service, turn, Event::Confirmed(is_ours));
     }
--- a/crates/wv-control/src/judge.rs
+++ b/crates/wv-control/src/judge.rs
@@ -5,7 +5,7 @@
 use crate::order::{digest, take, Order};
 use crate::types::Waiting;
 use std::collections::BTreeSet;
-use wv_consensus::Outcome;
+use wv_consensus::OperationOutcome;
 use wv_internal_protocol::SlotMap;
 
 /// Callers wait a second.
@@ -58,11 +58,11 @@
     }
 
     /// The map of a shard whose plan is to go, as a majority holds it.
-    pub(crate) fn judged(&mut self, token: u64, shard: &str, outcome: Outcome) {
+    pub(crate) fn judged(&mut self, token: u64, shard: &str, outcome: OperationOutcome) {
         let Some(at) = self.pending.iter().position(|pending| pending.token == token) else { return };
         let map = match outcome {
-            Outcome::Read(cell) if cell.bytes.is_empty() => Some(SlotMap::default()),
-            Outcome::Read(cell) => nanoserde::DeBin::deserialize_bin(&cell.bytes).ok(),
+            OperationOutcome::Read(cell) if cell.bytes.is_empty() => Some(SlotMap::default()),
+            OperationOutcome::Read(cell) => nanoserde::DeBin::deserialize_bin(&cell.bytes).ok(),
             _ => None,
         };
         let Some(map) = map else {
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::shards::key;
 use crate::types::Waiting;
-use wv_consensus::{Edit, Outcome};
+use wv_consensus::{OperationOutcome, UpdateFn};
 use wv_internal_protocol::{FeedUpdate, Message, RegisterValue, SlotMap};
 
 /// Steps that a shard's registers go through.
@@ -36,12 +36,12 @@
 }
 
 /// Raises a register to the ballot above the one it was written under, its value as it is.
-fn next() -> Edit {
+fn next() -> UpdateFn {
     Box::new(|held| Some(RegisterValue { version: ((held.version >> 16) + 1) << 16, ..held.clone() }))
 }
 
 /// The same to a ballot that is held already, unless a later one was there.
-fn raise_to(ballot: u64) -> Edit {
+fn raise_to(ballot: u64) -> UpdateFn {
     Box::new(move |held| {
         let raised = RegisterValue { version: held.version.max(ballot << 16), ..held.clone() };
         (held.version >> 16 <= ballot).then_some(raised)
@@ -49,14 +49,19 @@
 }
 
 impl Core {
-    fn start_keep(&mut self, shard: &str, part: &str, keep: Keep, edit: Option<Edit>) {
+    fn start_keep(&mut self, shard: &str, part: &str, keep: Keep, edit: Option<UpdateFn>) {
         let token = self.fresh_id();
         self.waiting.insert(token, Waiting::Keep(shard.to_owned(), keep));
         self.quorum.start(token, &key(part, shard), edit, self.now);
     }
 
     fn put_keep(&mut self, shard: &str, part: &str, keep: Keep, (version, value): (u64, Vec<u8>)) {
-        self.start_keep(shard, part, keep, Some(wv_consensus::raise(wv_consensus::cell(version, value))));
+        self.start_keep(
+            shard,
+            part,
+            keep,
+            Some(wv_consensus::write_if_newer(wv_consensus::register_value(version, value))),
+        );
     }
 
     /// Slot maps that are not known here yet are read before anyone follows.
@@ -94,10 +99,12 @@
         self.put_keep(shard, "fresh", Keep::FreshPut, (version, value));
     }
 
-    pub(crate) fn kept(&mut self, shard: String, keep: Keep, outcome: Outcome) {
+    pub(crate) fn kept(&mut self, shard: String, keep: Keep, outcome: OperationOutcome) {
         match (keep, outcome) {
-            (Keep::SyncSlots(spell), Outcome::Read(cell)) if cell.bytes.is_empty() => self.slots_synced(&shard, spell),
-            (Keep::SyncSlots(spell), Outcome::Read(cell)) => {
+            (Keep::SyncSlots(spell), OperationOutcome::Read(cell)) if cell.bytes.is_empty() => {
+                self.slots_synced(&shard, spell)
+            }
+            (Keep::SyncSlots(spell), OperationOutcome::Read(cell)) => {
                 match <SlotMap as nanoserde::DeBin>::deserialize_bin(&cell.bytes) {
                     Ok(map) => {
                         let is_standing = map.version >> 16 == cell.version >> 16;
@@ -111,19 +118,19 @@
                 self.contact.syncing.remove(&shard);
             }
             (Keep::SyncSlots(_), _) => {}
-            (Keep::Slots, Outcome::Written(cell)) => self.ballot_had(&shard, &cell),
-            (Keep::Fill, Outcome::Written(cell)) => {
+            (Keep::Slots, OperationOutcome::Written(cell)) => self.ballot_had(&shard, &cell),
+            (Keep::Fill, OperationOutcome::Written(cell)) => {
                 let fill = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
                 self.shard_read(&shard, |read| read.fill = fill);
             }
-            (Keep::Things, Outcome::Written(cell)) => {
+            (Keep::Things, OperationOutcome::Written(cell)) => {
                 self.shard_read(&shard, |read| read.names.load(&names(&cell)));
             }
-            (Keep::Fresh, Outcome::Written(cell)) => {
+            (Keep::Fresh, OperationOutcome::Written(cell)) => {
                 self.shard_read(&shard, |read| read.names.load_fresh(&names(&cell)));
             }
             (keep @ (Keep::SlotsPut(_) | Keep::FillPut | Keep::ThingsPut(_) | Keep::FreshPut), outcome) => {
-                self.put_kept(&shard, keep, matches!(outcome, Outcome::Written(_)));
+                self.put_kept(&shard, keep, matches!(outcome, OperationOutcome::Written(_)));
             }
             (_, _) => {
                 // Another one has taken the ballot since, or no majority answers: what else comes in counts no more.
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -84,7 +84,7 @@
 impl Core {
     /// Another control node holds it too: counted once, and only where this life asked it about this database.
     pub(crate) fn inst_held(&mut self, addr: &str, (asker, request): (u64, u64), id: &str) {
-        if asker == self.quorum.who() {
+        if asker == self.quorum.incarnation() {
             self.leave_acks.held(addr, request, id);
         }
         self.settle_leaves();
--- a/crates/wv-control/src/leaving.rs
+++ b/crates/wv-control/src/leaving.rs
@@ -44,7 +44,7 @@
         }
         let own = Member { addr: self.me.clone(), disk: self.seat.disk };
         let is_kept = |next: wv_internal_protocol::VoterSet| next.members.contains(&own);
-        let is_sealed = self.seat.votes_in(&self.me) == 0;
+        let is_sealed = self.seat.voting_set(&self.me) == 0;
         !is_sealed && !self.is_changing() && self.planned().is_none_or(is_kept)
     }
 }
--- a/crates/wv-control/src/order.rs
+++ b/crates/wv-control/src/order.rs
@@ -59,7 +59,7 @@
     fn cell(&self, number: u64) -> RegisterValue {
         let mut value = vec![MARK];
         self.ser_bin(&mut value);
-        wv_consensus::cell(number, value)
+        wv_consensus::register_value(number, value)
     }
 
     pub fn verdict(&self, order: &Order) -> Verdict {
@@ -73,7 +73,7 @@
 }
 
 /// The edit that takes an order unless its number, or a higher one, was taken.
-pub fn take(order: Order, body: Vec<u8>) -> wv_consensus::Edit {
+pub fn take(order: Order, body: Vec<u8>) -> wv_consensus::UpdateFn {
     Box::new(move |held| {
         if held.version >= order.number {
             return None;
--- a/crates/wv-control/src/own.rs
+++ b/crates/wv-control/src/own.rs
@@ -2,7 +2,7 @@
 use crate::core::Core;
 use crate::types::Waiting;
 use std::collections::{BTreeMap, BTreeSet};
-use wv_consensus::Outcome;
+use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Message, Owner};
 
 /// Moves that only even out the portions follow each other no sooner, from this node.
@@ -61,9 +61,9 @@
         let (token, key) = (self.fresh_id(), key(&service));
         self.waiting.insert(token, Waiting::Own(service.clone()));
         let owner = Owner { service, node, handover_address: place, epoch: 0 };
-        let edit: wv_consensus::Edit = Box::new(move |held| {
+        let edit: wv_consensus::UpdateFn = Box::new(move |held| {
             let number = held.version + 1;
-            Some(wv_consensus::cell(
+            Some(wv_consensus::register_value(
                 number,
                 nanoserde::SerBin::serialize_bin(&Owner { epoch: number, ..owner.clone() }),
             ))
@@ -82,9 +82,9 @@
     }
 
     /// Only what stands on a majority is told.
-    pub(crate) fn own_kept(&mut self, service: &str, outcome: Outcome) {
+    pub(crate) fn own_kept(&mut self, service: &str, outcome: OperationOutcome) {
         self.owning.retain(|held| held != service);
-        let (Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return };
+        let (OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell)) = outcome else { return };
         let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
         self.send_peers(&Message::Owner(told.clone()));
         self.owner_told(told);
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -157,9 +157,9 @@
             Message::Ping { requester, request } => {
                 let version = self.store.get(crate::core::CONF).map_or(0, |held| held.value.version);
                 let disk = self.is_core.then_some(self.seat.disk);
-                let voter_set = self.seat.votes_in(&self.me);
+                let voter_set = self.seat.voting_set(&self.me);
                 let ready = self.is_ready();
-                let sealed_set = if voter_set == 0 { self.seat.sits_in(&self.me) } else { 0 };
+                let sealed_set = if voter_set == 0 { self.seat.successor_voting_set(&self.me) } else { 0 };
                 self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
             Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
@@ -182,7 +182,7 @@
                 });
             }
             Message::RegisterReply { requester, request, key, vote } => {
-                self.quorum.voted(addr, (requester, request), &key, vote, self.now);
+                self.quorum.on_reply(addr, (requester, request), &key, vote, self.now);
             }
             Message::Takeover(msg) => self.hear_takeover(link, addr, msg),
             Message::Leaving => self.peer_leaves(addr),
--- a/crates/wv-control/src/post.rs
+++ b/crates/wv-control/src/post.rs
@@ -3,7 +3,7 @@
 use crate::core::{Act, Core};
 use crate::types::Waiting;
 use std::collections::BTreeMap;
-use wv_consensus::Outcome;
+use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_promotion::Event;
 
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(crate) fn call_confirmed(&mut self, call: Call, outcome: Outcome) {
+    pub(crate) fn call_confirmed(&mut self, call: Call, outcome: OperationOutcome) {
         let began = self.calls.confirms.get(&call.service).copied().unwrap_or(0);
         let is_ours = self.is_ours(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
         if is_ours && began + CONFIRMED_US > self.now {
--- a/crates/wv-control/src/recall.rs
+++ b/crates/wv-control/src/recall.rs
@@ -1,5 +1,5 @@
 //! What a control node recalls of the databases after a restart: hints from its own disk until beats come.
-use crate::core::{Core, LOCAL};
+use crate::core::{Core, LOCAL_KEY_PREFIX};
 use wv_internal_protocol::{FeedUpdate, Instance, Leader};
 
 /// More than this is not kept; beats bring the rest within moments.
@@ -63,7 +63,7 @@
 }
 
 fn key() -> String {
-    format!("{LOCAL}table")
+    format!("{LOCAL_KEY_PREFIX}table")
 }
 
 impl Core {
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -76,15 +76,15 @@
     }
 }
 
-fn open_store(settings: &wv_settings::Settings) -> Result<wv_consensus::Store, wv_consensus::RegError> {
-    let files: Box<dyn wv_consensus::Files> = match &settings.data_dir {
-        Some(dir) => Box::new(wv_consensus::ThreadFiles::start(
-            Box::new(wv_consensus::DirFiles::open(dir)?),
-            Box::new(wv_consensus::DirFiles::open(dir)?),
+fn open_store(settings: &wv_settings::Settings) -> Result<wv_consensus::Store, wv_consensus::RegisterError> {
+    let files: Box<dyn wv_consensus::DurableFiles> = match &settings.data_dir {
+        Some(dir) => Box::new(wv_consensus::ThreadedFiles::start(
+            Box::new(wv_consensus::OsFiles::open(dir)?),
+            Box::new(wv_consensus::OsFiles::open(dir)?),
             DISK_LIMIT,
         )?),
         // Without a disk nothing outlives the process; such a node only serves.
-        None => Box::new(wv_consensus::MemFiles::default()),
+        None => Box::new(wv_consensus::MemoryFiles::default()),
     };
     wv_consensus::Store::open(files)
 }
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -61,7 +61,7 @@
             self.unnamed.remove(&key);
             let token = self.fresh_id();
             // Whoever claims it at the same time finds the next version either way.
-            let edit: wv_consensus::Edit = Box::new(|held| {
+            let edit: wv_consensus::UpdateFn = Box::new(|held| {
                 let version = ((held.version >> 16) + 1) << 16;
                 (!held.bytes.is_empty())
                     .then(|| RegisterValue { version: version.max(held.version + 1), ..RegisterValue::default() })
--- a/crates/wv-control/src/takeover.rs
+++ b/crates/wv-control/src/takeover.rs
@@ -1,7 +1,7 @@
 //! How a disk comes to hold what the voters hold: a member of a new set before it votes, and a learner beforehand.
 use crate::core::Core;
 use std::collections::BTreeSet;
-use wv_consensus::parts;
+use wv_consensus::anti_entropy;
 use wv_internal_protocol::{AcceptorState, CatchUp, Message};
 
 /// A learner that holds everything compares again after this.
@@ -48,7 +48,7 @@
 impl Core {
     /// A member of the newest set that does not vote in it yet.
     fn is_taking_over(&self) -> bool {
-        self.seat.is_member(&self.me) && self.seat.sits_in(&self.me) == 0
+        self.seat.is_member(&self.me) && self.seat.successor_voting_set(&self.me) == 0
     }
 
     fn is_learner(&self) -> bool {
@@ -81,8 +81,8 @@
         }
         let Some(source) = self.next_source(is_urgent) else { return };
         let (voters, before, request) =
-            (self.seat.voters.clone(), self.seat.before.clone(), self.quorum.next_request());
-        let sum = parts::total(&parts::sums(&self.store));
+            (self.seat.voters.clone(), self.seat.previous.clone(), self.quorum.next_request());
+        let sum = anti_entropy::combined_digest(&anti_entropy::range_digests(&self.store));
         let (now, open) = (self.now, Vec::new());
         self.send_peer(&source, Message::Takeover(CatchUp::Compare { request, voters, previous: before, digest: sum }));
         self.progress.current = Some(Comparison { source, request, began: now, heard: now, set: 0, open, asked: 0 });
@@ -91,7 +91,7 @@
     /// A voter of the newest set tells all at once; else those of the set before, one after the other. Of equals the
     /// one that has been silent least often.
     fn next_source(&self, is_urgent: bool) -> Option<String> {
-        let (voters, before) = (&self.seat.voters, &self.seat.before);
+        let (voters, before) = (&self.seat.voters, &self.seat.previous);
         let addrs: BTreeSet<&str> = voters.addrs().chain(before.addrs().filter(|_| is_urgent)).collect();
         let order = |addr: &&str| {
             let peer = self.peers.get(*addr).filter(|peer| peer.is_up && !self.progress.told.contains(*addr))?;
@@ -113,15 +113,15 @@
                     let msg = self.peers_msg();
                     return self.send(link, msg);
                 }
-                let set = self.seat.tells_of(&self.me);
+                let set = self.seat.source_set(&self.me);
                 if set > 0 {
-                    let sums = parts::sums(&self.store);
-                    let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
+                    let sums = anti_entropy::range_digests(&self.store);
+                    let sums = if anti_entropy::combined_digest(&sums) == sum { Vec::new() } else { sums };
                     self.send(link, Message::Takeover(CatchUp::Digests { request, set, digests: sums }));
                 }
             }
             CatchUp::CompareRanges { request, ranges } => {
-                let (cells, is_whole) = parts::part(&self.store, &ranges);
+                let (cells, is_whole) = anti_entropy::newer_registers(&self.store, &ranges);
                 self.send(
                     link,
                     Message::Takeover(CatchUp::NewerRegisters { request, registers: cells, is_complete: is_whole }),
@@ -142,10 +142,10 @@
     }
 
     fn compared(&mut self, addr: &str, request: u64, set: u64, theirs: &[u64]) {
-        let ours = parts::sums(&self.store);
+        let ours = anti_entropy::range_digests(&self.store);
         let Some(held) = self.current(addr, request) else { return };
         let differs = |range: &u32| theirs.get(*range as usize).is_some_and(|sum| *sum != ours[*range as usize]);
-        (held.set, held.open) = (set, (0..parts::RANGES as u32).filter(differs).collect());
+        (held.set, held.open) = (set, (0..anti_entropy::RANGE_COUNT as u32).filter(differs).collect());
         self.progress.silent.clear();
         self.ask_part();
     }
@@ -155,7 +155,7 @@
         if !self.is_taking_over() && !self.is_learner() {
             return;
         }
-        if let Err(error) = self.store.adopt(cells) {
+        if let Err(error) = self.store.adopt_newer(cells) {
             log::error!("what a voter holds is not kept: {error}");
             self.progress.current = None;
             return;
@@ -175,7 +175,7 @@
         if held.open.is_empty() {
             return self.end_comparison();
         }
-        let ranges = parts::listed(&self.store, &held.open);
+        let ranges = anti_entropy::summarize_ranges(&self.store, &held.open);
         held.asked = ranges.len();
         let (source, request) = (held.source.clone(), held.request);
         self.send_peer(&source, Message::Takeover(CatchUp::CompareRanges { request, ranges }));
@@ -185,7 +185,7 @@
     fn end_comparison(&mut self) {
         let Some(held) = self.progress.current.take() else { return };
         self.progress.rests = self.now + LEARN_US;
-        let (voters, before) = (self.seat.voters.clone(), self.seat.before.clone());
+        let (voters, before) = (self.seat.voters.clone(), self.seat.previous.clone());
         if held.set == voters.number {
             self.progress.learnt = Some(held.began);
         }
@@ -200,7 +200,7 @@
         }
         // This disk's own word on the set before counts as any other's.
         let has_left = |addr: &&str| {
-            self.progress.told.contains(*addr) || (*addr == self.me && self.seat.tells_of(&self.me) == before.number)
+            self.progress.told.contains(*addr) || (*addr == self.me && self.seat.source_set(&self.me) == before.number)
         };
         let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
         // A majority of the set before, each of which had left it when it told, holds whatever was acknowledged there;
@@ -211,7 +211,7 @@
         }
         match self.seat.install(&mut self.store) {
             Ok(()) => {
-                log::warn!("this disk votes in set {}", self.seat.set);
+                log::warn!("this disk votes in set {}", self.seat.installed_set);
                 self.progress.restart();
                 self.ping();
             }
--- a/crates/wv-control/src/thin.rs
+++ b/crates/wv-control/src/thin.rs
@@ -10,7 +10,7 @@
 impl Core {
     /// Whether this node keeps nothing: no disk, and no vote where nobody has one.
     pub(crate) fn is_thin(&self) -> bool {
-        !self.is_core && self.seat.votes_in(&self.me) == 0
+        !self.is_core && self.seat.voting_set(&self.me) == 0
     }
 
     /// A voter told the version that it holds.
--- a/crates/wv-control/src/voter.rs
+++ b/crates/wv-control/src/voter.rs
@@ -7,17 +7,18 @@
     /// vote at all, neither for nor against. A refusal would only make the proposer try again, and never end while
     /// the disk is full.
     pub(crate) fn vote(&mut self, set: u64, key: &str, step: &RegisterRequest) -> Option<RegisterReply> {
-        (set > 0 && self.seat.votes_in(&self.me) == set && !key.starts_with(crate::core::LOCAL)).then_some(())?;
-        let noted = |error: wv_consensus::RegError| log::error!("register {key} not kept: {error}");
+        (set > 0 && self.seat.voting_set(&self.me) == set && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
+            .then_some(())?;
+        let noted = |error: wv_consensus::RegisterError| log::error!("register {key} not kept: {error}");
         match step {
             RegisterRequest::Read { known } => Some(self.told(key, *known)),
             RegisterRequest::Prepare { ballot, known } => {
-                self.quorum.see(*ballot);
+                self.quorum.observe_ballot(*ballot);
                 let is_promised = self.store.promise(key, *ballot).map_err(noted).ok()?;
                 Some(if is_promised { self.told(key, *known) } else { self.refused(key) })
             }
             RegisterRequest::Accept { ballot, value: cell } => {
-                self.quorum.see(*ballot);
+                self.quorum.observe_ballot(*ballot);
                 let is_kept = self.store.accept(key, *ballot, cell).map_err(noted).ok()?;
                 Some(if is_kept { RegisterReply::Accepted } else { self.refused(key) })
             }
@@ -42,7 +43,7 @@
         loop {
             // Whatever moved on sends its next step at once, not at the next turn.
             self.quorum.tick(self.now);
-            let out = self.quorum.take_out();
+            let out = self.quorum.take_messages();
             if out.is_empty() {
                 break;
             }
@@ -56,17 +57,17 @@
                 };
                 let vote = self.vote(set, &key, &step);
                 let me = self.me.clone();
-                vote.into_iter().for_each(|vote| self.quorum.voted(&me, (asker, request), &key, vote, self.now));
+                vote.into_iter().for_each(|vote| self.quorum.on_reply(&me, (asker, request), &key, vote, self.now));
             }
         }
-        let done = self.quorum.take_done();
+        let done = self.quorum.take_completions();
         done.into_iter().for_each(|done| self.quorum_done(done));
         self.arm();
     }
 
     /// Pauses between proposals are shorter than this node's turns.
     fn arm(&mut self) {
-        let due = self.quorum.next_due().filter(|due| *due < self.now + crate::core::TURN_US);
+        let due = self.quorum.next_due_us().filter(|due| *due < self.now + crate::core::TURN_US);
         let is_armed = |due: &u64| self.armed > self.now && self.armed <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
             self.armed = due.max(self.now + 1);
--- a/crates/wv-control/src/voters.rs
+++ b/crates/wv-control/src/voters.rs
@@ -1,7 +1,7 @@
 //! The set of voters in change: who plans it, and how it is agreed on.
 use crate::core::{Core, FRESH_US};
 use crate::types::Peer;
-use wv_consensus::{Change, End};
+use wv_consensus::{ChangeOutcome, VoterSetChange};
 use wv_internal_protocol::{Member, Message, VoterSet};
 
 /// The key of the duty of changing the voters.
@@ -25,7 +25,7 @@
             addresses: addrs,
             zones,
             voters: self.seat.voters.clone(),
-            previous_voters: self.seat.before.clone(),
+            previous_voters: self.seat.previous.clone(),
         }
     }
 
@@ -46,7 +46,7 @@
 
     /// A settled set was heard of: it counts from now on, here and for whoever is told.
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
-        let is_news = self.seat.learn(&mut self.store, &self.me, voters, before).unwrap_or_else(|error| {
+        let is_news = self.seat.update_voters(&mut self.store, &self.me, voters, before).unwrap_or_else(|error| {
             log::error!("the set of voters is not kept: {error}");
             self.is_unlearned = true;
             false
@@ -90,7 +90,7 @@
         let voters = &self.seat.voters;
         let is_heard = |peer: &&Peer| self.is_heard(peer) && peer.set.max(peer.sealed) == voters.number;
         let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
-        let own = usize::from(self.seat.sits_in(&self.me) > 0);
+        let own = usize::from(self.seat.successor_voting_set(&self.me) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
 
@@ -108,7 +108,7 @@
                 is_seated && !peer.is_leaving
             })
         };
-        let is_own = self.is_core && self.seat.sits_in(&self.me) > 0 && !self.is_leaving;
+        let is_own = self.is_core && self.seat.successor_voting_set(&self.me) > 0 && !self.is_leaving;
         is_own && self.roster.is_duty_holder_among(DUTY, is_meant)
     }
 
@@ -127,7 +127,7 @@
         let voters = &self.seat.voters;
         let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed == voters.number);
         // A predecessor began what it could not end: the set must not stay sealed without a successor.
-        let is_begun = self.seat.votes_in(&self.me) == 0 || voters.addrs().any(is_sealed);
+        let is_begun = self.seat.voting_set(&self.me) == 0 || voters.addrs().any(is_sealed);
         if !is_begun && !self.is_complete() {
             return;
         }
@@ -143,18 +143,18 @@
         self.changed = self.now;
         // Answers are known by the number, not by the fence: two lives of one node may come upon the same fence.
         let request = self.quorum.next_request();
-        self.change = Some(Change::new(request, fence, self.seat.voters.clone(), next, self.now));
+        self.change = Some(VoterSetChange::new(request, fence, self.seat.voters.clone(), next, self.now));
         self.run_voters();
     }
 
     /// The next set, if this node sees a reason for one.
     pub(crate) fn planned(&self) -> Option<VoterSet> {
-        wv_consensus::plan(&self.seat.voters, &self.cores(), |addr| self.away_us(addr))
+        wv_consensus::plan_successor(&self.seat.voters, &self.cores(), |addr| self.away_us(addr))
     }
 
     /// The machines that could vote, as they are known here.
-    fn cores(&self) -> Vec<wv_consensus::Core> {
-        let own = wv_consensus::Core {
+    fn cores(&self) -> Vec<wv_consensus::Candidate> {
+        let own = wv_consensus::Candidate {
             member: Member { addr: self.me.clone(), disk: self.seat.disk },
             zone: self.zone.clone(),
             is_up: true,
@@ -162,7 +162,7 @@
             is_leaving: self.is_leaving,
         };
         let other = |(addr, peer): (&String, &Peer)| {
-            Some(wv_consensus::Core {
+            Some(wv_consensus::Candidate {
                 member: Member { addr: addr.clone(), disk: peer.disk? },
                 zone: peer.zone.clone(),
                 is_up: self.is_heard(peer),
@@ -178,7 +178,7 @@
         // What has no disk forgets with its process: it gives its place to the first that has one.
         let is_forgetful = |peer: &Peer| peer.contact > 0 && peer.disk.is_none();
         if (addr == self.me && !self.is_core) || self.peers.get(addr).is_some_and(is_forgetful) {
-            return wv_consensus::AWAY_US;
+            return wv_consensus::REPLACE_AFTER_US;
         }
         let peer = self.peers.get(addr).filter(|peer| !self.is_heard(peer));
         peer.map_or(0, |peer| self.now.saturating_sub(peer.since.max(peer.contact).max(self.born)))
@@ -195,7 +195,7 @@
             let is_own = member.addr == self.me;
             let peer = self.peers.get(&member.addr);
             let (is_up, set) = if is_own {
-                (true, self.seat.votes_in(&self.me))
+                (true, self.seat.voting_set(&self.me))
             } else {
                 peer.map_or((false, 0), |peer| (peer.is_up, peer.set))
             };
@@ -214,15 +214,15 @@
         self.ret(token, 200, body.to_string());
     }
 
-    pub(crate) fn end_change(&mut self, end: End) {
+    pub(crate) fn end_change(&mut self, end: ChangeOutcome) {
         self.change = None;
         self.changed = self.now;
         match end {
-            End::Settled(next) => {
+            ChangeOutcome::Accepted(next) => {
                 let before = self.seat.voters.clone();
                 self.learn_voters(&next, &before);
             }
-            End::Off { seen } => self.met = self.met.max(seen),
+            ChangeOutcome::Aborted { highest_fence } => self.met = self.met.max(highest_fence),
         }
     }
 }
--- a/crates/wv-control/tests/alone/mod.rs
+++ b/crates/wv-control/tests/alone/mod.rs
@@ -44,7 +44,7 @@
             disk: 1,
             who: WHO,
         };
-        let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty store");
+        let store = wv_consensus::Store::open(Box::new(wv_consensus::MemoryFiles::default())).expect("an empty store");
         let core = Core::new(start, store).expect("a control node");
         Node { core, now: S, links: BTreeMap::new(), sent: Vec::new(), returns: BTreeMap::new(), asked: 0 }
     }
--- a/crates/wv-control/tests/asks.rs
+++ b/crates/wv-control/tests/asks.rs
@@ -33,7 +33,7 @@
             disk: 3,
             who: 0x5151,
         };
-        let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty folder");
+        let store = wv_consensus::Store::open(Box::new(wv_consensus::MemoryFiles::default())).expect("an empty folder");
         let core = Core::new(start, store).expect("a first start");
         Node { core, now: 0, asked: Vec::new(), told: Vec::new() }
     }
--- a/crates/wv-control/tests/common/mod.rs
+++ b/crates/wv-control/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! One control node by itself, spoken to message by message.
 use std::collections::BTreeMap;
-use wv_consensus::{MemFiles, Store};
+use wv_consensus::{MemoryFiles, Store};
 use wv_control::{Act, Core, Start};
 use wv_internal_protocol::Message;
 
@@ -26,7 +26,7 @@
             disk: 1,
             who: 1,
         };
-        let store = Store::open(Box::new(MemFiles::default())).expect("readable");
+        let store = Store::open(Box::new(MemoryFiles::default())).expect("readable");
         let core = Core::new(start, store).expect("it starts");
         let mut node = Node { core, links: BTreeMap::new(), now: 1_000_000 };
         node.core.tick(node.now);
--- a/crates/wv-control/tests/model_orders.rs
+++ b/crates/wv-control/tests/model_orders.rs
@@ -68,7 +68,7 @@
 #[gtest]
 fn given_a_register_that_tells_only_the_newest_order_then_the_model_finds_a_repeat_refused() {
     let wishes: &[&[Wish]] = &[&[W(1, 1), W(2, 2), W(1, 1)]];
-    let forgetful: fn(u64, u8) -> wv_consensus::Edit = |number, content| {
+    let forgetful: fn(u64, u8) -> wv_consensus::UpdateFn = |number, content| {
         // As if each order were the first one.
         let fresh = take(order(number, content), vec![content])(&RegisterValue::default());
         Box::new(move |held| fresh.clone().filter(|_| held.version < number))
--- a/crates/wv-control/tests/takeover.rs
+++ b/crates/wv-control/tests/takeover.rs
@@ -3,7 +3,7 @@
 
 use common::Node;
 use googletest::prelude::*;
-use wv_consensus::{cell, parts};
+use wv_consensus::{anti_entropy, register_value};
 use wv_internal_protocol::{AcceptorState, Ballot, CatchUp, Member, Message, RegisterRequest, VoterSet};
 
 fn set(number: u64, names: &str) -> VoterSet {
@@ -62,12 +62,12 @@
     let said = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
     let (first, request) = asked(&node, &said).expect("it asks at once");
     // The first says that it holds something else; one register of it comes, and that is all.
-    let mut sums = vec![0; parts::RANGES];
+    let mut sums = vec![0; anti_entropy::RANGE_COUNT];
     let said = node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
     let is_lacking = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
-    let copy = AcceptorState { promised: ballot, accepted: ballot, value: cell(4, vec![4]) };
+    let copy = AcceptorState { promised: ballot, accepted: ballot, value: register_value(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
     let said = node.hear(&first, Message::Takeover(part));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true), "not all of it");
--- a/crates/wv-simulation/src/disk.rs
+++ b/crates/wv-simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! A control node's disk with troubles of its own: full, hanging, or torn by a loss of power in the middle of a write.
 use std::cell::RefCell;
 use std::rc::Rc;
-use wv_consensus::{Files, MemFiles};
+use wv_consensus::{DurableFiles, MemoryFiles};
 
 /// A write that was begun: its file, its bytes, and whether they go to the file's end.
 type Job = (String, Vec<u8>, bool);
@@ -25,7 +25,7 @@
 pub struct Faults(Rc<RefCell<Mode>>);
 
 pub(crate) struct Disk {
-    files: MemFiles,
+    files: MemoryFiles,
     faults: Faults,
 }
 
@@ -39,7 +39,7 @@
     left
 }
 
-fn put(files: &MemFiles, (name, bytes, is_append): &Job) {
+fn put(files: &MemoryFiles, (name, bytes, is_append): &Job) {
     let mut files = files.files.borrow_mut();
     if *is_append {
         return files.entry(name.clone()).or_default().extend_from_slice(bytes);
@@ -65,14 +65,14 @@
     }
 
     /// The trouble is over; a write that hung stands now, whole.
-    pub fn end(&self, files: &MemFiles) {
+    pub fn end(&self, files: &MemoryFiles) {
         if let Mode::Hang(Some(job)) = std::mem::take(&mut *self.0.borrow_mut()) {
             put(files, &job);
         }
     }
 
     /// Power is lost: of a write that hung some of it may stand.
-    pub fn cut(&self, files: &MemFiles, draw: u64) {
+    pub fn cut(&self, files: &MemoryFiles, draw: u64) {
         if let Mode::Hang(Some((name, bytes, is_append))) = std::mem::take(&mut *self.0.borrow_mut()) {
             if !draw.is_multiple_of(3) {
                 put(files, &(name, torn(&bytes, draw / 3), is_append));
@@ -82,7 +82,7 @@
 }
 
 impl Disk {
-    pub(crate) fn new(files: MemFiles, faults: Faults) -> Disk {
+    pub(crate) fn new(files: MemoryFiles, faults: Faults) -> Disk {
         Disk { files, faults }
     }
 
@@ -115,7 +115,7 @@
     }
 }
 
-impl Files for Disk {
+impl DurableFiles for Disk {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
         self.files.read(name)
     }
--- a/crates/wv-simulation/tests/learners.rs
+++ b/crates/wv-simulation/tests/learners.rs
@@ -5,17 +5,17 @@
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use steps::{get, put_version};
-use wv_consensus::{Seat, Store};
+use wv_consensus::{Store, VoterState};
 use wv_simulation::{World, MS, S};
 
 /// Five times there and back, at a millisecond each and with disks that take no time.
 const WINDOW: u64 = 5 * MS;
 
 /// What the disk of `control` says of the sets, and the version of the configuration on it.
-fn disk(world: &World, control: usize) -> (Seat, u64) {
+fn disk(world: &World, control: usize) -> (VoterState, u64) {
     let files = Box::new(world.controls[control].files.copy());
     let mut store = Store::open(files).expect("it can be read");
-    let seat = Seat::open(&mut store, &world.controls[control].addr, &[], false, 1).expect("it has one");
+    let seat = VoterState::open(&mut store, &world.controls[control].addr, &[], false, 1).expect("it has one");
     (seat, store.get("conf").map_or(0, |held| held.value.version))
 }
 
--- a/crates/wv-simulation/tests/leaving_voters.rs
+++ b/crates/wv-simulation/tests/leaving_voters.rs
@@ -103,7 +103,7 @@
     let files = Box::new(world.controls[control].files.copy());
     let mut store = wv_consensus::Store::open(files).expect("it can be read");
     let addr = &world.controls[control].addr;
-    let seat = wv_consensus::Seat::open(&mut store, addr, &[], false, 1).expect("it has one");
+    let seat = wv_consensus::VoterState::open(&mut store, addr, &[], false, 1).expect("it has one");
     (store.get("conf").map_or(0, |held| held.value.version), seat.voters)
 }
 
--- a/crates/wv-simulation/tests/takeover.rs
+++ b/crates/wv-simulation/tests/takeover.rs
@@ -1,6 +1,6 @@
 //! Stories of disks that come to hold what voters hold: in parts, from wherever it can be had, and only what differs.
 use googletest::prelude::*;
-use wv_consensus::{cell, Store};
+use wv_consensus::{register_value, Store};
 use wv_internal_protocol::Ballot;
 use wv_simulation::{World, MS, S};
 
@@ -42,7 +42,7 @@
         let mut store = Store::open(Box::new(world.controls[at].files.clone())).expect("readable");
         for number in 0..count {
             // A kind of register that nobody sweeps.
-            let cell = cell(1, vec![number as u8; len]);
+            let cell = register_value(1, vec![number as u8; len]);
             store.accept(&format!("kept/{number}"), Ballot { round: (1 << 40) + 1, proposer: 1 }, &cell).expect("kept");
         }
     }
@@ -70,7 +70,7 @@
 #[gtest]
 fn given_a_source_that_falls_silent_and_a_newcomer_that_is_killed_half_way_then_what_came_is_not_sent_again() {
     let (mut world, bytes) = long(330, 24 << 10);
-    let is_half = |world: &World| store(world, LEARNER).size() as u64 > bytes / 3;
+    let is_half = |world: &World| store(world, LEARNER).size_bytes() as u64 > bytes / 3;
     while !is_half(&world) {
         world.run(20 * MS);
     }
