--- a/crates/wv-consensus/examples/store.rs
+++ b/crates/wv-consensus/examples/store.rs
@@ -1,18 +1,18 @@
-//! What changes of a long configuration cost a voter's store: `cargo run --release -p wv-consensus --example store`.
-//! One line a run: changes, bytes on the disk (at the end, and the most), bytes written and microseconds a change, with
-//! files in memory; microseconds to open it again.
+//! Disk cost of changing a large configuration: `cargo run --release -p wv-consensus --example store`. Prints one line
+//! per run: number of changes, bytes on disk (final and maximum), bytes written and microseconds per change with files
+//! in memory, and microseconds to reopen.
 use wv_consensus::{register_value, DurableFiles, MemoryFiles, Store, StoreState};
 use wv_internal_protocol::Ballot;
 
-/// A packed configuration of 2,000 routes.
-const CONF: usize = 40 << 10;
-const DUTIES: usize = 200;
+/// Size of a compressed configuration with 2,000 routes.
+const CONFIGURATION_BYTES: usize = 40 << 10;
+const DUTY_COUNT: usize = 200;
 
 fn ballot(round: u64) -> Ballot {
     Ballot { round, proposer: 1 }
 }
 
-fn held(files: &MemoryFiles) -> usize {
+fn disk_usage(files: &MemoryFiles) -> usize {
     files.files.borrow().values().map(Vec::len).sum()
 }
 
@@ -20,18 +20,18 @@
     let files = MemoryFiles::default();
     let mut store = Store::open(Box::new(files.clone()))?;
     store.reset(StoreState { addr: "10.0.0.1:80".to_owned(), ..StoreState::default() })?;
-    for at in 0..DUTIES {
+    for at in 0..DUTY_COUNT {
         store.accept(&format!("duty/service-{at}"), ballot(1), &register_value(1, vec![7; 24]))?;
     }
-    let mut body: Vec<u8> = (0..CONF).map(|at| (at * 31 % 251) as u8).collect();
+    let mut body: Vec<u8> = (0..CONFIGURATION_BYTES).map(|at| (at * 31 % 251) as u8).collect();
     let (written, start, mut most) = (files.written.get(), std::time::Instant::now(), 0);
     for change in 0..changes {
-        let at = change as usize * 97 % CONF;
+        let at = change as usize * 97 % CONFIGURATION_BYTES;
         body[at] = body[at].wrapping_add(1);
-        // As a voter keeps it: the promise, then the cell.
+        // A voter's writes for one change: the promise, then the value.
         store.promise("conf", ballot(2 * change + 2))?;
         store.accept("conf", ballot(2 * change + 2), &register_value(change + 1, body.clone()))?;
-        most = most.max(held(&files));
+        most = most.max(disk_usage(&files));
     }
     let spent = start.elapsed().as_micros() as u64 / changes.max(1);
     let each = (files.written.get() - written) as u64 / changes.max(1);
@@ -41,7 +41,7 @@
     let log = files.read("log")?.map_or(0, |log| log.len());
     println!(
         "{changes} changes of a state of {size} bytes: {} on the disk, {most} at most, log {log}; {each} written and {spent} us a change; {open} us to open",
-        held(&files)
+        disk_usage(&files)
     );
     Ok(())
 }
--- a/crates/wv-consensus/tests/ballots.rs
+++ b/crates/wv-consensus/tests/ballots.rs
@@ -1,4 +1,4 @@
-//! Stories of one disk under ballots: what it promised it keeps, also through a restart and from an older format.
+//! Tests of a store's promises and accepted values, including across restarts and with the older on-disk format.
 use googletest::prelude::*;
 use wv_consensus::{register_value, MemoryFiles, Store, StoreState, VoterState};
 use wv_internal_protocol::{AcceptorState, Ballot};
@@ -8,12 +8,12 @@
 }
 
 fn opened(files: &MemoryFiles) -> Store {
-    Store::open(Box::new(files.clone())).expect("readable")
+    Store::open(Box::new(files.clone())).expect("store opens")
 }
 
 fn started(files: &MemoryFiles) -> Store {
     let mut store = opened(files);
-    store.reset(StoreState::default()).expect("kept");
+    store.reset(StoreState::default()).expect("write succeeds");
     store
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn given_a_promise_then_nothing_below_it_is_taken_nor_promised_also_after_a_restart() {
+fn given_a_promise_then_nothing_below_it_is_accepted_or_promised_even_after_a_restart() {
     let files = MemoryFiles::default();
     let mut store = started(&files);
     expect_that!(store.promise("k", ballot(5, 1)), ok(eq(&true)));
@@ -36,22 +36,22 @@
     expect_that!(store.accept("k", ballot(4, 9), &register_value(1, vec![1])), ok(eq(&false)));
     expect_that!(store.accept("k", ballot(5, 0), &register_value(1, vec![1])), ok(eq(&false)));
     expect_that!(store.accept("k", ballot(5, 1), &register_value(1, vec![2])), ok(eq(&true)));
-    // What was accepted binds like a promise, and a second copy of it is no change.
+    // An accepted value binds like a promise, and accepting it again writes nothing.
     let mut store = opened(&files);
     expect_that!(store.promise("k", ballot(4, 9)), ok(eq(&false)));
     let before = bytes(&files);
     expect_that!(store.accept("k", ballot(5, 1), &register_value(1, vec![2])), ok(eq(&true)));
     expect_that!(bytes(&files), eq(before));
-    // A lower version under a higher ballot stands: ballots decide, versions are the callers' own.
+    // A lower version under a higher ballot is accepted: versions are up to the callers.
     expect_that!(store.accept("k", ballot(6, 1), &register_value(0, vec![3])), ok(eq(&true)));
-    expect_that!(opened(&files).get("k").map(|held| held.value.bytes.clone()), some(eq(&vec![3])));
+    expect_that!(opened(&files).get("k").map(|current| current.value.bytes.clone()), some(eq(&vec![3])));
 }
 
 #[gtest]
-fn given_copies_for_a_disk_that_does_not_vote_then_only_newer_ones_are_kept_and_all_in_one_write() {
+fn given_copies_for_a_disk_that_does_not_vote_then_only_newer_ones_are_stored_in_one_write() {
     let files = MemoryFiles::default();
     let mut store = started(&files);
-    store.accept("a", ballot(7, 1), &register_value(1, vec![1])).expect("kept");
+    store.accept("a", ballot(7, 1), &register_value(1, vec![1])).expect("write succeeds");
     let copy = |round: u64, value: u8| AcceptorState {
         accepted: ballot(round, 2),
         value: register_value(9, vec![value]),
@@ -65,16 +65,15 @@
     expect_that!(store.adopt_newer(copies), ok(eq(&0)));
     let mut store = opened(&files);
     let values: Vec<(String, Vec<u8>)> =
-        store.iter().map(|(key, held)| (key.to_owned(), held.value.bytes.clone())).collect();
+        store.iter().map(|(key, current)| (key.to_owned(), current.value.bytes.clone())).collect();
     let expected = [("a", vec![1]), ("b", vec![3]), ("c", vec![4])].map(|(key, value)| (key.to_owned(), value));
     expect_that!(values, eq(&expected.to_vec()));
-    // A copy binds like an acceptance.
+    // A copied value binds like an accepted one.
     expect_that!(store.promise("b", ballot(3, 1)), ok(eq(&false)));
 }
 
-/// The files of a first voter as they were written before registers had ballots: a slot, an older one, and a log with
-/// two entries after it.
-fn old_disk() -> MemoryFiles {
+/// The files of an initial voter in the format from before ballots: a slot, an older slot, and a log with two entries.
+fn legacy_disk() -> MemoryFiles {
     let files = MemoryFiles::default();
     let all = [
         ("slot-a", "33010000b37a52c902000000000000000b0000000000000031302e312e302e313a3830000000000000000003000000000000000a000000000000006c6f63616c2f736561740100000000000000ba0a5aed8a000000000000000000000000000000010000000000000003000000000000000b0000000000000031302e312e302e313a383000000000000000000b0000000000000031302e312e302e323a383000000000000000000b0000000000000031302e312e302e333a383000000000000000000000000000000000000000000000000001000000000000000000000000000000000400000000000000636f6e660600000000000000c423e17c0b000000000000007b226973737565223a367d0600000000000000647574792f730700010000000000e8a5554e0b0000000000000031302e312e302e323a3830"),
@@ -88,49 +87,49 @@
 }
 
 #[gtest]
-fn given_a_disk_of_the_format_before_ballots_then_all_of_it_is_read_on_and_it_votes_as_before() {
-    let files = old_disk();
+fn given_a_disk_in_the_format_before_ballots_then_it_is_read_completely_and_keeps_its_vote() {
+    let files = legacy_disk();
     let mut store = opened(&files);
-    let held = |store: &Store, key: &str| store.get(key).map(|held| (held.accepted, held.value.version));
-    expect_that!(held(&store, "conf"), some(eq((Ballot::default(), 9))));
-    expect_that!(held(&store, "duty/s"), some(eq((Ballot::default(), 0x1_0007))));
-    expect_that!(held(&store, "own/s"), some(eq((Ballot::default(), 3))));
-    let seat = VoterState::open(&mut store, "10.1.0.1:80", &[], false, 5).expect("kept");
-    expect_that!((seat.voting_set("10.1.0.1:80"), seat.voters.members.len()), eq((1, 3)));
-    // It is written in the present format at once; its old log, were it still there, says nothing any more.
-    let log = old_disk().files.borrow()["log"].clone();
+    let current = |store: &Store, key: &str| store.get(key).map(|current| (current.accepted, current.value.version));
+    expect_that!(current(&store, "conf"), some(eq((Ballot::default(), 9))));
+    expect_that!(current(&store, "duty/s"), some(eq((Ballot::default(), 0x1_0007))));
+    expect_that!(current(&store, "own/s"), some(eq((Ballot::default(), 3))));
+    let voter_state = VoterState::open(&mut store, "10.1.0.1:80", &[], false, 5).expect("write succeeds");
+    expect_that!((voter_state.voting_set("10.1.0.1:80"), voter_state.voters.members.len()), eq((1, 3)));
+    // Opening upgrades the files; the old log entries, if they were still there, have no effect.
+    let log = legacy_disk().files.borrow()["log"].clone();
     expect_that!(store.accept("conf", ballot(1, 1), &register_value(10, vec![1])), ok(eq(&true)));
     let mut kept = files.files.borrow()["log"].clone();
     kept.splice(0..0, log);
     files.files.borrow_mut().insert("log".to_owned(), kept);
-    expect_that!(held(&opened(&files), "conf"), some(eq((ballot(1, 1), 10))));
+    expect_that!(current(&opened(&files), "conf"), some(eq((ballot(1, 1), 10))));
 }
 
 #[gtest]
-fn given_an_old_disk_that_loses_power_as_it_is_written_anew_then_nothing_of_it_is_lost() {
+fn given_a_power_loss_while_an_older_format_is_upgraded_then_no_data_is_lost() {
     let whole = {
-        let files = old_disk();
+        let files = legacy_disk();
         opened(&files);
         let slot = files.files.borrow()["slot-b"].clone();
         slot
     };
-    // Every length to which the new slot may have come; the log may be emptied only after the whole of it.
+    // Tries every prefix of the new slot; the log must not be truncated before the slot is complete.
     for len in 0..=whole.len() {
-        let files = old_disk();
+        let files = legacy_disk();
         files.files.borrow_mut().insert("slot-b".to_owned(), whole[..len].to_vec());
         let store = opened(&files);
-        expect_that!(store.get("conf").map(|held| held.value.version), some(eq(9)), "{len} bytes");
-        expect_that!(store.get("own/s").map(|held| held.value.version), some(eq(3)), "{len} bytes");
+        expect_that!(store.get("conf").map(|current| current.value.version), some(eq(9)), "{len} bytes");
+        expect_that!(store.get("own/s").map(|current| current.value.version), some(eq(3)), "{len} bytes");
     }
 }
 
 #[gtest]
-fn given_thousands_of_changes_then_the_files_stay_within_a_few_times_the_state_and_a_change_costs_its_own_bytes() {
+fn given_thousands_of_changes_then_disk_usage_and_bytes_written_per_change_are_bounded() {
     let mut figures = Vec::new();
     for changes in [10u64, 1_000, 10_000] {
         let files = MemoryFiles::default();
         let mut store = started(&files);
-        // Four hundred registers at rest, and one of forty thousand bytes beside the one that changes.
+        // 400 unchanged registers and one of 40 KiB beside the one that changes.
         let rest = (0..400).map(|at| {
             (
                 format!("duty/{at}"),
@@ -141,18 +140,18 @@
                 },
             )
         });
-        store.adopt_newer(rest.collect()).expect("kept");
-        store.accept("conf", ballot(1, 1), &register_value(1, vec![7; 40 << 10])).expect("kept");
+        store.adopt_newer(rest.collect()).expect("write succeeds");
+        store.accept("conf", ballot(1, 1), &register_value(1, vec![7; 40 << 10])).expect("write succeeds");
         let before = files.written.get();
         (2..changes + 2).for_each(|round| {
             expect_that!(store.accept("duty/7", ballot(round, 1), &register_value(round, vec![1; 20])), ok(eq(&true)));
         });
         let (written, size) = (files.written.get() - before, store.size_bytes());
         expect_that!(bytes(&files), le(3 * size + (512 << 10)), "{changes} changes");
-        // Its record, and its part of what folding writes: no more than the records themselves.
+        // The record plus a share of the compactions.
         expect_that!(written as u64 / changes, le(500), "{changes} changes");
         figures.push((changes, bytes(&files), written as u64 / changes, size));
-        expect_that!(opened(&files).get("duty/7").map(|held| held.value.version), some(eq(changes + 1)));
+        expect_that!(opened(&files).get("duty/7").map(|current| current.value.version), some(eq(changes + 1)));
     }
     println!("changes, bytes on disk, bytes written a change, state: {figures:?}");
 }
--- a/crates/wv-consensus/tests/change.rs
+++ b/crates/wv-consensus/tests/change.rs
@@ -1,4 +1,4 @@
-//! Stories of agreeing on the next set of voters, word by word.
+//! Tests of planning and agreeing on the next voter set.
 use googletest::prelude::*;
 use wv_consensus::{plan_successor, Candidate, ChangeOutcome, VoterSetChange, REPLACE_AFTER_US};
 use wv_internal_protocol::{Handover, Member, Message, VoterSet};
@@ -8,17 +8,17 @@
     VoterSet { number, members }
 }
 
-fn cores(all: &[(&str, u64, bool)]) -> Vec<Candidate> {
-    let core = |(addr, disk, is_up): &(&str, u64, bool)| Candidate {
+fn candidates(all: &[(&str, u64, bool)]) -> Vec<Candidate> {
+    let candidate = |(addr, disk, is_up): &(&str, u64, bool)| Candidate {
         member: Member { addr: (*addr).to_owned(), disk: *disk },
         is_up: *is_up,
         is_ready: true,
         ..Candidate::default()
     };
-    all.iter().map(core).collect()
+    all.iter().map(candidate).collect()
 }
 
-/// The set is sealed and handed over as it must be before anything is proposed.
+/// Runs the sealing and handover phases and returns the proposed successor; nothing may be proposed earlier.
 fn proposed(change: &mut VoterSetChange, request: u64, holders: [&str; 2]) -> Option<VoterSet> {
     let is_settling =
         |msgs: &[(String, Message)]| msgs.iter().any(|(_, msg)| matches!(msg, Message::AcceptSuccessor { .. }));
@@ -41,18 +41,18 @@
 }
 
 #[gtest]
-fn given_a_successor_that_some_voter_accepted_then_the_next_claimer_proposes_it_and_not_its_own() {
+fn given_a_successor_accepted_by_some_voter_then_the_next_coordinator_proposes_it_instead_of_its_own() {
     let from = set(1, &["a", "b", "c"]);
     let (ours, older, newer) = (set(2, &["a", "b", "x"]), set(2, &["a", "c", "y"]), set(2, &["b", "c", "z"]));
     let mut change = VoterSetChange::new(7, 300, from.clone(), ours.clone(), 0);
     expect_that!(change.handle_prepared("a", 7, true, 300, Some((100, older))), none());
     expect_that!(change.handle_prepared("b", 7, true, 300, Some((200, newer.clone()))), none());
-    // Of several, the one under the highest fence: only that can have been settled.
+    // Of several accepted successors, only the one under the highest fence can have been chosen.
     expect_that!(proposed(&mut change, 7, ["b", "c"]), some(eq(&newer)));
     expect_that!(change.handle_accepted("a", 7, true), none());
     expect_that!(change.handle_accepted("a", 7, true), none());
     expect_that!(change.handle_accepted("c", 7, true), some(eq(&ChangeOutcome::Accepted(newer))));
-    // With nothing accepted before, its own.
+    // Without an accepted successor the coordinator proposes its own.
     let mut change = VoterSetChange::new(8, 400, from, ours.clone(), 0);
     change.handle_prepared("b", 8, true, 400, None);
     change.handle_prepared("c", 8, true, 400, None);
@@ -61,29 +61,29 @@
 }
 
 #[gtest]
-fn given_voters_lost_wiped_or_too_few_then_one_step_is_planned_and_nobody_is_dropped_for_nothing() {
+fn given_lost_wiped_or_too_few_voters_then_one_step_is_planned_and_no_member_is_removed_without_need() {
     let voters = set(4, &["a", "b", "c"]);
     let all_up = |addr: &str| if addr == "gone" { REPLACE_AFTER_US } else { 0 };
-    // A wiped disk comes back under its own address before any other newcomer.
+    // A member that lost its disk is replaced by its own address before any other candidate.
     let found =
-        plan_successor(&voters, &cores(&[("a", 0, true), ("b", 9, true), ("c", 0, true), ("d", 5, true)]), all_up);
+        plan_successor(&voters, &candidates(&[("a", 0, true), ("b", 9, true), ("c", 0, true), ("d", 5, true)]), all_up);
     let members = found.map(|next| next.members).unwrap_or_default();
     expect_that!(members.contains(&Member { addr: "b".to_owned(), disk: 9 }), eq(true));
     expect_that!(members.len(), eq(3));
-    // Away for long, and nobody to take its place.
+    // A member is unreachable and there is no replacement.
     let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
-    expect_that!(plan_successor(&voters, &cores(&[("a", 0, true), ("b", 0, true)]), away), none());
-    // One more core machine than voters makes no even set; two make a larger one.
-    let four = cores(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true)]);
+    expect_that!(plan_successor(&voters, &candidates(&[("a", 0, true), ("b", 0, true)]), away), none());
+    // One additional candidate would make an even-sized set; two are added.
+    let four = candidates(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true)]);
     expect_that!(plan_successor(&voters, &four, all_up), none());
-    let five = cores(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true), ("e", 6, true)]);
+    let five = candidates(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true), ("e", 6, true)]);
     expect_that!(
         plan_successor(&voters, &five, all_up).map(|next| (next.number, next.members.len())),
         some(eq((5, 5)))
     );
 }
 
-fn core(addr: &str, zone: &str) -> Candidate {
+fn candidate(addr: &str, zone: &str) -> Candidate {
     let member = Member { addr: addr.to_owned(), disk: 0 };
     Candidate { member, zone: zone.to_owned(), is_up: true, is_ready: true, is_leaving: false }
 }
@@ -93,33 +93,34 @@
 }
 
 #[gtest]
-fn given_newcomers_in_several_zones_then_the_one_whose_zone_has_fewest_voters_comes_in() {
+fn given_candidates_in_several_zones_then_the_one_in_the_zone_with_the_fewest_voters_is_added() {
     let voters = set(4, &["a", "b", "c"]);
     let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
-    let near = [core("a", "x"), core("b", "y"), core("d", "x"), core("e", "y"), core("f", "z")];
+    let near =
+        [candidate("a", "x"), candidate("b", "y"), candidate("d", "x"), candidate("e", "y"), candidate("f", "z")];
     let next = plan_successor(&voters, &near, away);
     expect_that!((has(&next, "f"), next.map_or(0, |next| next.members.len())), eq((true, 3)));
-    // Where there is no other zone a shared one is better than nobody.
+    // If no other zone is available, a shared zone is accepted.
     expect_that!(has(&plan_successor(&voters, &near[..4], away), "d"), eq(true));
-    // Also where two are added, one after the other.
+    // The same holds when two members are added.
     let all = [
-        core("a", "x"),
-        core("b", "y"),
-        core("c", "z"),
-        core("d", "x"),
-        core("e", "w"),
-        core("f", "w"),
-        core("g", "v"),
+        candidate("a", "x"),
+        candidate("b", "y"),
+        candidate("c", "z"),
+        candidate("d", "x"),
+        candidate("e", "w"),
+        candidate("f", "w"),
+        candidate("g", "v"),
     ];
     let next = plan_successor(&voters, &all, |_| 0);
     expect_that!((has(&next, "e"), has(&next, "g"), next.map_or(0, |next| next.members.len())), eq((true, true, 5)));
 }
 
 #[gtest]
-fn given_a_newcomer_that_is_not_ready_or_about_to_end_then_it_is_no_newcomer() {
+fn given_a_node_that_is_not_ready_or_is_shutting_down_then_it_is_not_added() {
     let voters = set(4, &["a", "b", "c"]);
     let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
-    let [a, b, d] = [core("a", ""), core("b", ""), core("d", "")];
+    let [a, b, d] = [candidate("a", ""), candidate("b", ""), candidate("d", "")];
     for late in [
         Candidate { is_ready: false, ..d.clone() },
         Candidate { is_leaving: true, ..d.clone() },
@@ -127,29 +128,36 @@
     ] {
         expect_that!(plan_successor(&voters, &[a.clone(), b.clone(), late], away), none());
     }
-    // Nor is a wiped disk before it has learnt: another that is ready goes before it.
+    // A replaced disk is not a candidate before it has caught up; a ready candidate takes precedence.
     let wiped = Candidate { member: Member { addr: "b".to_owned(), disk: 9 }, is_ready: false, ..b };
-    expect_that!(plan_successor(&voters, &[a.clone(), core("c", ""), wiped.clone()], |_| 0), none());
-    let next = plan_successor(&voters, &[a, core("c", ""), wiped, core("d", "")], |_| 0);
+    expect_that!(plan_successor(&voters, &[a.clone(), candidate("c", ""), wiped.clone()], |_| 0), none());
+    let next = plan_successor(&voters, &[a, candidate("c", ""), wiped, candidate("d", "")], |_| 0);
     expect_that!((has(&next, "b"), has(&next, "d")), eq((false, true)));
 }
 
 #[gtest]
-fn given_a_member_that_is_about_to_end_then_it_is_replaced_only_where_the_rest_could_not_bear_a_loss() {
-    let leaving = |addr: &str| Candidate { is_leaving: true, ..core(addr, "") };
-    let three = [core("a", ""), core("b", ""), leaving("c"), core("d", "")];
+fn given_a_member_that_is_shutting_down_then_it_is_replaced_only_if_the_others_could_not_tolerate_a_failure() {
+    let leaving = |addr: &str| Candidate { is_leaving: true, ..candidate(addr, "") };
+    let three = [candidate("a", ""), candidate("b", ""), leaving("c"), candidate("d", "")];
     let next = plan_successor(&set(4, &["a", "b", "c"]), &three, |_| 0);
     expect_that!((has(&next, "c"), has(&next, "d")), eq((false, true)));
-    let five = [core("a", ""), core("b", ""), leaving("c"), core("d", ""), core("e", ""), core("f", "")];
+    let five = [
+        candidate("a", ""),
+        candidate("b", ""),
+        leaving("c"),
+        candidate("d", ""),
+        candidate("e", ""),
+        candidate("f", ""),
+    ];
     expect_that!(plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &five, |_| 0), none());
-    // With another one down it is needed, but what is away for long goes first.
+    // If another member is down, the leaving one is still needed, but an unreachable member is replaced first.
     let down = [
-        Candidate { is_up: false, ..core("a", "") },
-        core("b", ""),
+        Candidate { is_up: false, ..candidate("a", "") },
+        candidate("b", ""),
         leaving("c"),
-        core("d", ""),
-        core("e", ""),
-        core("f", ""),
+        candidate("d", ""),
+        candidate("e", ""),
+        candidate("f", ""),
     ];
     let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, |_| 0);
     expect_that!((has(&next, "c"), has(&next, "f")), eq((false, true)));
@@ -159,7 +167,7 @@
 }
 
 #[gtest]
-fn given_words_under_another_number_or_of_a_stranger_then_they_count_for_nothing_and_end_nothing() {
+fn given_replies_to_other_requests_or_from_non_members_then_they_are_ignored() {
     let from = set(1, &["a", "b", "c"]);
     let mut change = VoterSetChange::new(7, 300, from, set(2, &["a", "b", "x"]), 0);
     for (voter, request) in [("b", 6), ("b", 300), ("x", 7)] {
@@ -173,7 +181,7 @@
 }
 
 #[gtest]
-fn given_two_lives_then_no_number_of_the_one_is_ever_one_of_the_other() {
+fn given_several_incarnations_then_their_request_ids_are_disjoint() {
     let numbers = |who: u64| {
         let mut quorum = wv_consensus::Proposer::new(who);
         (0..1_000).map(|_| quorum.next_request()).collect::<std::collections::BTreeSet<u64>>()
--- a/crates/wv-consensus/tests/change_model/mod.rs
+++ b/crates/wv-consensus/tests/change_model/mod.rs
@@ -1,8 +1,8 @@
-//! The change of voters as a model: the real seats, disks, plans and attempts (`VoterState`, `Store`, `plan`, `VoterSetChange`) with
-//! the net between them. What was asked may arrive at any time, any number of times, or never. Who may plan, what is
-//! carried and how a disk takes its vote up stand for `voters.rs`, `handover.rs` and `takeover.rs` of wv-control.
-mod act;
-mod promise;
+//! A model of voter set changes with the real voter states, stores, plans and changes. Messages may be delivered at any
+//! time, repeatedly, or never. Coordination, handover and catch-up stand in for `voters.rs`, `handover.rs` and
+//! `takeover.rs` of wv-control.
+mod effects;
+mod invariants;
 mod steps;
 
 use std::collections::BTreeSet;
@@ -13,45 +13,45 @@
 pub const KEY: &str = "k";
 pub const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// A guard that is taken out, to see that the model finds what it guards against.
+/// The guard to remove, to check that the model finds the fault it prevents.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Without {
     Nothing,
-    /// A successor is settled as soon as it is claimed: nobody is sealed, nothing is handed over.
+    /// A successor is accepted right after preparation, without sealing and handover.
     Handover,
-    /// Voters go on in their set though they were sealed for the next one.
+    /// Voters keep voting in a sealed set.
     Seal,
-    /// A planner passes over what was accepted before.
-    Accepted,
-    /// A voter accepts under a fence below one that it has seen.
+    /// A coordinator ignores successors accepted before.
+    AcceptedSuccessor,
+    /// A voter accepts under a fence lower than one it has seen.
     Fence,
-    /// A disk that was lost comes back under its number.
-    Disk,
-    /// Newcomers come in that have learnt nothing.
-    Ready,
+    /// A lost disk comes back under the same ID.
+    NewDiskId,
+    /// Candidates join without having caught up.
+    CaughtUp,
 }
 
-/// What may go wrong, and how often.
+/// The faults to inject and their numbers.
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub without: Without,
-    /// Machines of which the first three are the first set.
+    /// Number of nodes; the first three form the first set.
     pub nodes: usize,
     pub writes: u64,
     pub plans: u8,
-    pub falls: u8,
-    pub rises: u8,
-    pub wipes: u8,
-    /// Members that a planner takes for lost though they live, or that want to leave.
-    pub doubts: u8,
-    /// Answers get lost, not only what was asked.
-    pub is_lossy: bool,
-    /// A set counts from when it is settled, though nobody may be left that knows it.
+    pub failures: u8,
+    pub restarts: u8,
+    pub disk_losses: u8,
+    /// Live members that a coordinator considers lost or leaving.
+    pub false_suspicions: u8,
+    /// Replies can be lost as well as requests.
+    pub loses_replies: bool,
+    /// A set counts once it is accepted, even if no node that knows of it is left.
     pub is_strict: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Delivery {
     from: usize,
     to: usize,
     msg: Message,
@@ -59,59 +59,59 @@
 
 #[derive(Clone)]
 pub enum Step {
-    /// The writer's proposal arrives, is kept, and the writer hears of it.
+    /// The proposal is delivered and accepted, and the writer receives the reply.
     Write(usize),
-    /// The writer hears of a newer set.
+    /// The writer learns of a newer set.
     Switch(u64),
-    /// A node plans; it takes a living member for lost, or for one that leaves.
+    /// A node plans a change; it may consider a live member lost or leaving.
     Plan(usize, Option<usize>),
-    /// What a planner asks arrives and so does the answer, or that alone is lost.
-    Ask(Rc<(Ask, u64)>),
-    Mute(Rc<(Ask, u64)>),
-    Abandon(usize),
-    /// What the first knows of settled sets reaches the second.
-    Tell(usize, usize),
-    /// The first takes over, or learns beforehand, from the second.
-    Take(usize, usize),
-    Fall(usize),
-    Rise(usize),
-    Wipe(usize),
+    /// A message is delivered with its reply, or the reply is lost.
+    Deliver(Rc<(Delivery, u64)>),
+    LoseReply(Rc<(Delivery, u64)>),
+    Abort(usize),
+    /// The first node sends its newest set to the second.
+    Inform(usize, usize),
+    /// The first node catches up from the second.
+    CatchUp(usize, usize),
+    Fail(usize),
+    Restart(usize),
+    LoseDisk(usize),
 }
 
 impl std::fmt::Debug for Step {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = |at: &usize| NAMES[*at];
-        let word = |ask: &Ask| {
-            let what = match &ask.msg {
-                Message::PrepareSuccessor { .. } => "claims",
-                Message::AcceptSuccessor { .. } => "settles",
+        let reply = |delivery: &Delivery| {
+            let what = match &delivery.msg {
+                Message::PrepareSuccessor { .. } => "prepares",
+                Message::AcceptSuccessor { .. } => "proposes to",
                 Message::Handover(wv_internal_protocol::Handover::Seal { .. }) => "seals",
-                _ => "hands to",
+                _ => "hands over to",
             };
-            format!("{} {what} {}", name(&ask.from), name(&ask.to))
+            format!("{} {what} {}", name(&delivery.from), name(&delivery.to))
         };
         match self {
-            Step::Write(at) => write!(to, "{} is written", name(at)),
-            Step::Switch(set) => write!(to, "the writer goes to set {set}"),
+            Step::Write(at) => write!(to, "{} accepts a write", name(at)),
+            Step::Switch(set) => write!(to, "the writer switches to set {set}"),
             Step::Plan(at, None) => write!(to, "{} plans", name(at)),
             Step::Plan(at, Some(lost)) => write!(to, "{} plans without {}", name(at), name(lost)),
-            Step::Ask(ask) => write!(to, "{}", word(&ask.0)),
-            Step::Mute(ask) => write!(to, "{} unheard", word(&ask.0)),
-            Step::Abandon(at) => write!(to, "{} gives up", name(at)),
-            Step::Tell(from, at) => write!(to, "{} tells {}", name(from), name(at)),
-            Step::Take(at, from) => write!(to, "{} takes over from {}", name(at), name(from)),
-            Step::Fall(at) => write!(to, "{} falls", name(at)),
-            Step::Rise(at) => write!(to, "{} comes back", name(at)),
-            Step::Wipe(at) => write!(to, "{} comes back without its disk", name(at)),
+            Step::Deliver(delivery) => write!(to, "{}", reply(&delivery.0)),
+            Step::LoseReply(delivery) => write!(to, "{}, reply lost", reply(&delivery.0)),
+            Step::Abort(at) => write!(to, "{} aborts", name(at)),
+            Step::Inform(from, at) => write!(to, "{} informs {}", name(from), name(at)),
+            Step::CatchUp(at, from) => write!(to, "{} catches up from {}", name(at), name(from)),
+            Step::Fail(at) => write!(to, "{} fails", name(at)),
+            Step::Restart(at) => write!(to, "{} restarts", name(at)),
+            Step::LoseDisk(at) => write!(to, "{} restarts without its disk", name(at)),
         }
     }
 }
 
-/// What stands on a disk, with its hash.
+/// The contents of a disk with their hash.
 pub struct Disk {
     files: MemoryFiles,
-    seat: VoterState,
-    held: AcceptorState,
+    voter_state: VoterState,
+    register: AcceptorState,
     hash: u64,
 }
 
@@ -119,17 +119,17 @@
 pub struct Node {
     disk: Rc<Disk>,
     is_up: bool,
-    /// With the request that its answers are known by, and its hash.
+    /// The change, its request ID and its hash.
     change: Option<Rc<(VoterSetChange, u64, u64)>>,
-    /// The highest fence that was met.
-    met: u64,
-    /// Members of the set before that told all.
-    told: BTreeSet<usize>,
+    /// The highest fence observed.
+    highest_fence_seen: u64,
+    /// Members of the previous set whose registers were copied completely.
+    copied_from: BTreeSet<usize>,
     is_ready: bool,
 }
 
-/// Writes one number after the other, under rising ballots; a number goes on in the next set where the last one fell
-/// silent. The decision among writers is the model of the register's; here what is acknowledged has to be kept.
+/// Writes increasing numbers under increasing ballots and continues a pending one in the next set. Concurrent writers
+/// are covered by the register model; this model checks that acknowledged writes are kept.
 #[derive(Clone, Debug)]
 struct Writer {
     set: VoterSet,
@@ -142,96 +142,96 @@
 pub struct World {
     setup: Setup,
     nodes: Vec<Node>,
-    asks: Vec<Rc<(Ask, u64)>>,
+    deliveries: Vec<Rc<(Delivery, u64)>>,
     writer: Writer,
     plans: u8,
-    falls: u8,
-    rises: u8,
-    wipes: u8,
-    doubts: u8,
+    failures: u8,
+    restarts: u8,
+    disk_losses: u8,
+    false_suspicions: u8,
 }
 
 fn opened(files: &MemoryFiles) -> (Store, MemoryFiles) {
     let files = files.copy();
-    (Store::open(Box::new(files.clone())).expect("readable"), files)
+    (Store::open(Box::new(files.clone())).expect("store opens"), files)
 }
 
 fn seeds() -> Vec<String> {
     NAMES[..3].iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// A disk of a first start.
-fn fresh(at: usize, number: u64) -> Rc<Disk> {
+/// Returns the disk of an initial start.
+fn initial_disk(at: usize, number: u64) -> Rc<Disk> {
     let (mut store, files) = opened(&MemoryFiles::default());
-    let seat = VoterState::open(&mut store, NAMES[at], &seeds(), true, number).expect("kept");
-    closed(store, files, seat)
+    let voter_state = VoterState::open(&mut store, NAMES[at], &seeds(), true, number).expect("write succeeds");
+    closed(store, files, voter_state)
 }
 
-/// A disk that comes back empty, under this number.
-fn wiped(at: usize, number: u64) -> Rc<Disk> {
+/// Returns an empty disk with this ID.
+fn empty_disk(at: usize, number: u64) -> Rc<Disk> {
     let (mut store, files) = opened(&MemoryFiles::default());
-    store.reset(StoreState::default()).expect("kept");
-    let seat = VoterState::open(&mut store, NAMES[at], &[], false, number).expect("kept");
-    closed(store, files, seat)
+    store.reset(StoreState::default()).expect("write succeeds");
+    let voter_state = VoterState::open(&mut store, NAMES[at], &[], false, number).expect("write succeeds");
+    closed(store, files, voter_state)
 }
 
-fn closed(store: Store, files: MemoryFiles, seat: VoterState) -> Rc<Disk> {
-    let held = store.get(KEY).cloned().unwrap_or_default();
-    let hash = wv_model_checker::hash_of(&(&held, &seat));
-    Rc::new(Disk { files, seat, held, hash })
+fn closed(store: Store, files: MemoryFiles, voter_state: VoterState) -> Rc<Disk> {
+    let register = store.get(KEY).cloned().unwrap_or_default();
+    let hash = wv_model_checker::hash_of(&(&register, &voter_state));
+    Rc::new(Disk { files, voter_state, register, hash })
 }
 
 impl World {
     pub fn new(setup: Setup) -> World {
         let node = |at| Node {
-            disk: fresh(at, 10 + at as u64),
+            disk: initial_disk(at, 10 + at as u64),
             is_up: true,
             change: None,
-            met: 0,
-            told: BTreeSet::new(),
+            highest_fence_seen: 0,
+            copied_from: BTreeSet::new(),
             is_ready: false,
         };
         let mut nodes: Vec<Node> = (0..setup.nodes).map(node).collect();
-        let set = nodes[0].disk.seat.voters.clone();
-        // The others have heard of the first set.
+        let set = nodes[0].disk.voter_state.voters.clone();
+        // The other nodes know of the first set.
         for at in 3..setup.nodes {
             let (mut store, files) = opened(&nodes[at].disk.files);
-            let mut seat = nodes[at].disk.seat.clone();
-            seat.update_voters(&mut store, NAMES[at], &set, &VoterSet::default()).expect("kept");
-            nodes[at].disk = closed(store, files, seat);
+            let mut voter_state = nodes[at].disk.voter_state.clone();
+            voter_state.update_voters(&mut store, NAMES[at], &set, &VoterSet::default()).expect("write succeeds");
+            nodes[at].disk = closed(store, files, voter_state);
         }
         World {
             writer: Writer { set, number: 1, kept: BTreeSet::new(), acknowledged: 0 },
             nodes,
-            asks: Vec::new(),
+            deliveries: Vec::new(),
             plans: setup.plans,
-            falls: setup.falls,
-            rises: setup.rises,
-            wipes: setup.wipes,
-            doubts: setup.doubts,
+            failures: setup.failures,
+            restarts: setup.restarts,
+            disk_losses: setup.disk_losses,
+            false_suspicions: setup.false_suspicions,
             setup,
         }
     }
 
-    fn seat(&self, at: usize) -> &VoterState {
-        &self.nodes[at].disk.seat
+    fn voter_state(&self, at: usize) -> &VoterState {
+        &self.nodes[at].disk.voter_state
     }
 
-    /// Lets a node's disk do something.
+    /// Runs `act` on a node's disk.
     fn on_disk<T>(&mut self, at: usize, act: impl FnOnce(&mut VoterState, &mut Store) -> T) -> T {
         let (mut store, files) = opened(&self.nodes[at].disk.files);
-        // Read again from its files, as after a restart.
-        let mut seat = VoterState::open(&mut store, NAMES[at], &[], false, 99).expect("kept");
-        let word = act(&mut seat, &mut store);
-        self.nodes[at].disk = closed(store, files, seat);
-        word
+        // Reopens the files, as after a restart.
+        let mut voter_state = VoterState::open(&mut store, NAMES[at], &[], false, 99).expect("write succeeds");
+        let reply = act(&mut voter_state, &mut store);
+        self.nodes[at].disk = closed(store, files, voter_state);
+        reply
     }
 
-    /// The set in whose registers a node votes.
+    /// Returns the set on whose registers a node votes.
     fn voting_set(&self, at: usize) -> u64 {
         match self.setup.without {
-            Without::Seal => self.seat(at).successor_voting_set(NAMES[at]),
-            _ => self.seat(at).voting_set(NAMES[at]),
+            Without::Seal => self.voter_state(at).successor_voting_set(NAMES[at]),
+            _ => self.voter_state(at).voting_set(NAMES[at]),
         }
     }
 
@@ -239,9 +239,9 @@
         self.at(member).is_some_and(|at| self.nodes[at].is_up)
     }
 
-    /// The node that is this member, wherever it stands.
+    /// Returns the node with this address and disk.
     fn at(&self, member: &Member) -> Option<usize> {
-        (0..self.nodes.len()).find(|at| NAMES[*at] == member.addr && self.seat(*at).disk == member.disk)
+        (0..self.nodes.len()).find(|at| NAMES[*at] == member.addr && self.voter_state(*at).disk == member.disk)
     }
 
     fn ballot(&self) -> Ballot {
--- a/crates/wv-consensus/tests/common/mod.rs
+++ b/crates/wv-consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Proposers and voters in one room: the real proposer's side over real stores, call by call.
+//! A test cluster of real proposers and stores with explicit message delivery.
 use std::collections::VecDeque;
 use wv_consensus::{
     register_value, write_if_newer, Completion, MemoryFiles, OperationOutcome, Proposer, Store, StoreState,
@@ -10,20 +10,20 @@
 pub struct Call {
     pub from: usize,
     pub to: String,
-    pub asker: u64,
+    pub requester: u64,
     pub request: u64,
     pub key: String,
     pub step: RegisterRequest,
 }
 
-/// Proposers, voters and the calls between them that have not arrived.
-pub struct Room {
+/// Proposers, voters and undelivered requests.
+pub struct Cluster {
     pub now: u64,
-    pub quorums: Vec<Proposer>,
+    pub proposers: Vec<Proposer>,
     pub stores: Vec<Store>,
     pub calls: VecDeque<Call>,
     pub done: Vec<(usize, Completion)>,
-    /// Syncs of all voters, and messages both ways.
+    /// Syncs of all voters, and messages in both directions.
     pub syncs: usize,
     pub messages: usize,
 }
@@ -32,21 +32,21 @@
     VoterSet { number, members: VOTERS.iter().map(|addr| Member { addr: (*addr).to_owned(), disk: 0 }).collect() }
 }
 
-impl Room {
-    pub fn new(proposers: usize) -> Room {
-        let quorum = |who| {
-            let mut quorum = Proposer::new(who as u64 + 1);
-            quorum.set_voters(set(1));
-            quorum
+impl Cluster {
+    pub fn new(proposers: usize) -> Cluster {
+        let proposer = |who| {
+            let mut proposer = Proposer::new(who as u64 + 1);
+            proposer.set_voters(set(1));
+            proposer
         };
         let store = |_| {
-            let mut store = Store::open(Box::new(MemoryFiles::default())).expect("readable");
-            store.reset(StoreState::default()).expect("kept");
+            let mut store = Store::open(Box::new(MemoryFiles::default())).expect("store opens");
+            store.reset(StoreState::default()).expect("write succeeds");
             store
         };
-        Room {
+        Cluster {
             now: 1_000,
-            quorums: (0..proposers).map(quorum).collect(),
+            proposers: (0..proposers).map(proposer).collect(),
             stores: (0..VOTERS.len()).map(store).collect(),
             calls: VecDeque::new(),
             done: Vec::new(),
@@ -55,63 +55,65 @@
         }
     }
 
-    /// A caller at `from` wants `value` under `version`, or to read with none.
+    /// Starts a write of the given version and value, or a read.
     pub fn start(&mut self, from: usize, token: u64, wanted: Option<(u64, u8)>) {
-        let edit = wanted.map(|(version, value)| write_if_newer(register_value(version, vec![value])));
-        self.quorums[from].start(token, "k", edit, self.now);
+        let update = wanted.map(|(version, value)| write_if_newer(register_value(version, vec![value])));
+        self.proposers[from].start(token, "k", update, self.now);
         self.collect(from);
     }
 
     pub fn collect(&mut self, from: usize) {
-        let quorum = &mut self.quorums[from];
-        quorum.tick(self.now);
-        for (to, msg) in quorum.take_messages() {
-            if let Message::RegisterRequest { requester: asker, request, key, step, .. } = msg {
-                self.calls.push_back(Call { from, to, asker, request, key, step });
+        let proposer = &mut self.proposers[from];
+        proposer.tick(self.now);
+        for (to, msg) in proposer.take_messages() {
+            if let Message::RegisterRequest { requester, request, key, step, .. } = msg {
+                self.calls.push_back(Call { from, to, requester, request, key, step });
             }
         }
-        self.done.extend(quorum.take_completions().into_iter().map(|done| (from, done)));
+        self.done.extend(proposer.take_completions().into_iter().map(|done| (from, done)));
     }
 
-    /// What a voter's disk says to a step, as a control node's does.
-    pub fn vote(store: &mut Store, key: &str, step: &RegisterRequest) -> RegisterReply {
-        let refused = |store: &Store| RegisterReply::Rejected {
+    /// Handles a request like a control node's voter.
+    pub fn handle_request(store: &mut Store, key: &str, step: &RegisterRequest) -> RegisterReply {
+        let rejected = |store: &Store| RegisterReply::Rejected {
             promised: store.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted)),
         };
-        let holds = |store: &Store| {
+        let current = |store: &Store| {
             let held = store.get(key).cloned().unwrap_or_default();
             RegisterReply::Current { accepted: held.accepted, value: Some(held.value) }
         };
         match step {
-            RegisterRequest::Read { .. } => holds(store),
-            RegisterRequest::Prepare { ballot, .. } => match store.promise(key, *ballot).expect("kept") {
-                true => holds(store),
-                false => refused(store),
-            },
-            RegisterRequest::Accept { ballot, value: cell } => match store.accept(key, *ballot, cell).expect("kept") {
-                true => RegisterReply::Accepted,
-                false => refused(store),
+            RegisterRequest::Read { .. } => current(store),
+            RegisterRequest::Prepare { ballot, .. } => match store.promise(key, *ballot).expect("write succeeds") {
+                true => current(store),
+                false => rejected(store),
             },
+            RegisterRequest::Accept { ballot, value } => {
+                match store.accept(key, *ballot, value).expect("write succeeds") {
+                    true => RegisterReply::Accepted,
+                    false => rejected(store),
+                }
+            }
         }
     }
 
     pub fn deliver(&mut self, call: Call) {
         let at = VOTERS.iter().position(|voter| *voter == call.to).unwrap_or(0);
-        let vote = Room::vote(&mut self.stores[at], &call.key, &call.step);
+        let reply = Cluster::handle_request(&mut self.stores[at], &call.key, &call.step);
         self.syncs += usize::from(!matches!(call.step, RegisterRequest::Read { .. }));
         self.messages += 2;
-        self.quorums[call.from].on_reply(&call.to, (call.asker, call.request), &call.key, vote, self.now);
+        self.proposers[call.from].on_reply(&call.to, (call.requester, call.request), &call.key, reply, self.now);
         self.collect(call.from);
     }
 
-    /// Delivers all that is under way, each call and its answer taking a millisecond.
-    pub fn settle(&mut self, limit_us: u64) {
-        let end = self.now + limit_us;
+    /// Delivers all messages; a request and its reply take one millisecond.
+    pub fn run_for(&mut self, duration_us: u64) {
+        let end = self.now + duration_us;
         while self.now < end {
             self.now += 1_000;
             let calls = std::mem::take(&mut self.calls);
             calls.into_iter().for_each(|call| self.deliver(call));
-            (0..self.quorums.len()).for_each(|at| self.collect(at));
+            (0..self.proposers.len()).for_each(|at| self.collect(at));
         }
     }
 
@@ -123,17 +125,17 @@
         self.read_without(from, token, "")
     }
 
-    /// The same while nothing reaches one of the voters.
-    pub fn read_without(&mut self, from: usize, token: u64, lost: &str) -> RegisterValue {
+    /// Reads while one voter is unreachable.
+    pub fn read_without(&mut self, from: usize, token: u64, unreachable: &str) -> RegisterValue {
         self.start(from, token, None);
         for _ in 0..200 {
             self.now += 1_000;
             let calls = std::mem::take(&mut self.calls);
-            calls.into_iter().filter(|call| call.to != lost).for_each(|call| self.deliver(call));
+            calls.into_iter().filter(|call| call.to != unreachable).for_each(|call| self.deliver(call));
             self.collect(from);
         }
         match self.outcome(token) {
-            Some(OperationOutcome::Read(cell)) => cell.clone(),
+            Some(OperationOutcome::Read(value)) => value.clone(),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/wv-consensus/tests/disk/mod.rs
+++ b/crates/wv-consensus/tests/disk/mod.rs
@@ -1,35 +1,35 @@
-//! A folder in memory that dies after a number of calls, and all that a loss of power may then leave of it.
+//! An in-memory directory that fails after a number of operations, and the contents that a power loss may leave.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wv_consensus::Directory;
 
-/// One change of a file that was not synced yet.
+/// A change to a file that was not synced.
 #[derive(Clone, Debug)]
 enum Change {
-    Emptied,
+    Truncated,
     Written { at: usize, bytes: Vec<u8> },
 }
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    lasting: Vec<u8>,
-    /// What a process that goes on, or the next one without a loss of power, reads.
-    seen: Vec<u8>,
+    durable: Vec<u8>,
+    /// The contents visible before a power loss.
+    visible: Vec<u8>,
     changes: Vec<Change>,
-    is_named: bool,
+    has_durable_name: bool,
 }
 
-/// What stands in the folder: all contents by name.
-pub type Left = BTreeMap<String, Vec<u8>>;
+/// File contents by name.
+pub type Contents = BTreeMap<String, Vec<u8>>;
 
 #[derive(Clone, Default)]
 pub struct Disk {
     files: Rc<RefCell<BTreeMap<String, File>>>,
-    /// How many more calls are served; the last write of all is half done.
+    /// Number of operations remaining; the last write is done by half.
     pub calls: Rc<Cell<usize>>,
-    /// Calls that fail while the disk lives on, by how many are left when they come.
-    pub failing: BTreeSet<usize>,
+    /// Operations that fail temporarily, by the number of operations remaining when they are called.
+    pub failing_calls: BTreeSet<usize>,
 }
 
 impl Disk {
@@ -39,16 +39,20 @@
         disk
     }
 
-    /// A disk on which just this lasts.
-    pub fn holding(left: &Left, calls: usize) -> Disk {
+    /// Returns a disk with the given durable contents.
+    pub fn with_contents(remaining: &Contents, calls: usize) -> Disk {
         let disk = Disk::new(calls);
-        let file =
-            |bytes: &Vec<u8>| File { lasting: bytes.clone(), seen: bytes.clone(), changes: Vec::new(), is_named: true };
-        *disk.files.borrow_mut() = left.iter().map(|(name, bytes)| (name.clone(), file(bytes))).collect();
+        let file = |bytes: &Vec<u8>| File {
+            durable: bytes.clone(),
+            visible: bytes.clone(),
+            changes: Vec::new(),
+            has_durable_name: true,
+        };
+        *disk.files.borrow_mut() = remaining.iter().map(|(name, bytes)| (name.clone(), file(bytes))).collect();
         disk
     }
 
-    /// The process died and nothing else: the next one finds all as it was left.
+    /// Simulates a process restart without a power loss.
     pub fn restarted(&self, calls: usize) -> Disk {
         let disk = Disk::new(calls);
         *disk.files.borrow_mut() = self.files.borrow().clone();
@@ -56,32 +60,33 @@
     }
 
     fn call(&self) -> std::io::Result<()> {
-        let left = self.calls.get();
-        self.calls.set(left.checked_sub(1).ok_or(std::io::ErrorKind::BrokenPipe)?);
-        if self.failing.contains(&left) {
+        let remaining = self.calls.get();
+        self.calls.set(remaining.checked_sub(1).ok_or(std::io::ErrorKind::BrokenPipe)?);
+        if self.failing_calls.contains(&remaining) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
         Ok(())
     }
 
-    /// Everything that a loss of power may leave: of each file whose name does not last, also nothing; of each change
-    /// that was not synced, all, none, its first part, its last part, a single byte, or zeros.
-    pub fn lost_power(&self) -> BTreeSet<Left> {
-        let mut all = BTreeSet::from([Left::new()]);
+    /// Returns every result of a power loss: files whose entry is not durable may be missing, and each unsynced change
+    /// may be applied fully, not at all, by its first or last part, by a single byte, or as zeros.
+    pub fn power_loss_results(&self) -> BTreeSet<Contents> {
+        let mut all = BTreeSet::from([Contents::new()]);
         for (name, file) in self.files.borrow().iter() {
             let mut contents: BTreeSet<Option<Vec<u8>>> =
-                contents(file.lasting.clone(), &file.changes).into_iter().map(Some).collect();
-            if !file.is_named {
+                contents(file.durable.clone(), &file.changes).into_iter().map(Some).collect();
+            if !file.has_durable_name {
                 contents.insert(None);
             }
-            let with = |left: &Left, content: &Option<Vec<u8>>| {
-                let mut left = left.clone();
+            let with = |remaining: &Contents, content: &Option<Vec<u8>>| {
+                let mut remaining = remaining.clone();
                 content.iter().for_each(|content| {
-                    left.insert(name.clone(), content.clone());
+                    remaining.insert(name.clone(), content.clone());
                 });
-                left
+                remaining
             };
-            all = all.iter().flat_map(|left| contents.iter().map(move |content| with(left, content))).collect();
+            all =
+                all.iter().flat_map(|remaining| contents.iter().map(move |content| with(remaining, content))).collect();
         }
         all
     }
@@ -94,17 +99,17 @@
     content
 }
 
-fn contents(lasting: Vec<u8>, changes: &[Change]) -> BTreeSet<Vec<u8>> {
-    // Of many changes the older ones are there together or not at all: a store that syncs has few.
+fn contents(durable: Vec<u8>, changes: &[Change]) -> BTreeSet<Vec<u8>> {
+    // All but the last three changes are applied together or not at all, which limits the number of combinations.
     let (old, new) = changes.split_at(changes.len().saturating_sub(3));
-    let whole = |content: Vec<u8>, change: &Change| match change {
-        Change::Emptied => Vec::new(),
+    let apply_fully = |content: Vec<u8>, change: &Change| match change {
+        Change::Truncated => Vec::new(),
         Change::Written { at, bytes } => written(&content, *at, bytes),
     };
-    let mut all = BTreeSet::from([old.iter().fold(lasting.clone(), whole), lasting]);
+    let mut all = BTreeSet::from([old.iter().fold(durable.clone(), apply_fully), durable]);
     for change in new {
         let after = |content: &Vec<u8>| match change {
-            Change::Emptied => vec![content.clone(), Vec::new()],
+            Change::Truncated => vec![content.clone(), Vec::new()],
             Change::Written { at, bytes } => {
                 let half = bytes.len() / 2;
                 vec![
@@ -124,7 +129,7 @@
 
 impl Directory for Disk {
     fn read(&self, name: &str) -> std::io::Result<Option<Vec<u8>>> {
-        Ok(self.files.borrow().get(name).map(|file| file.seen.clone()))
+        Ok(self.files.borrow().get(name).map(|file| file.visible.clone()))
     }
 
     fn exists(&self, name: &str) -> bool {
@@ -135,8 +140,8 @@
         self.call()?;
         let mut files = self.files.borrow_mut();
         if let Some(file) = files.get_mut(name) {
-            file.changes.push(Change::Emptied);
-            file.seen.clear();
+            file.changes.push(Change::Truncated);
+            file.visible.clear();
         } else {
             files.insert(name.to_owned(), File::default());
         }
@@ -144,13 +149,13 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        let is_half = self.calls.get() == 0 || self.failing.contains(&self.calls.get());
+        let is_partial = self.calls.get() == 0 || self.failing_calls.contains(&self.calls.get());
         let mut files = self.files.borrow_mut();
         let file = files.get_mut(name).ok_or(std::io::ErrorKind::NotFound)?;
-        // Whoever dies in a write has written part of it.
-        let bytes = if is_half { &bytes[..bytes.len() / 2] } else { bytes };
-        file.changes.push(Change::Written { at: file.seen.len(), bytes: bytes.to_vec() });
-        file.seen.extend_from_slice(bytes);
+        // A write that fails is done by half.
+        let bytes = if is_partial { &bytes[..bytes.len() / 2] } else { bytes };
+        file.changes.push(Change::Written { at: file.visible.len(), bytes: bytes.to_vec() });
+        file.visible.extend_from_slice(bytes);
         self.call()
     }
 
@@ -158,14 +163,14 @@
         self.call()?;
         let mut files = self.files.borrow_mut();
         let file = files.get_mut(name).ok_or(std::io::ErrorKind::NotFound)?;
-        file.lasting = file.seen.clone();
+        file.durable = file.visible.clone();
         file.changes.clear();
         Ok(())
     }
 
     fn sync_directory(&self) -> std::io::Result<()> {
         self.call()?;
-        self.files.borrow_mut().values_mut().for_each(|file| file.is_named = true);
+        self.files.borrow_mut().values_mut().for_each(|file| file.has_durable_name = true);
         Ok(())
     }
 }
--- a/crates/wv-consensus/tests/model_register.rs
+++ b/crates/wv-consensus/tests/model_register.rs
@@ -1,100 +1,106 @@
-//! All interleavings of a few operations on one register: the real proposers over the real disks.
+//! Checks interleavings of operations on one register with the real proposers and stores.
 mod register_model;
 
 use googletest::prelude::*;
-use register_model::{Setup, Verdict, Wish, Without, World};
+use register_model::{Request, Setup, Verdict, Without, World};
 use wv_internal_protocol::RegisterValue;
 use wv_model_checker::{search, Bound};
 
-/// What `raise` tells of an order: no digests are kept, so an overtaken one may have been taken.
-fn verdict(cell: &RegisterValue, number: u64, content: u8) -> Verdict {
-    match cell.version.cmp(&number) {
+/// The verdict of `write_if_newer`: it keeps no digests, so a superseded write may have been applied.
+fn verdict(value: &RegisterValue, number: u64, content: u8) -> Verdict {
+    match value.version.cmp(&number) {
         std::cmp::Ordering::Less => Verdict::Unknown,
-        std::cmp::Ordering::Greater => Verdict::Overtaken,
-        std::cmp::Ordering::Equal if cell.bytes.first() == Some(&content) => Verdict::Taken,
-        std::cmp::Ordering::Equal => Verdict::Lost,
+        std::cmp::Ordering::Greater => Verdict::Superseded,
+        std::cmp::Ordering::Equal if value.bytes.first() == Some(&content) => Verdict::Applied,
+        std::cmp::Ordering::Equal => Verdict::Rejected,
     }
 }
 
-fn setup(wishes: &[&[Wish]]) -> Setup {
+fn setup(requests: &[&[Request]]) -> Setup {
     Setup {
         without: Without::Nothing,
-        edit: |number, content| wv_consensus::write_if_newer(wv_consensus::register_value(number, vec![content])),
+        update: |number, content| wv_consensus::write_if_newer(wv_consensus::register_value(number, vec![content])),
         verdict,
-        wishes: wishes.iter().map(|wishes| wishes.to_vec()).collect(),
-        rests: 0,
+        requests: requests.iter().map(|requests| requests.to_vec()).collect(),
+        backoffs: 0,
         crashes: 0,
         restarts: 0,
-        wipes: 0,
-        is_late: false,
+        disk_losses: 0,
+        has_late_replies: false,
     }
 }
 
-/// As many states as take some seconds in all; `WV_MODEL_DEPTH` takes the bound away.
+/// Limits the duration of the tests; `WV_MODEL_DEPTH` removes the limit.
 const STATES: usize = 5_000;
 
-fn holds(name: &str, setup: Setup) {
+fn expect_no_fault(name: &str, setup: Setup) {
     let seen = search(World::new(setup), Bound::of(99, STATES));
     println!("{}", seen.line(name));
     expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
 }
 
-/// What is broken without the guard, and the shortest way there.
-fn breaks(without: Without, setup: Setup, fault: &str, story: &[&str]) {
-    let wishes: Vec<&[Wish]> = setup.wishes.iter().map(Vec::as_slice).collect();
-    // With the guard nothing of the same kind is ever broken.
-    let guarded = Setup { without: Without::Nothing, wishes: setup.wishes.clone(), ..setup };
-    holds(&format!("guarded: {wishes:?}"), guarded);
+/// Expects the fault, found by the given shortest path, without the guard.
+fn expect_fault(without: Without, setup: Setup, fault: &str, expected_steps: &[&str]) {
+    let requests: Vec<&[Request]> = setup.requests.iter().map(Vec::as_slice).collect();
+    // With the guard there is no fault.
+    let guarded = Setup { without: Without::Nothing, requests: setup.requests.clone(), ..setup };
+    expect_no_fault(&format!("guarded: {requests:?}"), guarded);
     let seen = search(World::new(Setup { without, ..setup }), Bound { depth: 99, states: 100_000 });
     println!("{}", seen.line(&format!("without {without:?}")));
-    let Some(found) = seen.found else { panic!("{without:?} is not missed") };
+    let Some(found) = seen.found else { panic!("{without:?} is not detected") };
     let steps: Vec<String> = found.steps.iter().map(|step| format!("{step:?}")).collect();
     expect_that!(found.fault, eq(fault));
-    expect_that!(steps, eq(story));
+    expect_that!(steps, eq(expected_steps));
 }
 
-const W: fn(u64, u8) -> Wish = Wish::Write;
-const R: Wish = Wish::Read;
+const W: fn(u64, u8) -> Request = Request::Write;
+const R: Request = Request::Read;
 
 #[gtest]
-fn given_two_writers_of_one_number_then_it_has_one_value_whatever_is_lost_doubled_or_late() {
-    holds("two writers, a pause", Setup { rests: 1, ..setup(&[&[W(1, 1)], &[W(1, 2)]]) });
-    holds("two writers, late answers", Setup { is_late: true, ..setup(&[&[W(1, 1)], &[W(1, 2)]]) });
+fn given_two_writers_of_one_version_then_it_has_one_value_despite_lost_duplicate_or_late_messages() {
+    expect_no_fault("two writers, a backoff", Setup { backoffs: 1, ..setup(&[&[W(1, 1)], &[W(1, 2)]]) });
+    expect_no_fault("two writers, late replies", Setup { has_late_replies: true, ..setup(&[&[W(1, 1)], &[W(1, 2)]]) });
 }
 
 #[gtest]
-fn given_three_writers_of_one_number_then_it_has_one_value() {
-    holds("three writers", setup(&[&[W(1, 1)], &[W(1, 2)], &[W(1, 3)]]));
+fn given_three_writers_of_one_version_then_it_has_one_value() {
+    expect_no_fault("three writers", setup(&[&[W(1, 1)], &[W(1, 2)], &[W(1, 3)]]));
 }
 
 #[gtest]
-fn given_following_numbers_and_readers_then_what_was_shown_once_is_seen_by_all_that_ask_later() {
-    holds("following numbers at two, each read", setup(&[&[W(1, 1), R], &[W(2, 2), R]]));
-    holds("following numbers at one, read at another", setup(&[&[W(1, 1), W(2, 2)], &[R, R]]));
-    holds("a write, reads, late answers", Setup { is_late: true, ..setup(&[&[W(1, 1)], &[R, R]]) });
+fn given_successive_versions_and_readers_then_a_value_read_once_is_seen_by_all_later_reads() {
+    expect_no_fault("successive versions at two proposers, both read", setup(&[&[W(1, 1), R], &[W(2, 2), R]]));
+    expect_no_fault("successive versions at one proposer, read at another", setup(&[&[W(1, 1), W(2, 2)], &[R, R]]));
+    expect_no_fault("a write, reads, late replies", Setup { has_late_replies: true, ..setup(&[&[W(1, 1)], &[R, R]]) });
 }
 
 #[gtest]
-fn given_long_values_that_voters_do_not_send_again_then_the_same_holds() {
-    let edit: fn(u64, u8) -> wv_consensus::UpdateFn =
+fn given_cached_large_values_then_the_same_holds() {
+    let update: fn(u64, u8) -> wv_consensus::UpdateFn =
         |number, content| wv_consensus::write_if_newer(wv_consensus::register_value(number, vec![content; 1_024]));
-    holds("long values", Setup { edit, ..setup(&[&[W(1, 1), R], &[R, W(2, 2)]]) });
+    expect_no_fault("large values", Setup { update, ..setup(&[&[W(1, 1), R], &[R, W(2, 2)]]) });
 }
 
 #[gtest]
-fn given_a_proposer_that_starts_anew_then_its_former_life_neither_votes_nor_answers_for_it() {
-    holds("a new life asks again", Setup { crashes: 1, ..setup(&[&[W(1, 1), W(1, 1)], &[R, R]]) });
-    holds("a new life and a rival", Setup { crashes: 1, ..setup(&[&[W(1, 1), W(1, 1)], &[W(1, 2)]]) });
+fn given_a_proposer_that_restarts_then_replies_to_its_former_incarnation_do_not_count() {
+    expect_no_fault(
+        "a new incarnation repeats the write",
+        Setup { crashes: 1, ..setup(&[&[W(1, 1), W(1, 1)], &[R, R]]) },
+    );
+    expect_no_fault(
+        "a new incarnation and another writer",
+        Setup { crashes: 1, ..setup(&[&[W(1, 1), W(1, 1)], &[W(1, 2)]]) },
+    );
 }
 
 #[gtest]
-fn given_a_voter_that_restarts_or_loses_its_disk_then_the_others_hold_what_was_acknowledged() {
-    let wishes: &[&[Wish]] = &[&[W(1, 1), R], &[W(1, 2)]];
-    holds("a restart and a lost disk", Setup { restarts: 1, wipes: 1, ..setup(wishes) });
+fn given_a_voter_that_restarts_or_loses_its_disk_then_the_others_hold_the_acknowledged_writes() {
+    let requests: &[&[Request]] = &[&[W(1, 1), R], &[W(1, 2)]];
+    expect_no_fault("a restart and a lost disk", Setup { restarts: 1, disk_losses: 1, ..setup(requests) });
 }
 
 #[gtest]
-fn given_voters_that_take_what_is_below_their_promise_then_the_model_finds_it() {
+fn given_voters_that_accept_below_their_promise_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p1 writes 1:2",
@@ -105,11 +111,11 @@
         "p1 proposes to a",
         "p0 proposes to a",
     ];
-    breaks(Without::Promise, setup(&[&[W(1, 1)], &[W(1, 2)]]), "ballots of a fall", &steps);
+    expect_fault(Without::Promise, setup(&[&[W(1, 1)], &[W(1, 2)]]), "ballots of a decrease", &steps);
 }
 
 #[gtest]
-fn given_a_promise_that_a_restart_forgets_then_the_model_finds_it() {
+fn given_a_promise_lost_in_a_restart_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p1 writes 1:2",
@@ -124,44 +130,44 @@
         "p0 proposes to b",
     ];
     let setup = Setup { restarts: 1, ..setup(&[&[W(1, 1)], &[W(1, 2)]]) };
-    breaks(Without::KeptPromise, setup, "two values of number 1", &steps);
+    expect_fault(Without::DurablePromise, setup, "two values of version 1", &steps);
 }
 
 #[gtest]
-fn given_reads_that_show_what_no_majority_holds_then_the_model_finds_it() {
+fn given_reads_of_values_not_held_by_a_majority_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p1 reads",
         "p0 prepares a",
         "p0 prepares b",
         "p0 proposes to a",
-        "p1 looks at a",
-        "p1 looks at b",
+        "p1 reads from a",
+        "p1 reads from b",
         "p1 reads",
-        "p1 looks at b",
-        "p1 looks at c",
+        "p1 reads from b",
+        "p1 reads from c",
     ];
-    let fault = "0 is shown though 1 was shown before it was asked for";
-    breaks(Without::SettledRead, setup(&[&[W(1, 1)], &[R, R]]), fault, &steps);
+    let fault = "version 0 is returned to a read that started after version 1 was returned";
+    expect_fault(Without::ConfirmedRead, setup(&[&[W(1, 1)], &[R, R]]), fault, &steps);
 }
 
 #[gtest]
-fn given_two_lives_with_the_same_ballots_then_the_model_finds_it() {
+fn given_two_incarnations_with_the_same_ballots_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p0 prepares a",
         "p0 prepares b",
-        "p0 starts anew",
+        "p0 starts a new incarnation",
         "p0 writes 1:2",
         "p0 prepares a",
         "p0 prepares b",
     ];
     let setup = Setup { crashes: 1, ..setup(&[&[W(1, 1), W(1, 2)]]) };
-    breaks(Without::OwnBallots, setup, "one ballot with two cells", &steps);
+    expect_fault(Without::UniqueBallots, setup, "one ballot with two values", &steps);
 }
 
 #[gtest]
-fn given_proposers_that_pass_over_what_was_accepted_then_the_model_finds_it() {
+fn given_proposers_that_ignore_accepted_values_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p1 writes 1:2",
@@ -174,18 +180,18 @@
         "p1 proposes to a",
         "p1 proposes to b",
     ];
-    breaks(Without::Copies, setup(&[&[W(1, 1)], &[W(1, 2)]]), "two values of number 1", &steps);
+    expect_fault(Without::AcceptedValues, setup(&[&[W(1, 1)], &[W(1, 2)]]), "two values of version 1", &steps);
 }
 
 #[gtest]
-fn given_a_word_that_counts_for_two_voters_then_the_model_finds_it() {
-    let steps = ["p0 writes 1:1", "p0 prepares a", "p0 proposes to a", "p0 reads", "p0 looks at b"];
-    let fault = "0 is shown though 1 was shown before it was asked for";
-    breaks(Without::OneVote, setup(&[&[W(1, 1), R]]), fault, &steps);
+fn given_a_reply_that_counts_for_two_voters_then_the_model_finds_it() {
+    let steps = ["p0 writes 1:1", "p0 prepares a", "p0 proposes to a", "p0 reads", "p0 reads from b"];
+    let fault = "version 0 is returned to a read that started after version 1 was returned";
+    expect_fault(Without::SingleVote, setup(&[&[W(1, 1), R]]), fault, &steps);
 }
 
 #[gtest]
-fn given_a_lost_disk_that_votes_on_as_the_same_member_then_the_model_finds_it() {
+fn given_a_lost_disk_that_keeps_voting_as_the_same_member_then_the_model_finds_it() {
     let steps = [
         "p0 writes 1:1",
         "p0 prepares a",
@@ -193,10 +199,10 @@
         "p0 proposes to a",
         "p0 proposes to b",
         "p0 reads",
-        "p0 looks at c",
+        "p0 reads from c",
         "a loses its disk",
-        "p0 looks at a",
+        "p0 reads from a",
     ];
-    let fault = "0 is shown though 1 was shown before it was asked for";
-    breaks(Without::Member, Setup { wipes: 1, ..setup(&[&[W(1, 1), R]]) }, fault, &steps);
+    let fault = "version 0 is returned to a read that started after version 1 was returned";
+    expect_fault(Without::NewMember, Setup { disk_losses: 1, ..setup(&[&[W(1, 1), R]]) }, fault, &steps);
 }
--- a/crates/wv-consensus/tests/power.rs
+++ b/crates/wv-consensus/tests/power.rs
@@ -1,18 +1,18 @@
-//! Every moment at which a process may be killed or lose its power, and all that its disk may hold then: what was
-//! acknowledged stands, and at most the step that was under way.
+//! Process kills and power losses at every disk operation: acknowledged changes survive, and at most the change in
+//! progress is visible in addition.
 mod disk;
 
-use disk::{Disk, Left};
+use disk::{Contents, Disk};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use wv_consensus::{register_value, RegisterError, Store, StoreState, SyncedDirectory};
 use wv_internal_protocol::{AcceptorState, Ballot};
 
-/// Short enough that the log is folded every few steps.
-const LOG_MIN: usize = 400;
-const NEVER: usize = usize::MAX;
+/// Small enough to compact the log every few steps.
+const LOG_LIMIT_BYTES: usize = 400;
+const UNLIMITED: usize = usize::MAX;
 
-/// One call whose success is an acknowledgement.
+/// A call that acknowledges a change when it succeeds.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Reset,
@@ -42,7 +42,7 @@
     Ballot { round, proposer: 1 }
 }
 
-fn take(store: &mut Store, step: Step) -> Result<(), RegisterError> {
+fn apply_step(store: &mut Store, step: Step) -> Result<(), RegisterError> {
     let copy = |round| AcceptorState {
         accepted: ballot(round),
         value: register_value(round, vec![7; 40]),
@@ -62,75 +62,84 @@
 }
 
 fn opened(disk: &Disk) -> std::result::Result<Store, RegisterError> {
-    Store::open_with_log_limit(Box::new(SyncedDirectory::over(disk.clone())?), LOG_MIN)
+    Store::open_with_log_limit(Box::new(SyncedDirectory::over(disk.clone())?), LOG_LIMIT_BYTES)
 }
 
-/// What the steps make, before the first and after each.
+/// Returns the state before the first step and after each step.
 fn states() -> Vec<Option<StoreState>> {
-    let mut store = opened(&Disk::new(NEVER)).expect("readable");
+    let mut store = opened(&Disk::new(UNLIMITED)).expect("store opens");
     let mut states = vec![None];
     for step in STEPS {
-        take(&mut store, step).expect("kept");
+        apply_step(&mut store, step).expect("write succeeds");
         states.push(store.state().cloned());
     }
     states
 }
 
-/// Takes steps from the `from`th on until the disk dies; how many were taken in all.
-fn go_on(store: &mut Store, from: usize) -> usize {
-    from + STEPS[from..].iter().take_while(|step| take(store, **step).is_ok()).count()
+/// Takes steps starting at `from` until the disk fails and returns the index of the step that failed.
+fn take_steps(store: &mut Store, from: usize) -> usize {
+    from + STEPS[from..].iter().take_while(|step| apply_step(store, **step).is_ok()).count()
 }
 
 fn run(disk: &Disk, from: usize) -> usize {
-    opened(disk).map_or(from, |mut store| go_on(&mut store, from))
+    opened(disk).map_or(from, |mut store| take_steps(&mut store, from))
 }
 
-/// How far the disk is: the number of steps whose outcome it holds, exactly.
-fn found(left: &Left, states: &[Option<StoreState>]) -> Option<usize> {
-    let store = opened(&Disk::holding(left, NEVER)).ok()?;
+/// Returns the number of steps whose exact result is on the disk.
+fn steps_on_disk(remaining: &Contents, states: &[Option<StoreState>]) -> Option<usize> {
+    let store = opened(&Disk::with_contents(remaining, UNLIMITED)).ok()?;
     states.iter().position(|state| state.as_ref() == store.state())
 }
 
-fn calls_of_all() -> usize {
-    let disk = Disk::new(NEVER);
+fn total_calls() -> usize {
+    let disk = Disk::new(UNLIMITED);
     run(&disk, 0);
-    NEVER - disk.calls.get()
+    UNLIMITED - disk.calls.get()
 }
 
-/// Whether what is left is all that `taken` steps made, or one more.
-fn is_held(left: &Left, taken: usize, states: &[Option<StoreState>]) -> bool {
-    found(left, states).is_some_and(|found| found == taken || found == taken + 1)
+/// Whether the disk holds the result of `taken` steps or of one calls_after_restart.
+fn is_consistent(remaining: &Contents, taken: usize, states: &[Option<StoreState>]) -> bool {
+    steps_on_disk(remaining, states).is_some_and(|steps_on_disk| steps_on_disk == taken || steps_on_disk == taken + 1)
 }
 
 #[gtest]
-fn given_a_loss_of_power_at_any_call_then_the_store_holds_what_was_acknowledged_or_one_step_more() {
+fn given_a_power_loss_at_any_operation_then_the_store_holds_the_acknowledged_steps_or_one_more() {
     let (states, mut count) = (states(), 0);
-    for calls in 0..=calls_of_all() {
+    for calls in 0..=total_calls() {
         let disk = Disk::new(calls);
         let taken = run(&disk, 0);
-        for left in disk.lost_power() {
+        for remaining in disk.power_loss_results() {
             count += 1;
-            expect_that!(is_held(&left, taken, &states), eq(true), "after {calls} calls, {taken} steps: {left:?}");
+            expect_that!(
+                is_consistent(&remaining, taken, &states),
+                eq(true),
+                "after {calls} calls, {taken} steps: {remaining:?}"
+            );
         }
     }
     expect_that!(count, ge(150));
 }
 
 #[gtest]
-fn given_a_loss_of_power_while_the_one_before_is_mended_then_nothing_more_is_missing() {
-    let (states, mut seen) = (states(), BTreeSet::new());
-    for calls in 0..=calls_of_all() {
+fn given_a_power_loss_during_recovery_from_another_then_no_more_data_is_missing() {
+    let (states, mut visible) = (states(), BTreeSet::new());
+    for calls in 0..=total_calls() {
         let disk = Disk::new(calls);
         run(&disk, 0);
-        let new: Vec<Left> = disk.lost_power().into_iter().filter(|left| seen.insert(left.clone())).collect();
-        for left in new {
-            let Some(held) = found(&left, &states) else { continue };
-            // At every call of opening it again and of the next two steps.
+        let new: Vec<Contents> =
+            disk.power_loss_results().into_iter().filter(|remaining| visible.insert(remaining.clone())).collect();
+        for remaining in new {
+            let Some(held) = steps_on_disk(&remaining, &states) else { continue };
+            // Fails at every operation of reopening and of the following steps.
             for calls in 0..24 {
-                let disk = Disk::holding(&left, calls);
+                let disk = Disk::with_contents(&remaining, calls);
                 let taken = run(&disk, held);
-                for left in disk.lost_power() {
-                    expect_that!(is_held(&left, taken, &states), eq(true), "{calls} calls on from {held}: {left:?}");
+                for remaining in disk.power_loss_results() {
+                    expect_that!(
+                        is_consistent(&remaining, taken, &states),
+                        eq(true),
+                        "{calls} calls on from {held}: {remaining:?}"
+                    );
                 }
             }
         }
@@ -138,74 +147,89 @@
 }
 
 #[gtest]
-fn given_a_killed_process_and_then_a_loss_of_power_then_what_the_next_process_read_stands_too() {
+fn given_a_killed_process_and_then_a_power_loss_then_the_data_read_in_between_is_kept() {
     let states = states();
-    for calls in 0..=calls_of_all() {
+    for calls in 0..=total_calls() {
         let disk = Disk::new(calls);
         let before = run(&disk, 0);
-        for more in 0..24 {
-            let disk = disk.restarted(more);
+        for calls_after_restart in 0..24 {
+            let disk = disk.restarted(calls_after_restart);
             let Ok(mut store) = opened(&disk) else {
-                // Nothing was read yet: nobody rests on more than was acknowledged.
-                for left in disk.lost_power() {
-                    expect_that!(is_held(&left, before, &states), eq(true), "{calls} + {more} calls: {left:?}");
+                // Nothing was read, so nothing depends on changes that were not acknowledged.
+                for remaining in disk.power_loss_results() {
+                    expect_that!(
+                        is_consistent(&remaining, before, &states),
+                        eq(true),
+                        "{calls} + {calls_after_restart} calls: {remaining:?}"
+                    );
                 }
                 continue;
             };
-            let read = states.iter().position(|state| state.as_ref() == store.state()).unwrap_or(NEVER);
-            expect_that!(read == before || read == before + 1, eq(true), "{calls} + {more} calls: {read}, {before}");
-            let taken = go_on(&mut store, read);
-            for left in disk.lost_power() {
-                expect_that!(is_held(&left, taken, &states), eq(true), "{calls} + {more} calls, {read}: {left:?}");
+            let read = states.iter().position(|state| state.as_ref() == store.state()).unwrap_or(UNLIMITED);
+            expect_that!(
+                read == before || read == before + 1,
+                eq(true),
+                "{calls} + {calls_after_restart} calls: {read}, {before}"
+            );
+            let taken = take_steps(&mut store, read);
+            for remaining in disk.power_loss_results() {
+                expect_that!(
+                    is_consistent(&remaining, taken, &states),
+                    eq(true),
+                    "{calls} + {calls_after_restart} calls, {read}: {remaining:?}"
+                );
             }
         }
     }
 }
 
-/// What one more step makes of a state.
+/// Returns the state after one calls_after_restart step.
 fn after(state: &StoreState, step: Step) -> StoreState {
-    let mut store = opened(&Disk::new(NEVER)).expect("readable");
-    store.reset(state.clone()).expect("kept");
-    take(&mut store, step).expect("kept");
+    let mut store = opened(&Disk::new(UNLIMITED)).expect("store opens");
+    store.reset(state.clone()).expect("write succeeds");
+    apply_step(&mut store, step).expect("write succeeds");
     store.state().cloned().unwrap_or_default()
 }
 
-/// All steps on a disk whose calls fail at these places, counted from the start.
-fn run_failing(failing: &[usize]) {
+/// Takes all steps on a disk whose operations fail at the given indices, counted from the start.
+fn run_failing(failing_calls: &[usize]) {
     let mut disk = Disk::new(1 << 20);
-    disk.failing = failing.iter().map(|at| (1 << 20) - at).collect();
+    disk.failing_calls = failing_calls.iter().map(|at| (1 << 20) - at).collect();
     let Ok(mut store) = opened(&disk) else { return };
-    // What may stand beside the state that the store shows: steps that failed since the last acknowledgement.
-    let (mut sure, mut maybe, mut calm) = (StoreState::default(), Vec::new(), 0);
+    // Besides the visible state, the disk may hold the results of steps that failed since the last acknowledgement.
+    let (mut acknowledged, mut possible, mut steps_since_failure) = (StoreState::default(), Vec::new(), 0);
     for step in STEPS {
-        match take(&mut store, step) {
-            Ok(()) => (sure, maybe, calm) = (store.state().cloned().unwrap_or_default(), Vec::new(), calm + 1),
+        match apply_step(&mut store, step) {
+            Ok(()) => {
+                (acknowledged, possible, steps_since_failure) =
+                    (store.state().cloned().unwrap_or_default(), Vec::new(), steps_since_failure + 1)
+            }
             Err(_) => {
-                maybe.push(after(&sure, step));
-                calm = 0;
+                possible.push(after(&acknowledged, step));
+                steps_since_failure = 0;
             }
         }
-        expect_that!(store.state().is_none_or(|state| *state == sure), eq(true), "{step:?} shows what failed");
-        // Long after a failure nothing differs any more.
-        if calm > 3 {
+        expect_that!(store.state().is_none_or(|state| *state == acknowledged), eq(true), "{step:?} shows what failed");
+        // Skips states long after a failure, which do not differ.
+        if steps_since_failure > 3 {
             continue;
         }
-        for left in disk.lost_power() {
-            let store = opened(&Disk::holding(&left, NEVER)).expect("readable");
+        for remaining in disk.power_loss_results() {
+            let store = opened(&Disk::with_contents(&remaining, UNLIMITED)).expect("store opens");
             let held = store.state().cloned().unwrap_or_default();
-            let is_known = held == sure || maybe.contains(&held);
-            expect_that!(is_known, eq(true), "calls {failing:?} fail, after {step:?}: {left:?}");
+            let is_known = held == acknowledged || possible.contains(&held);
+            expect_that!(is_known, eq(true), "calls {failing_calls:?} fail, after {step:?}: {remaining:?}");
         }
     }
 }
 
 #[gtest]
-fn given_calls_that_fail_for_a_while_and_then_a_loss_of_power_then_nothing_acknowledged_is_missing() {
-    let all = calls_of_all();
+fn given_operations_that_fail_temporarily_and_then_a_power_loss_then_no_acknowledged_data_is_missing() {
+    let all = total_calls();
     for (first, span) in (3..all).flat_map(|first| [1, 2, 5].map(|span| (first, span))) {
         run_failing(&(first..first + span).collect::<Vec<_>>());
     }
-    // Any two apart, also three.
+    // Two separate failures, and three.
     for (first, next) in (3..all).flat_map(|first| (2..9).map(move |next| (first, next))) {
         run_failing(&[first, first + next]);
         run_failing(&[first, first + next, first + 2 * next]);
--- a/crates/wv-consensus/tests/register_model/setup.rs
+++ b/crates/wv-consensus/tests/register_model/setup.rs
@@ -1,47 +1,47 @@
-//! What callers want, what may go wrong, and which guard is left out.
+//! The operations, the injected faults and the removed guard.
 use super::Verdict;
 use wv_internal_protocol::RegisterValue;
 
-/// A guard that is taken out, to see that the model finds what it guards against.
+/// The guard to remove, to check that the model finds the fault it prevents.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Without {
     Nothing,
-    /// A voter takes what is below its promise.
+    /// A voter accepts ballots below its promise.
     Promise,
-    /// A disk forgets its promises at a restart.
-    KeptPromise,
-    /// A read shows the newest copy of a majority, wherever else it stands.
-    SettledRead,
-    /// Both lives of a proposer use the same ballots and requests.
-    OwnBallots,
-    /// A proposer passes over what was accepted before.
-    Copies,
-    /// A voter's word counts for its neighbour as well.
-    OneVote,
-    /// A voter forgets all when its disk is lost and votes on as the same member.
-    Member,
+    /// A voter loses its promises on restart.
+    DurablePromise,
+    /// A read returns the newest value of a majority without making sure that a majority expect_no_fault it.
+    ConfirmedRead,
+    /// All incarnations of a proposer use the same ballots and request IDs.
+    UniqueBallots,
+    /// A proposer ignores values accepted before.
+    AcceptedValues,
+    /// A voter's reply counts for another voter as well.
+    SingleVote,
+    /// A voter loses its disk and keeps voting as the same member.
+    NewMember,
 }
 
-/// What a caller wants at a proposer, one wish after the other.
+/// An operation requested by a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Wish {
+pub enum Request {
     Read,
-    /// This content under this number.
+    /// A version and its content.
     Write(u64, u8),
 }
 
-/// How wishes become edits, and what an answer says to an order; the bounds of what may go wrong.
+/// How operations become updates and outcomes become verdicts, and the numbers of faults.
 pub struct Setup {
     pub without: Without,
-    pub edit: fn(u64, u8) -> wv_consensus::UpdateFn,
+    pub update: fn(u64, u8) -> wv_consensus::UpdateFn,
     pub verdict: fn(&RegisterValue, u64, u8) -> Verdict,
-    pub wishes: Vec<Vec<Wish>>,
-    /// Pauses that end, ends of a proposer's life, restarts with the disk and disks that are lost, at most.
-    pub rests: u8,
+    pub requests: Vec<Vec<Request>>,
+    /// Numbers of expired backoffs, proposer crashes, voter restarts and lost disks.
+    pub backoffs: u8,
     pub crashes: u8,
     pub restarts: u8,
-    pub wipes: u8,
-    /// Answers arrive at any later time too; without that each is heard at once or never, which is the same to a
-    /// proposer, as answers to what it asks no more count for nothing.
-    pub is_late: bool,
+    pub disk_losses: u8,
+    /// Replies may also be delayed. Otherwise each one is delivered at once or lost, which is equivalent for a proposer
+    /// because replies to earlier requests are ignored.
+    pub has_late_replies: bool,
 }
--- a/crates/wv-consensus/tests/register_model/steps.rs
+++ b/crates/wv-consensus/tests/register_model/steps.rs
@@ -1,82 +1,86 @@
-//! What may happen to the register, and what it does to the disks.
+//! The possible steps of the model and their effects.
 use super::{
-    closed, kept, kept_quorum, opened, quorum, Answer, Call, Kept, Shown, Step, Wish, Without, World, KEY, NAMES,
-    ORDERS,
+    closed, hashed, hashed_proposer, new_proposer, opened, DebugText, DeliveredReply, Delivery, Hashed, Request, Step,
+    Without, World, KEY, NAMES, ORDERS,
 };
 use std::hash::Hasher;
 use std::rc::Rc;
 use wv_consensus::{Store, StoreState};
-use wv_internal_protocol::{Ballot, RegisterReply, RegisterRequest as Ask};
+use wv_internal_protocol::{Ballot, RegisterReply, RegisterRequest};
 
-/// What a voter's disk says to a step, as `Core::vote` does.
-fn vote(store: &mut Store, ask: &Ask, without: Without) -> RegisterReply {
-    let held = |store: &Store| store.get(KEY).cloned().unwrap_or_default();
-    let told = |store: &Store, known: Ballot| {
-        let held = held(store);
-        let is_known = held.accepted == known && known != Ballot::default();
-        RegisterReply::Current { accepted: held.accepted, value: (!is_known).then_some(held.value) }
+/// Handles a request like `Core::vote` in wv-control.
+fn handle_request(store: &mut Store, step: &RegisterRequest, without: Without) -> RegisterReply {
+    let current_state = |store: &Store| store.get(KEY).cloned().unwrap_or_default();
+    let current = |store: &Store, known: Ballot| {
+        let current_state = current_state(store);
+        let is_known = current_state.accepted == known && known != Ballot::default();
+        RegisterReply::Current { accepted: current_state.accepted, value: (!is_known).then_some(current_state.value) }
     };
-    let refused = |store: &Store| RegisterReply::Rejected { promised: held(store).promised.max(held(store).accepted) };
-    match ask {
-        Ask::Read { known } => told(store, *known),
-        Ask::Prepare { ballot, known } => match store.promise(KEY, *ballot).expect("kept") {
-            true => told(store, *known),
-            false => refused(store),
+    let rejected = |store: &Store| RegisterReply::Rejected {
+        promised: current_state(store).promised.max(current_state(store).accepted),
+    };
+    match step {
+        RegisterRequest::Read { known } => current(store, *known),
+        RegisterRequest::Prepare { ballot, known } => match store.promise(KEY, *ballot).expect("write succeeds") {
+            true => current(store, *known),
+            false => rejected(store),
         },
-        Ask::Accept { ballot, value: cell } => match store.accept(KEY, *ballot, cell).expect("kept") {
+        RegisterRequest::Accept { ballot, value } => match store.accept(KEY, *ballot, value).expect("write succeeds") {
             true => RegisterReply::Accepted,
             false if without == Without::Promise => {
                 let mut state = store.state().cloned().unwrap_or_default();
-                let held = state.registers.entry(KEY.to_owned()).or_default();
-                (held.accepted, held.value) = (*ballot, cell.clone());
-                store.reset(state).expect("kept");
+                let current_state = state.registers.entry(KEY.to_owned()).or_default();
+                (current_state.accepted, current_state.value) = (*ballot, value.clone());
+                store.reset(state).expect("write succeeds");
                 RegisterReply::Accepted
             }
-            false => refused(store),
+            false => rejected(store),
         },
     }
 }
 
 impl World {
-    fn called(&mut self, call: &Call) -> Result<RegisterReply, String> {
-        let disk = self.disks[call.to].clone().ok_or("a lost disk is asked")?;
+    fn deliver(&mut self, delivery: &Delivery) -> Result<RegisterReply, String> {
+        let disk = self.disks[delivery.to].clone().ok_or("request to a lost disk")?;
         let (mut store, files) = opened(&disk.value.files);
-        let rank = |store: &Store| store.get(KEY).map_or(Default::default(), |held| (held.promised, held.accepted));
+        let rank = |store: &Store| {
+            store.get(KEY).map_or(Default::default(), |current_state| (current_state.promised, current_state.accepted))
+        };
         let before = rank(&store);
-        let vote = vote(&mut store, &call.ask, self.setup.without);
+        let vote = handle_request(&mut store, &delivery.step, self.setup.without);
         let after = rank(&store);
-        self.disks[call.to] = Some(closed(&store, files));
+        self.disks[delivery.to] = Some(closed(&store, files));
         if after.0.max(after.1) < before.0.max(before.1) || after.1 < before.1 {
-            return Err(format!("ballots of {} fall", NAMES[call.to]));
+            return Err(format!("ballots of {} decrease", NAMES[delivery.to]));
         }
         Ok(vote)
     }
 
-    fn heard(&mut self, call: &Call, vote: RegisterReply) -> Result<(), String> {
-        let (without, request) = (self.setup.without, (call.asker, call.request));
-        let is_refused = matches!(vote, RegisterReply::Rejected { .. });
-        let vote = match (without, &call.ask, vote) {
-            (Without::Copies, Ask::Prepare { .. }, RegisterReply::Current { .. }) => {
+    fn handle_reply(&mut self, delivery: &Delivery, vote: RegisterReply) -> Result<(), String> {
+        let (without, request) = (self.setup.without, (delivery.requester, delivery.request));
+        let is_rejected = matches!(vote, RegisterReply::Rejected { .. });
+        let vote = match (without, &delivery.step, vote) {
+            (Without::AcceptedValues, RegisterRequest::Prepare { .. }, RegisterReply::Current { .. }) => {
                 RegisterReply::Current { accepted: Ballot::default(), value: Some(Default::default()) }
             }
-            (Without::SettledRead, Ask::Read { .. }, RegisterReply::Current { accepted, value: cell }) => {
-                let best = &mut self.proposers[call.from].best;
-                if best.0 != call.request || best.1 < accepted {
-                    *best = (call.request, accepted, cell);
+            (Without::ConfirmedRead, RegisterRequest::Read { .. }, RegisterReply::Current { accepted, value }) => {
+                let newest = &mut self.proposers[delivery.from].newest;
+                if newest.0 != delivery.request || newest.1 < accepted {
+                    *newest = (delivery.request, accepted, value);
                 }
-                RegisterReply::Current { accepted: best.1, value: best.2.clone() }
+                RegisterReply::Current { accepted: newest.1, value: newest.2.clone() }
             }
             (_, _, vote) => vote,
         };
-        self.turn(call.from, |quorum, now| {
-            quorum.on_reply(NAMES[call.to], request, KEY, vote.clone(), now);
-            if without == Without::OneVote {
-                quorum.on_reply(NAMES[(call.to + 1) % NAMES.len()], request, KEY, vote, now);
+        self.turn(delivery.from, |proposer_state, now| {
+            proposer_state.on_reply(NAMES[delivery.to], request, KEY, vote.clone(), now);
+            if without == Without::SingleVote {
+                proposer_state.on_reply(NAMES[(delivery.to + 1) % NAMES.len()], request, KEY, vote, now);
             }
         })?;
-        let proposer = &mut self.proposers[call.from];
-        if is_refused {
-            proposer.is_pausing = format!("{:?}", proposer.quorum.value).contains("BackingOff");
+        let proposer = &mut self.proposers[delivery.from];
+        if is_rejected {
+            proposer.is_backing_off = format!("{:?}", proposer.proposer_state.value).contains("BackingOff");
         }
         Ok(())
     }
@@ -88,90 +92,96 @@
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (at, proposer) in self.proposers.iter().enumerate() {
-            let wish = self.setup.wishes[at].get(proposer.begun).filter(|_| proposer.open.is_none());
-            steps.extend(wish.map(|wish| Step::Start(at, *wish)));
-            steps.extend((proposer.is_pausing && self.rests > 0).then_some(Step::Rest(at)));
-            steps.extend((proposer.open.is_some() && self.crashes > 0).then_some(Step::Crash(at)));
+            let operation = self.setup.requests[at].get(proposer.started).filter(|_| proposer.active.is_none());
+            steps.extend(operation.map(|operation| Step::Start(at, *operation)));
+            steps.extend((proposer.is_backing_off && self.backoffs > 0).then_some(Step::EndBackoff(at)));
+            steps.extend((proposer.active.is_some() && self.crashes > 0).then_some(Step::Crash(at)));
         }
-        for call in &self.calls {
-            // What neither changes the disk nor counts when it is heard changes nothing.
-            let Some(is_felt) = self.is_felt(&call.value) else { continue };
-            let (is_asked, is_late) = (self.is_asked(&call.value), self.setup.is_late);
-            steps.extend((is_asked && !is_late).then(|| Step::Call(call.clone())));
-            steps.extend((is_felt || (is_asked && is_late)).then(|| Step::Mute(call.clone())));
+        for delivery in &self.deliveries {
+            // Requests that neither change the disk nor produce a counted reply have no effect.
+            let Some(changes_disk) = self.changes_disk(&delivery.value) else { continue };
+            let (is_current, has_late_replies) = (self.is_current(&delivery.value), self.setup.has_late_replies);
+            steps.extend((is_current && !has_late_replies).then(|| Step::Delivery(delivery.clone())));
+            steps.extend((changes_disk || (is_current && has_late_replies)).then(|| Step::LoseReply(delivery.clone())));
         }
-        let is_asked = |answer: &&Rc<Kept<Answer>>| self.is_asked(&answer.value.call.value);
-        steps.extend(self.answers.iter().filter(is_asked).map(|answer| Step::Hear(answer.clone())));
+        let is_current = |reply: &&Rc<Hashed<DeliveredReply>>| self.is_current(&reply.value.delivery.value);
+        steps.extend(self.replies.iter().filter(is_current).map(|reply| Step::Reply(reply.clone())));
         for at in 0..NAMES.len() {
             steps.extend((self.restarts > 0).then_some(Step::Restart(at)));
-            steps.extend((self.wipes > 0).then_some(Step::Wipe(at)));
+            steps.extend((self.disk_losses > 0).then_some(Step::LoseDisk(at)));
         }
         steps
     }
 
     fn take(&mut self, step: &Step) -> Result<(), String> {
         match step {
-            Step::Start(at, wish) => {
+            Step::Start(at, operation) => {
                 let proposer = &mut self.proposers[*at];
-                (proposer.begun, proposer.open) = (proposer.begun + 1, Some((*wish, self.ledger.value.floor)));
-                let (token, make) = (proposer.begun as u64, self.setup.edit);
-                let edit = match wish {
-                    Wish::Read => None,
-                    Wish::Write(number, content) => Some(make(*number, *content)),
+                (proposer.started, proposer.active) =
+                    (proposer.started + 1, Some((*operation, self.history.value.floor)));
+                let (token, make) = (proposer.started as u64, self.setup.update);
+                let update = match operation {
+                    Request::Read => None,
+                    Request::Write(number, content) => Some(make(*number, *content)),
                 };
-                self.turn(*at, |quorum, now| quorum.start(token, KEY, edit, now))
+                self.turn(*at, |proposer_state, now| proposer_state.start(token, KEY, update, now))
             }
-            Step::Call(call) => {
-                let vote = self.called(&call.value)?;
-                self.heard(&call.value, vote)
+            Step::Delivery(delivery) => {
+                let vote = self.deliver(&delivery.value)?;
+                self.handle_reply(&delivery.value, vote)
             }
-            Step::Mute(call) => {
-                let vote = self.called(&call.value)?;
-                let told = &call.value;
-                let text = format!("{:?}", (told.from, NAMES[told.to], told.asker, told.request, &vote));
-                let answer = kept(Answer { call: call.clone(), vote }, &Shown(text));
-                if self.setup.is_late && self.answers.iter().all(|known| known.hashes != answer.hashes) {
-                    self.answers.push(answer);
+            Step::LoseReply(delivery) => {
+                let vote = self.deliver(&delivery.value)?;
+                let current = &delivery.value;
+                let text =
+                    format!("{:?}", (current.from, NAMES[current.to], current.requester, current.request, &vote));
+                let reply = hashed(DeliveredReply { delivery: delivery.clone(), vote }, &DebugText(text));
+                if self.setup.has_late_replies && self.replies.iter().all(|known| known.hashes != reply.hashes) {
+                    self.replies.push(reply);
                 }
                 Ok(())
             }
-            Step::Hear(answer) => self.heard(&answer.value.call.value, answer.value.vote.clone()),
-            Step::Rest(at) => {
-                self.rests -= 1;
+            Step::Reply(reply) => self.handle_reply(&reply.value.delivery.value, reply.value.vote.clone()),
+            Step::EndBackoff(at) => {
+                self.backoffs -= 1;
                 let proposer = &mut self.proposers[*at];
-                proposer.is_pausing = false;
-                proposer.now = proposer.quorum.value.next_due_us().unwrap_or(proposer.now);
+                proposer.is_backing_off = false;
+                proposer.now = proposer.proposer_state.value.next_due_us().unwrap_or(proposer.now);
                 self.turn(*at, |_, _| {})
             }
             Step::Crash(at) => {
                 self.crashes -= 1;
                 let without = self.setup.without;
                 let proposer = &mut self.proposers[*at];
-                (proposer.lives, proposer.open, proposer.is_pausing) = (proposer.lives + 1, None, false);
-                proposer.quorum = kept_quorum(quorum(*at, proposer.lives, without));
+                (proposer.incarnation, proposer.active, proposer.is_backing_off) =
+                    (proposer.incarnation + 1, None, false);
+                proposer.proposer_state = hashed_proposer(new_proposer(*at, proposer.incarnation, without));
                 Ok(())
             }
             Step::Restart(at) => {
                 self.restarts -= 1;
                 let Some(disk) = self.disks[*at].clone() else { return Ok(()) };
                 let (mut store, files) = opened(&disk.value.files);
-                if self.setup.without == Without::KeptPromise {
+                if self.setup.without == Without::DurablePromise {
                     let mut state = store.state().cloned().unwrap_or_default();
-                    state.registers.values_mut().for_each(|held| held.promised = held.accepted);
-                    store.reset(state).expect("kept");
+                    state
+                        .registers
+                        .values_mut()
+                        .for_each(|current_state| current_state.promised = current_state.accepted);
+                    store.reset(state).expect("write succeeds");
                 }
                 self.disks[*at] = Some(closed(&store, files));
                 Ok(())
             }
-            Step::Wipe(at) => {
-                self.wipes -= 1;
+            Step::LoseDisk(at) => {
+                self.disk_losses -= 1;
                 let fresh = || {
                     let (mut store, files) = opened(&Default::default());
-                    store.reset(StoreState::default()).expect("kept");
+                    store.reset(StoreState::default()).expect("write succeeds");
                     closed(&store, files)
                 };
-                // What comes back without its disk is another member, and votes in no set that it was no member of.
-                self.disks[*at] = (self.setup.without == Without::Member).then(fresh);
+                // A node without its disk comes back as a different member that votes in no set.
+                self.disks[*at] = (self.setup.without == Without::NewMember).then(fresh);
                 Ok(())
             }
         }
@@ -179,21 +189,22 @@
 
     fn digest(&self, hasher: &mut dyn std::hash::Hasher) {
         for proposer in &self.proposers {
-            let rest = (proposer.lives, proposer.begun, &proposer.open, proposer.is_pausing, &proposer.best);
+            let rest =
+                (proposer.incarnation, proposer.started, &proposer.active, proposer.is_backing_off, &proposer.newest);
             wv_model_checker::hash_debug(&rest, hasher);
         }
-        hasher.write(&[self.rests, self.crashes, self.restarts, self.wipes]);
-        hasher.write_u64(self.ledger.hashes[0]);
+        hasher.write(&[self.backoffs, self.crashes, self.restarts, self.disk_losses]);
+        hasher.write_u64(self.history.hashes[0]);
         let in_order = |at: usize| {
             let mut hasher = std::hash::DefaultHasher::new();
-            self.proposers.iter().for_each(|proposer| hasher.write_u64(proposer.quorum.hashes[at]));
+            self.proposers.iter().for_each(|proposer| hasher.write_u64(proposer.proposer_state.hashes[at]));
             let mut disks = [0; 3];
-            let hash = |disk: &Option<Rc<Kept<_>>>| disk.as_ref().map_or(0, |disk| disk.hashes[0]);
+            let hash = |disk: &Option<Rc<Hashed<_>>>| disk.as_ref().map_or(0, |disk| disk.hashes[0]);
             self.disks.iter().enumerate().for_each(|(voter, disk)| disks[ORDERS[at][voter]] = hash(disk));
             disks.iter().for_each(|disk| hasher.write_u64(*disk));
-            // Sets: in which order things were sent matters to nobody.
-            hasher.write_u64(self.calls.iter().fold(0, |sum, call| sum ^ call.hashes[at]));
-            hasher.write_u64(self.answers.iter().fold(0, |sum, answer| sum ^ answer.hashes[at]));
+            // Unordered: the order in which messages were sent is irrelevant.
+            hasher.write_u64(self.deliveries.iter().fold(0, |sum, delivery| sum ^ delivery.hashes[at]));
+            hasher.write_u64(self.replies.iter().fold(0, |sum, reply| sum ^ reply.hashes[at]));
             hasher.finish()
         };
         hasher.write_u64((0..ORDERS.len()).map(in_order).min().unwrap_or(0));
--- a/crates/wv-consensus/tests/store.rs
+++ b/crates/wv-consensus/tests/store.rs
@@ -1,19 +1,19 @@
-//! Stories of one disk: what it was told to keep stands, whatever happens to its files.
+//! Tests of the store under disk faults.
 use googletest::prelude::*;
 use wv_consensus::{register_value, DurableFiles, MemoryFiles, RegisterError, Store, StoreState, ThreadedFiles};
 use wv_internal_protocol::Ballot;
 
 fn opened(files: &MemoryFiles) -> Store {
-    Store::open(Box::new(files.clone())).expect("readable")
+    Store::open(Box::new(files.clone())).expect("store opens")
 }
 
 fn started(files: &MemoryFiles) -> Store {
     let mut store = opened(files);
-    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("kept");
+    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("write succeeds");
     store
 }
 
-/// Keeps `value` under a ballot of this round.
+/// Accepts `value` under a ballot of this round.
 fn put(store: &mut Store, key: &str, round: u64, value: Vec<u8>) -> Result<bool, RegisterError> {
     store.accept(key, Ballot { round, proposer: 1 }, &register_value(round, value))
 }
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn given_a_disk_that_refuses_for_a_while_then_what_it_took_before_and_after_stands_and_nothing_else_shows() {
+fn given_a_disk_that_rejects_writes_temporarily_then_only_the_accepted_writes_are_visible() {
     let files = MemoryFiles::default();
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, vec![1]), ok(eq(&true)));
@@ -37,13 +37,13 @@
 }
 
 #[gtest]
-fn given_a_slot_that_was_torn_as_it_was_written_then_the_other_and_the_log_hold_everything() {
+fn given_a_torn_slot_then_the_other_slot_and_the_log_hold_everything() {
     let files = MemoryFiles::default();
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, vec![1]), ok(eq(&true)));
     let before = files.files.borrow().clone();
-    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("kept");
-    // Power went as the new slot was half on the disk, and before the log was emptied.
+    store.reset(StoreState { addr: "me".to_owned(), ..StoreState::default() }).expect("write succeeds");
+    // Simulates a power loss with the new slot half written and the log not yet truncated.
     let newer: Vec<String> = files
         .files
         .borrow()
@@ -61,8 +61,8 @@
 }
 
 #[gtest]
-fn given_a_slot_that_failed_and_yet_came_to_stand_then_what_was_kept_after_it_is_not_hidden() {
-    // Values large enough that the first and the third of them begin a new slot.
+fn given_a_slot_write_that_failed_but_took_effect_then_later_writes_are_not_hidden() {
+    // Values large enough that the first and the third start a new slot.
     let (files, big) = (MemoryFiles::default(), |byte: u8| vec![byte; 700 << 10]);
     let mut store = started(&files);
     expect_that!(put(&mut store, "a", 1, big(1)), ok(eq(&true)));
@@ -76,9 +76,9 @@
     expect_that!((value(&store, "b"), value(&store, "c")), eq(&(Some(vec![9]), Some(vec![8]))));
 }
 
-struct Hangs(std::sync::mpsc::Receiver<()>);
+struct HangingFiles(std::sync::mpsc::Receiver<()>);
 
-impl DurableFiles for Hangs {
+impl DurableFiles for HangingFiles {
     fn read(&self, _: &str) -> std::io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
@@ -93,17 +93,17 @@
 }
 
 #[gtest]
-fn given_a_disk_that_hangs_then_writes_fail_at_once_and_nothing_more_is_given_to_it() {
-    let (let_go, hold) = std::sync::mpsc::channel();
-    let (reader, writer) = (Box::new(MemoryFiles::default()), Box::new(Hangs(hold)));
+fn given_a_disk_that_hangs_then_writes_fail_at_once_and_are_not_queued() {
+    let (release, hold) = std::sync::mpsc::channel();
+    let (reader, writer) = (Box::new(MemoryFiles::default()), Box::new(HangingFiles(hold)));
     let mut files = ThreadedFiles::start(reader, writer, std::time::Duration::ZERO).expect("a thread");
     expect_that!(files.write("log", b"1").map_err(|error| error.kind()), err(eq(std::io::ErrorKind::TimedOut)));
     expect_that!(files.append("log", b"2").map_err(|error| error.kind()), err(eq(std::io::ErrorKind::TimedOut)));
-    // The disk's thread ends with what it was given: one write, not two.
-    let_go.send(()).expect("it waits");
+    // The disk thread receives one write, not two.
+    release.send(()).expect("it waits");
     drop(files);
-    while let_go.send(()).is_ok() {
+    while release.send(()).is_ok() {
         std::thread::yield_now();
     }
-    expect_that!(let_go.send(()).is_err(), eq(true));
+    expect_that!(release.send(()).is_err(), eq(true));
 }
