--- a/crates/wv-consensus/src/attempt.rs
+++ b/crates/wv-consensus/src/attempt.rs
@@ -25,7 +25,7 @@
     pub token: u64,
     pub update: Option<SharedUpdateFn>,
     pub deadline: u64,
-    /// The value that the update was applied to, and whether the update changed it.
+    /// The value that the update was applied to, and whether the update wrote a value.
     pub previous: RegisterValue,
     pub is_applied: bool,
 }
--- a/crates/wv-consensus/src/lib.rs
+++ b/crates/wv-consensus/src/lib.rs
@@ -46,7 +46,7 @@
     wv_internal_protocol::RegisterValue { version, tie_breaker, bytes }
 }
 
-/// Returns an idempotent update that writes `value` unless the register already has the same or a higher version.
+/// Returns an update that writes `value` over lower versions. If the register already holds it, it counts as written.
 pub fn write_if_newer(value: wv_internal_protocol::RegisterValue) -> UpdateFn {
     Box::new(move |current| (current.version < value.version || *current == value).then(|| value.clone()))
 }
--- a/crates/wv-consensus/src/proposer.rs
+++ b/crates/wv-consensus/src/proposer.rs
@@ -13,7 +13,7 @@
 /// Upper bound of the random backoff after a conflict, doubled with each further conflict up to the maximum.
 const BACKOFF_US: u64 = 8_000;
 const MAX_BACKOFF_US: u64 = 128_000;
-/// Larger values are cached, so that voters do not have to send them again.
+/// Values of at least this size are cached, so that voters do not have to send them again.
 const MIN_CACHED_BYTES: usize = 1 << 10;
 
 /// Returns the first request ID of a process incarnation, distant from those of other incarnations.
--- a/crates/wv-consensus/src/store.rs
+++ b/crates/wv-consensus/src/store.rs
@@ -7,7 +7,7 @@
 /// All files of a store.
 pub(crate) const FILE_NAMES: [&str; 3] = [SLOT_FILES[0], SLOT_FILES[1], LOG_FILE];
 /// The log is compacted into the next slot once it exceeds both this size and the size of the state. This bounds the
-/// write amplification of a change, and the disk usage to about three times the state.
+/// bytes written per change, and the disk usage to about three times the size of the state.
 const DEFAULT_LOG_LIMIT_BYTES: usize = 256 << 10;
 /// Approximate size of a register beyond its key and value.
 const REGISTER_OVERHEAD_BYTES: usize = 96;
--- a/crates/wv-consensus/tests/ballots.rs
+++ b/crates/wv-consensus/tests/ballots.rs
@@ -3,8 +3,8 @@
 use wv_consensus::{register_value, MemoryFiles, Store, StoreState, VoterState};
 use wv_internal_protocol::{AcceptorState, Ballot};
 
-fn ballot(round: u64, who: u64) -> Ballot {
-    Ballot { round, proposer: who }
+fn ballot(round: u64, proposer: u64) -> Ballot {
+    Ballot { round, proposer }
 }
 
 fn opened(files: &MemoryFiles) -> Store {
@@ -32,7 +32,7 @@
     expect_that!(store.promise("k", ballot(5, 1)), ok(eq(&true)));
     let mut store = opened(&files);
     expect_that!(store.promise("k", ballot(4, 9)), ok(eq(&false)));
-    expect_that!(store.promise("k", ballot(5, 1)), ok(eq(&true)), "the same proposal said again");
+    expect_that!(store.promise("k", ballot(5, 1)), ok(eq(&true)), "a repeated prepare request");
     expect_that!(store.accept("k", ballot(4, 9), &register_value(1, vec![1])), ok(eq(&false)));
     expect_that!(store.accept("k", ballot(5, 0), &register_value(1, vec![1])), ok(eq(&false)));
     expect_that!(store.accept("k", ballot(5, 1), &register_value(1, vec![2])), ok(eq(&true)));
@@ -99,24 +99,24 @@
     // Opening upgrades the files; the old log entries, if they were still there, have no effect.
     let log = legacy_disk().files.borrow()["log"].clone();
     expect_that!(store.accept("conf", ballot(1, 1), &register_value(10, vec![1])), ok(eq(&true)));
-    let mut kept = files.files.borrow()["log"].clone();
-    kept.splice(0..0, log);
-    files.files.borrow_mut().insert("log".to_owned(), kept);
+    let mut combined = files.files.borrow()["log"].clone();
+    combined.splice(0..0, log);
+    files.files.borrow_mut().insert("log".to_owned(), combined);
     expect_that!(current(&opened(&files), "conf"), some(eq((ballot(1, 1), 10))));
 }
 
 #[gtest]
 fn given_a_power_loss_while_an_older_format_is_upgraded_then_no_data_is_lost() {
-    let whole = {
+    let complete_slot = {
         let files = legacy_disk();
         opened(&files);
         let slot = files.files.borrow()["slot-b"].clone();
         slot
     };
     // Tries every prefix of the new slot; the log must not be truncated before the slot is complete.
-    for len in 0..=whole.len() {
+    for len in 0..=complete_slot.len() {
         let files = legacy_disk();
-        files.files.borrow_mut().insert("slot-b".to_owned(), whole[..len].to_vec());
+        files.files.borrow_mut().insert("slot-b".to_owned(), complete_slot[..len].to_vec());
         let store = opened(&files);
         expect_that!(store.get("conf").map(|current| current.value.version), some(eq(9)), "{len} bytes");
         expect_that!(store.get("own/s").map(|current| current.value.version), some(eq(3)), "{len} bytes");
--- a/crates/wv-consensus/tests/change_model/effects.rs
+++ b/crates/wv-consensus/tests/change_model/effects.rs
@@ -25,21 +25,22 @@
     /// the set.
     pub(super) fn plan(&mut self, at: usize, lost: Option<usize>) -> bool {
         let voters = self.voter_state(at).voters.clone();
-        let is_open = self.setup.without == Without::CaughtUp;
+        let ignores_catch_up = self.setup.without == Without::CaughtUp;
         let candidate = |(other, node): (usize, &Node)| Candidate {
             member: Member { addr: NAMES[other].to_owned(), disk: node.disk.voter_state.disk },
             zone: String::new(),
             is_up: node.is_up,
-            is_ready: node.is_ready || is_open,
+            is_ready: node.is_ready || ignores_catch_up,
             is_leaving: lost == Some(other),
         };
         let candidates: Vec<Candidate> = self.nodes.iter().enumerate().map(candidate).collect();
-        let is_away = |addr: &str| (0..self.nodes.len()).any(|at| NAMES[at] == addr && !self.nodes[at].is_up);
-        let away_us = |addr: &str| if is_away(addr) { REPLACE_AFTER_US } else { 0 };
+        let is_unreachable = |addr: &str| (0..self.nodes.len()).any(|at| NAMES[at] == addr && !self.nodes[at].is_up);
+        let unreachable_us = |addr: &str| if is_unreachable(addr) { REPLACE_AFTER_US } else { 0 };
         let is_sealed = |at: usize| self.nodes[at].is_up && self.voter_state(at).sealed_set == voters.number;
         let was_sealed = (0..self.nodes.len()).any(is_sealed);
         let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
-        let Some(next) = wv_consensus::plan_successor(&voters, &candidates, away_us).or_else(|| was_sealed.then(same))
+        let Some(next) =
+            wv_consensus::plan_successor(&voters, &candidates, unreachable_us).or_else(|| was_sealed.then(same))
         else {
             return false;
         };
@@ -53,19 +54,19 @@
         let without = self.setup.without;
         let (at, me) = (delivery.to, NAMES[delivery.to]);
         let change = self.nodes[delivery.from].change.clone().filter(|_| self.nodes[delivery.from].is_up);
-        let mut handle_reply = change.as_ref().map(|change| change.0.clone());
+        let mut updated = change.as_ref().map(|change| change.0.clone());
         let active_request = change.as_ref().map_or(0, |change| change.1);
         let end = match delivery.msg.clone() {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
                 let reply = self
                     .on_disk(at, |voter_state, store| voter_state.prepare_successor(store, me, set, fence))
                     .and_then(Result::ok);
-                let hear = |change: &mut VoterSetChange| {
-                    let claimed = reply?;
-                    let next = claimed.successor.filter(|_| without != Without::AcceptedSuccessor);
-                    change.handle_prepared(me, request, claimed.is_ok, claimed.fence, next)
+                let apply = |change: &mut VoterSetChange| {
+                    let prepared = reply?;
+                    let next = prepared.successor.filter(|_| without != Without::AcceptedSuccessor);
+                    change.handle_prepared(me, request, prepared.is_ok, prepared.fence, next)
                 };
-                handle_reply.as_mut().filter(|_| reply_arrives).and_then(hear)
+                updated.as_mut().filter(|_| reply_arrives).and_then(apply)
             }
             Message::Handover(Handover::Seal { request, set, fence, .. }) => {
                 let reply = self
@@ -76,7 +77,7 @@
                 if is_ok && self.voter_state(delivery.from).voters.number == set {
                     self.copy_register(delivery.from, at);
                 }
-                handle_reply.as_mut().and_then(|change| change.handle_sealed(me, request, is_ok))
+                updated.as_mut().and_then(|change| change.handle_sealed(me, request, is_ok))
             }
             Message::Handover(Handover::Fetch { request, set, next, .. }) => {
                 let is_addressed = self.voter_state(at).is_successor_member(me, set, &next);
@@ -87,7 +88,7 @@
                 self.copy_register(at, delivery.from);
                 let is_complete =
                     self.on_disk(at, |voter_state, store| voter_state.mark_complete(store, set)).unwrap_or(false);
-                handle_reply
+                updated
                     .iter_mut()
                     .filter(|_| reply_arrives && is_complete)
                     .for_each(|change| change.handle_fetched(me, request));
@@ -99,12 +100,12 @@
                     voter_state.accept_successor(store, me, (set, fence), &next)
                 });
                 let is_ok = reply.and_then(Result::ok);
-                let hear = |change: &mut VoterSetChange| change.handle_accepted(me, request, is_ok?);
-                handle_reply.as_mut().filter(|_| reply_arrives).and_then(hear)
+                let apply = |change: &mut VoterSetChange| change.handle_accepted(me, request, is_ok?);
+                updated.as_mut().filter(|_| reply_arrives).and_then(apply)
             }
             _ => None,
         };
-        if let Some(change) = handle_reply.filter(|_| reply_arrives) {
+        if let Some(change) = updated.filter(|_| reply_arrives) {
             self.handle_reply(delivery.from, (change, active_request), end);
         }
     }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Like `Core::catch_up` in wv-control, with a whole comparison in one step.
+    /// Like the catch-up in wv-control, with a whole comparison in one step.
     pub(super) fn catch_up(&mut self, at: usize, from: usize) {
         let is_member = self.voter_state(at).is_member(NAMES[at]);
         self.inform(at, from);
@@ -193,14 +194,13 @@
     pub(super) fn write(&mut self, at: usize) {
         let (ballot, number) = (self.ballot(), self.writer.number);
         let value = wv_consensus::register_value(number, vec![number as u8]);
-        let acknowledged_writes_are_kept =
-            self.on_disk(at, |_, store| store.accept(KEY, ballot, &value)).unwrap_or(false);
-        if acknowledged_writes_are_kept {
-            self.writer.kept.insert(at);
+        let is_accepted = self.on_disk(at, |_, store| store.accept(KEY, ballot, &value)).unwrap_or(false);
+        if is_accepted {
+            self.writer.accepted_by.insert(at);
         }
-        if self.writer.kept.len() >= self.writer.set.majority() {
+        if self.writer.accepted_by.len() >= self.writer.set.majority() {
             (self.writer.acknowledged, self.writer.number) = (number, number + 1);
-            self.writer.kept.clear();
+            self.writer.accepted_by.clear();
         }
     }
 
@@ -218,9 +218,9 @@
         // The same member without its promises.
         let voter_state = self.voter_state(at).clone();
         let (mut store, files) = opened(&empty_disk(at, 1).files);
-        let kept =
+        let state =
             wv_consensus::VoterState { fence: 0, successor: None, sealed_set: 0, complete_set: 0, ..voter_state };
-        store.put_local("local/seat", nanoserde::SerBin::serialize_bin(&kept)).expect("write succeeds");
-        self.nodes[at].disk = closed(store, files, kept);
+        store.put_local("local/seat", nanoserde::SerBin::serialize_bin(&state)).expect("write succeeds");
+        self.nodes[at].disk = closed(store, files, state);
     }
 }
--- a/crates/wv-consensus/tests/change_model/invariants.rs
+++ b/crates/wv-consensus/tests/change_model/invariants.rs
@@ -25,7 +25,7 @@
         Ok(sets)
     }
 
-    /// At most one set has a voting majority, and every majority of it expect_no_fault the acknowledged writes.
+    /// At most one set has a voting majority, and every majority of it holds the acknowledged writes.
     pub(super) fn acknowledged_writes_are_kept(&self) -> Result<(), String> {
         let sets = self.sets()?;
         let voting_sets: Vec<&VoterSet> =
@@ -55,7 +55,7 @@
     }
 
     /// Returns the successor that a majority of a set accepted under one fence.
-    fn settled(&self, voters: &VoterSet) -> Option<VoterSet> {
+    fn accepted_successor(&self, voters: &VoterSet) -> Option<VoterSet> {
         let accepted = |member: &Member| {
             let voter_state = self.voter_state(self.at(member)?);
             voter_state.successor.clone().filter(|_| voter_state.installed_set == voters.number)
@@ -73,8 +73,8 @@
         let up: Vec<usize> = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_up).collect();
         let newest = up.iter().map(|at| &self.voter_state(*at).voters).max_by_key(|voters| voters.number);
         let Some(newest) = newest else { return Ok(()) };
-        let settled = self.settled(newest).filter(|_| self.setup.is_strict);
-        let newest = settled.as_ref().unwrap_or(newest);
+        let accepted_successor = self.accepted_successor(newest).filter(|_| self.setup.is_strict);
+        let newest = accepted_successor.as_ref().unwrap_or(newest);
         if newest.members.iter().filter(|member| self.is_up(member)).count() < newest.majority() {
             return Ok(());
         }
--- a/crates/wv-consensus/tests/change_model/mod.rs
+++ b/crates/wv-consensus/tests/change_model/mod.rs
@@ -81,7 +81,7 @@
 impl std::fmt::Debug for Step {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = |at: &usize| NAMES[*at];
-        let reply = |delivery: &Delivery| {
+        let describe = |delivery: &Delivery| {
             let what = match &delivery.msg {
                 Message::PrepareSuccessor { .. } => "prepares",
                 Message::AcceptSuccessor { .. } => "proposes to",
@@ -95,8 +95,8 @@
             Step::Switch(set) => write!(to, "the writer switches to set {set}"),
             Step::Plan(at, None) => write!(to, "{} plans", name(at)),
             Step::Plan(at, Some(lost)) => write!(to, "{} plans without {}", name(at), name(lost)),
-            Step::Deliver(delivery) => write!(to, "{}", reply(&delivery.0)),
-            Step::LoseReply(delivery) => write!(to, "{}, reply lost", reply(&delivery.0)),
+            Step::Deliver(delivery) => write!(to, "{}", describe(&delivery.0)),
+            Step::LoseReply(delivery) => write!(to, "{}, reply lost", describe(&delivery.0)),
             Step::Abort(at) => write!(to, "{} aborts", name(at)),
             Step::Inform(from, at) => write!(to, "{} informs {}", name(from), name(at)),
             Step::CatchUp(at, from) => write!(to, "{} catches up from {}", name(at), name(from)),
@@ -134,7 +134,7 @@
 struct Writer {
     set: VoterSet,
     number: u64,
-    kept: BTreeSet<usize>,
+    accepted_by: BTreeSet<usize>,
     acknowledged: u64,
 }
 
@@ -201,7 +201,7 @@
             nodes[at].disk = closed(store, files, voter_state);
         }
         World {
-            writer: Writer { set, number: 1, kept: BTreeSet::new(), acknowledged: 0 },
+            writer: Writer { set, number: 1, accepted_by: BTreeSet::new(), acknowledged: 0 },
             nodes,
             deliveries: Vec::new(),
             plans: setup.plans,
@@ -222,9 +222,9 @@
         let (mut store, files) = opened(&self.nodes[at].disk.files);
         // Reopens the files, as after a restart.
         let mut voter_state = VoterState::open(&mut store, NAMES[at], &[], false, 99).expect("write succeeds");
-        let reply = act(&mut voter_state, &mut store);
+        let result = act(&mut voter_state, &mut store);
         self.nodes[at].disk = closed(store, files, voter_state);
-        reply
+        result
     }
 
     /// Returns the set on whose registers a node votes.
--- a/crates/wv-consensus/tests/change_model/steps.rs
+++ b/crates/wv-consensus/tests/change_model/steps.rs
@@ -10,7 +10,7 @@
         let up: Vec<usize> = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_up).collect();
         let mut steps = Vec::new();
         for at in up.iter().copied() {
-            let is_current = self.voting_set(at) == self.writer.set.number && !self.writer.kept.contains(&at);
+            let is_current = self.voting_set(at) == self.writer.set.number && !self.writer.accepted_by.contains(&at);
             steps.extend((self.writer.number <= self.setup.writes && is_current).then_some(Step::Write(at)));
             let number = self.voter_state(at).voters.number;
             steps.extend((number > self.writer.set.number).then_some(Step::Switch(number)));
@@ -57,7 +57,7 @@
                 let known =
                     self.nodes.iter().map(|node| &node.disk.voter_state.voters).find(|voters| voters.number == *set);
                 self.writer.set = known.cloned().unwrap_or_default();
-                self.writer.kept.clear();
+                self.writer.accepted_by.clear();
             }
             Step::Plan(at, lost) => {
                 self.plans -= 1;
--- a/crates/wv-consensus/tests/common/mod.rs
+++ b/crates/wv-consensus/tests/common/mod.rs
@@ -34,8 +34,8 @@
 
 impl Cluster {
     pub fn new(proposers: usize) -> Cluster {
-        let proposer = |who| {
-            let mut proposer = Proposer::new(who as u64 + 1);
+        let proposer = |id| {
+            let mut proposer = Proposer::new(id as u64 + 1);
             proposer.set_voters(set(1));
             proposer
         };
--- a/crates/wv-consensus/tests/disk/mod.rs
+++ b/crates/wv-consensus/tests/disk/mod.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Default)]
 pub struct Disk {
     files: Rc<RefCell<BTreeMap<String, File>>>,
-    /// Number of operations remaining; the last write is done by half.
+    /// Number of operations left; the last write is done by half.
     pub calls: Rc<Cell<usize>>,
-    /// Operations that fail temporarily, by the number of operations remaining when they are called.
+    /// Operations that fail temporarily, by the number of operations left when they are called.
     pub failing_calls: BTreeSet<usize>,
 }
 
--- a/crates/wv-consensus/tests/seal.rs
+++ b/crates/wv-consensus/tests/handover.rs
@@ -15,8 +15,8 @@
     (store, voter_state)
 }
 
-fn flag<T, E>(kept: Option<std::result::Result<T, E>>) -> Option<T> {
-    kept.and_then(std::result::Result::ok)
+fn flag<T, E>(result: Option<std::result::Result<T, E>>) -> Option<T> {
+    result.and_then(std::result::Result::ok)
 }
 
 #[gtest]
@@ -25,7 +25,7 @@
     let (mut store, mut voter_state) = open(&files, "a", true, 0);
     expect_that!(voter_state.voting_set("a"), eq(1));
     expect_that!(
-        flag(voter_state.prepare_successor(&mut store, "a", 1, 50)).map(|claimed| claimed.is_ok),
+        flag(voter_state.prepare_successor(&mut store, "a", 1, 50)).map(|prepared| prepared.is_ok),
         some(eq(true))
     );
     // A lower fence or another set does not seal.
@@ -37,7 +37,7 @@
     expect_that!((voter_state.voting_set("a"), voter_state.successor_voting_set("a")), eq((0, 1)));
     let next = set(2, &[("a", 0), ("b", 0), ("d", 7)]);
     expect_that!(
-        flag(voter_state.prepare_successor(&mut store, "a", 1, 60)).map(|claimed| claimed.is_ok),
+        flag(voter_state.prepare_successor(&mut store, "a", 1, 60)).map(|prepared| prepared.is_ok),
         some(eq(true))
     );
     expect_that!(flag(voter_state.accept_successor(&mut store, "a", (1, 60), &next)), some(eq(true)));
--- a/crates/wv-consensus/tests/model_change.rs
+++ b/crates/wv-consensus/tests/model_change.rs
@@ -23,10 +23,10 @@
 
 /// Takes the steps with the given descriptions.
 fn after_steps(mut world: World, steps: &[&str]) -> World {
-    for reply in steps {
-        let step = world.steps().into_iter().find(|step| format!("{step:?}") == *reply);
-        let step = step.unwrap_or_else(|| panic!("{reply}: step is not possible"));
-        world.take(&step).and_then(|()| world.check()).unwrap_or_else(|fault| panic!("{reply}: {fault}"));
+    for description in steps {
+        let step = world.steps().into_iter().find(|step| format!("{step:?}") == *description);
+        let step = step.unwrap_or_else(|| panic!("{description}: step is not possible"));
+        world.take(&step).and_then(|()| world.check()).unwrap_or_else(|fault| panic!("{description}: {fault}"));
     }
     world
 }
--- a/crates/wv-consensus/tests/power.rs
+++ b/crates/wv-consensus/tests/power_loss.rs
@@ -76,7 +76,7 @@
     states
 }
 
-/// Takes steps starting at `from` until the disk fails and returns the index of the step that failed.
+/// Takes steps starting at `from` until the disk fails and returns the total number of steps taken.
 fn take_steps(store: &mut Store, from: usize) -> usize {
     from + STEPS[from..].iter().take_while(|step| apply_step(store, **step).is_ok()).count()
 }
@@ -97,7 +97,7 @@
     UNLIMITED - disk.calls.get()
 }
 
-/// Whether the disk holds the result of `taken` steps or of one calls_after_restart.
+/// Whether the disk holds the result of `taken` steps or of one more.
 fn is_consistent(remaining: &Contents, taken: usize, states: &[Option<StoreState>]) -> bool {
     steps_on_disk(remaining, states).is_some_and(|steps_on_disk| steps_on_disk == taken || steps_on_disk == taken + 1)
 }
@@ -122,12 +122,12 @@
 
 #[gtest]
 fn given_a_power_loss_during_recovery_from_another_then_no_more_data_is_missing() {
-    let (states, mut visible) = (states(), BTreeSet::new());
+    let (states, mut known) = (states(), BTreeSet::new());
     for calls in 0..=total_calls() {
         let disk = Disk::new(calls);
         run(&disk, 0);
         let new: Vec<Contents> =
-            disk.power_loss_results().into_iter().filter(|remaining| visible.insert(remaining.clone())).collect();
+            disk.power_loss_results().into_iter().filter(|remaining| known.insert(remaining.clone())).collect();
         for remaining in new {
             let Some(held) = steps_on_disk(&remaining, &states) else { continue };
             // Fails at every operation of reopening and of the following steps.
@@ -183,7 +183,7 @@
     }
 }
 
-/// Returns the state after one calls_after_restart step.
+/// Returns the state after one more step.
 fn after(state: &StoreState, step: Step) -> StoreState {
     let mut store = opened(&Disk::new(UNLIMITED)).expect("store opens");
     store.reset(state.clone()).expect("write succeeds");
@@ -209,7 +209,11 @@
                 steps_since_failure = 0;
             }
         }
-        expect_that!(store.state().is_none_or(|state| *state == acknowledged), eq(true), "{step:?} shows what failed");
+        expect_that!(
+            store.state().is_none_or(|state| *state == acknowledged),
+            eq(true),
+            "{step:?} failed but is visible"
+        );
         // Skips states long after a failure, which do not differ.
         if steps_since_failure > 3 {
             continue;
--- a/crates/wv-consensus/tests/quorum.rs
+++ b/crates/wv-consensus/tests/proposer.rs
@@ -22,8 +22,8 @@
             .filter_map(|outcome| if let OperationOutcome::Written(value) = outcome { Some(value) } else { None })
             .collect();
         expect_that!(written.len(), eq(1), "{outcomes:?}");
-        let held = outcomes.iter().flatten().find(|outcome| matches!(outcome, OperationOutcome::Unchanged(_)));
-        expect_that!(held, some(eq(&OperationOutcome::Unchanged(written[0].clone()))));
+        let unchanged = outcomes.iter().flatten().find(|outcome| matches!(outcome, OperationOutcome::Unchanged(_)));
+        expect_that!(unchanged, some(eq(&OperationOutcome::Unchanged(written[0].clone()))));
         let written = written[0].clone();
         expect_that!(cluster.read(0, 3), eq(&written));
         expect_that!(cluster.read(1, 4), eq(&written));
@@ -33,7 +33,7 @@
 #[gtest]
 fn given_a_proposal_accepted_by_one_voter_then_the_next_proposer_completes_it_or_it_is_never_visible() {
     // Reads and updates without effect both return only values held by a majority.
-    for (with, update) in (0..3usize).flat_map(|with| [(with, None), (with, Some((0, 9)))]) {
+    for (excluded, update) in (0..3usize).flat_map(|excluded| [(excluded, None), (excluded, Some((0, 9)))]) {
         let mut cluster = Cluster::new(2);
         cluster.start(0, 1, Some((5, 1)));
         // All voters promise, then the proposal reaches only the first voter.
@@ -46,7 +46,7 @@
         cluster.deliver(call);
         cluster.calls.clear();
         // Another proposer reads without one of the voters; the value it returns must remain visible.
-        let unreachable = VOTERS[with];
+        let unreachable = VOTERS[excluded];
         cluster.start(1, 2, update);
         for _ in 0..60 {
             cluster.now += 10_000;
@@ -63,12 +63,12 @@
             Some(OperationOutcome::Read(value) | OperationOutcome::Unchanged(value)) => value.clone(),
             other => panic!("{other:?}"),
         };
-        expect_that!(seen.version, eq(if with == 0 { 0 } else { 5 }), "without {unreachable}");
+        expect_that!(seen.version, eq(if excluded == 0 { 0 } else { 5 }), "without {unreachable}");
         cluster.calls.clear();
         // The first voter, which accepted the value first, loses its disk.
         cluster.stores[0] = Store::open(Box::new(MemoryFiles::default())).expect("store opens");
         cluster.stores[0].reset(StoreState::default()).expect("write succeeds");
-        let again = if with == 0 { cluster.read(1, 3) } else { cluster.read_without(1, 3, "a") };
+        let again = if excluded == 0 { cluster.read(1, 3) } else { cluster.read_without(1, 3, "a") };
         expect_that!(again.version >= seen.version, eq(true), "without {unreachable}");
         expect_that!(cluster.read(1, 4), eq(&again));
     }
@@ -114,7 +114,7 @@
             most = most.max((writers, cluster.syncs, (cluster.now - start) as usize));
         }
     }
-    println!("most of eight writers at eight nodes: {} syncs at the voters", most.1);
+    println!("maximum for eight writers at eight nodes: {} syncs at the voters", most.1);
 }
 
 #[gtest]
@@ -156,7 +156,7 @@
     cluster.collect(0);
     let fresh = std::mem::take(&mut cluster.calls);
     old.into_iter().for_each(|call| cluster.deliver(call));
-    expect_that!(cluster.calls.is_empty(), eq(true), "nothing is proposed on what the old set said");
+    expect_that!(cluster.calls.is_empty(), eq(true), "replies of the old set must not lead to a proposal");
     cluster.calls = fresh;
     cluster.run_for(100_000);
     expect_that!(cluster.outcome(1), some(eq(&OperationOutcome::Written(register_value(5, vec![1])))));
--- a/crates/wv-consensus/tests/register_model/setup.rs
+++ b/crates/wv-consensus/tests/register_model/setup.rs
@@ -10,7 +10,7 @@
     Promise,
     /// A voter loses its promises on restart.
     DurablePromise,
-    /// A read returns the newest value of a majority without making sure that a majority expect_no_fault it.
+    /// A read returns the newest value of a majority without making sure that a majority holds it.
     ConfirmedRead,
     /// All incarnations of a proposer use the same ballots and request IDs.
     UniqueBallots,
--- a/crates/wv-consensus/tests/change.rs
+++ b/crates/wv-consensus/tests/voter_set_change.rs
@@ -20,18 +20,18 @@
 
 /// Runs the sealing and handover phases and returns the proposed successor; nothing may be proposed earlier.
 fn proposed(change: &mut VoterSetChange, request: u64, holders: [&str; 2]) -> Option<VoterSet> {
-    let is_settling =
+    let is_proposing =
         |msgs: &[(String, Message)]| msgs.iter().any(|(_, msg)| matches!(msg, Message::AcceptSuccessor { .. }));
     let is_handing_over = |msgs: &[(String, Message)]| {
         msgs.iter().any(|(_, msg)| matches!(msg, Message::Handover(Handover::Fetch { .. })))
     };
     for voter in ["a", "b"] {
         let msgs = change.tick(0).unwrap_or_default();
-        expect_that!(is_settling(&msgs) || is_handing_over(&msgs), eq(false));
+        expect_that!(is_proposing(&msgs) || is_handing_over(&msgs), eq(false));
         expect_that!(change.handle_sealed(voter, request, true), none());
     }
     for member in holders {
-        expect_that!(is_settling(&change.tick(0).unwrap_or_default()), eq(false));
+        expect_that!(is_proposing(&change.tick(0).unwrap_or_default()), eq(false));
         change.handle_fetched(member, request);
     }
     change.tick(0).ok()?.into_iter().find_map(|(_, msg)| match msg {
@@ -63,7 +63,7 @@
 #[gtest]
 fn given_lost_wiped_or_too_few_voters_then_one_step_is_planned_and_no_member_is_removed_without_need() {
     let voters = set(4, &["a", "b", "c"]);
-    let all_up = |addr: &str| if addr == "gone" { REPLACE_AFTER_US } else { 0 };
+    let all_up = |addr: &str| if addr == "unknown" { REPLACE_AFTER_US } else { 0 };
     // A member that lost its disk is replaced by its own address before any other candidate.
     let found =
         plan_successor(&voters, &candidates(&[("a", 0, true), ("b", 9, true), ("c", 0, true), ("d", 5, true)]), all_up);
@@ -71,8 +71,8 @@
     expect_that!(members.contains(&Member { addr: "b".to_owned(), disk: 9 }), eq(true));
     expect_that!(members.len(), eq(3));
     // A member is unreachable and there is no replacement.
-    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
-    expect_that!(plan_successor(&voters, &candidates(&[("a", 0, true), ("b", 0, true)]), away), none());
+    let unreachable_us = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
+    expect_that!(plan_successor(&voters, &candidates(&[("a", 0, true), ("b", 0, true)]), unreachable_us), none());
     // One additional candidate would make an even-sized set; two are added.
     let four = candidates(&[("a", 0, true), ("b", 0, true), ("c", 0, true), ("d", 5, true)]);
     expect_that!(plan_successor(&voters, &four, all_up), none());
@@ -95,13 +95,13 @@
 #[gtest]
 fn given_candidates_in_several_zones_then_the_one_in_the_zone_with_the_fewest_voters_is_added() {
     let voters = set(4, &["a", "b", "c"]);
-    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
-    let near =
+    let unreachable_us = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
+    let nodes =
         [candidate("a", "x"), candidate("b", "y"), candidate("d", "x"), candidate("e", "y"), candidate("f", "z")];
-    let next = plan_successor(&voters, &near, away);
+    let next = plan_successor(&voters, &nodes, unreachable_us);
     expect_that!((has(&next, "f"), next.map_or(0, |next| next.members.len())), eq((true, 3)));
     // If no other zone is available, a shared zone is accepted.
-    expect_that!(has(&plan_successor(&voters, &near[..4], away), "d"), eq(true));
+    expect_that!(has(&plan_successor(&voters, &nodes[..4], unreachable_us), "d"), eq(true));
     // The same holds when two members are added.
     let all = [
         candidate("a", "x"),
@@ -119,14 +119,14 @@
 #[gtest]
 fn given_a_node_that_is_not_ready_or_is_shutting_down_then_it_is_not_added() {
     let voters = set(4, &["a", "b", "c"]);
-    let away = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
+    let unreachable_us = |addr: &str| if addr == "c" { REPLACE_AFTER_US } else { 0 };
     let [a, b, d] = [candidate("a", ""), candidate("b", ""), candidate("d", "")];
-    for late in [
+    for unsuitable in [
         Candidate { is_ready: false, ..d.clone() },
         Candidate { is_leaving: true, ..d.clone() },
         Candidate { is_up: false, ..d },
     ] {
-        expect_that!(plan_successor(&voters, &[a.clone(), b.clone(), late], away), none());
+        expect_that!(plan_successor(&voters, &[a.clone(), b.clone(), unsuitable], unreachable_us), none());
     }
     // A replaced disk is not a candidate before it has caught up; a ready candidate takes precedence.
     let wiped = Candidate { member: Member { addr: "b".to_owned(), disk: 9 }, is_ready: false, ..b };
@@ -150,7 +150,7 @@
         candidate("f", ""),
     ];
     expect_that!(plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &five, |_| 0), none());
-    // If another member is down, the leaving one is still needed, but an unreachable member is replaced first.
+    // If another member is down, the leaving one is replaced; an unreachable member takes precedence over it.
     let down = [
         Candidate { is_up: false, ..candidate("a", "") },
         candidate("b", ""),
@@ -161,8 +161,8 @@
     ];
     let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, |_| 0);
     expect_that!((has(&next, "c"), has(&next, "f")), eq((false, true)));
-    let away = |addr: &str| if addr == "a" { REPLACE_AFTER_US } else { 0 };
-    let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, away);
+    let unreachable_us = |addr: &str| if addr == "a" { REPLACE_AFTER_US } else { 0 };
+    let next = plan_successor(&set(4, &["a", "b", "c", "d", "e"]), &down, unreachable_us);
     expect_that!((has(&next, "a"), has(&next, "c")), eq((false, true)));
 }
 
@@ -175,20 +175,24 @@
     }
     expect_that!(change.handle_prepared("b", 6, false, 900, None), none());
     change.handle_prepared("a", 7, true, 300, None);
-    let is_claiming =
+    let is_preparing =
         |msgs: &[(String, Message)]| msgs.iter().all(|(_, msg)| matches!(msg, Message::PrepareSuccessor { .. }));
-    expect_that!(is_claiming(&change.tick(1_000_000).unwrap_or_default()), eq(true), "one voter of three has answered");
+    expect_that!(
+        is_preparing(&change.tick(1_000_000).unwrap_or_default()),
+        eq(true),
+        "one voter of three has answered"
+    );
 }
 
 #[gtest]
 fn given_several_incarnations_then_their_request_ids_are_disjoint() {
-    let numbers = |who: u64| {
-        let mut quorum = wv_consensus::Proposer::new(who);
-        (0..1_000).map(|_| quorum.next_request()).collect::<std::collections::BTreeSet<u64>>()
+    let numbers = |incarnation: u64| {
+        let mut proposer = wv_consensus::Proposer::new(incarnation);
+        (0..1_000).map(|_| proposer.next_request()).collect::<std::collections::BTreeSet<u64>>()
     };
-    let lives: Vec<_> = [1u64, 2, 3, 77, 1 << 63, u64::MAX].map(numbers).into_iter().collect();
-    for (at, one) in lives.iter().enumerate() {
+    let incarnations: Vec<_> = [1u64, 2, 3, 77, 1 << 63, u64::MAX].map(numbers).into_iter().collect();
+    for (at, one) in incarnations.iter().enumerate() {
         expect_that!(one.contains(&0), eq(false));
-        expect_that!(lives[at + 1..].iter().any(|other| !one.is_disjoint(other)), eq(false));
+        expect_that!(incarnations[at + 1..].iter().any(|other| !one.is_disjoint(other)), eq(false));
     }
 }
--- a/crates/wv-consensus/tests/successor.rs
+++ b/crates/wv-consensus/tests/voter_set_transition.rs
@@ -24,20 +24,20 @@
 
 /// Handles a request like a voter.
 fn handle_request(store: &mut Store, key: &str, step: &RegisterRequest) -> RegisterReply {
-    let is_kept = match step {
+    let is_accepted = match step {
         RegisterRequest::Read { .. } => true,
         RegisterRequest::Prepare { ballot, .. } => store.promise(key, *ballot).expect("write succeeds"),
         RegisterRequest::Accept { ballot, value } => store.accept(key, *ballot, value).expect("write succeeds"),
     };
     let held = store.get(key).cloned().unwrap_or_default();
     match step {
-        _ if !is_kept => RegisterReply::Rejected { promised: held.promised.max(held.accepted) },
+        _ if !is_accepted => RegisterReply::Rejected { promised: held.promised.max(held.accepted) },
         RegisterRequest::Accept { .. } => RegisterReply::Accepted,
         _ => RegisterReply::Current { accepted: held.accepted, value: Some(held.value) },
     }
 }
 
-/// Returns a proposer that has observed the ballot `observed_round` of its set.
+/// Returns a proposer that has observed a ballot of this round in its set.
 fn proposer(incarnation: u64, voters: VoterSet, observed_round: u64) -> Proposer {
     let mut proposer = Proposer::new(incarnation);
     let round = (voters.number << 40) + observed_round;
@@ -58,13 +58,14 @@
         Cluster { stores: [0, 1, 2, 3].map(store), now: 1_000 }
     }
 
-    /// Runs one operation; only voters in `heard` receive requests, and only those in `kept` receive accept requests.
+    /// Runs one operation; only voters in `reachable` receive requests, and accept requests go only to those in
+    /// `accepting`.
     fn run(
         &mut self,
         proposer: &mut Proposer,
         update: Option<(u64, u8)>,
-        heard: &str,
-        kept: &str,
+        reachable: &str,
+        accepting: &str,
     ) -> Option<OperationOutcome> {
         let update = update.map(|(version, value)| write_if_newer(register_value(version, vec![value])));
         proposer.start(1, "k", update, self.now);
@@ -73,8 +74,8 @@
             proposer.tick(self.now);
             for (to, msg) in proposer.take_messages() {
                 let Message::RegisterRequest { requester, request, key, step, .. } = msg else { continue };
-                let reached = if matches!(step, RegisterRequest::Accept { .. }) { kept } else { heard };
-                if reached.split(' ').any(|name| name == to) {
+                let receivers = if matches!(step, RegisterRequest::Accept { .. }) { accepting } else { reachable };
+                if receivers.split(' ').any(|name| name == to) {
                     let reply = handle_request(&mut self.stores[at(&to)], &key, &step);
                     proposer.on_reply(&to, (requester, request), &key, reply, self.now);
                 }
@@ -90,8 +91,8 @@
         self.stores[at(to)].adopt_newer(newer).expect("write succeeds");
     }
 
-    fn read(&mut self, heard: &str) -> Option<RegisterValue> {
-        match self.run(&mut proposer(99, set(2, "a b d"), 0), None, heard, heard) {
+    fn read(&mut self, reachable: &str) -> Option<RegisterValue> {
+        match self.run(&mut proposer(99, set(2, "a b d"), 0), None, reachable, reachable) {
             Some(OperationOutcome::Read(value)) => Some(value),
             _ => None,
         }
@@ -112,8 +113,8 @@
     expect_that!(written, some(eq(&OperationOutcome::Written(register_value(7, vec![7])))));
     // The third voter catches up from the voter left behind and then from a voter of the new set.
     ["c", "a"].into_iter().for_each(|from| cluster.copy_registers("b", from));
-    for heard in ["a b", "b d", "a d", "a b d"] {
-        expect_that!(cluster.read(heard), some(eq(&register_value(7, vec![7]))), "{heard}");
+    for reachable in ["a b", "b d", "a d", "a b d"] {
+        expect_that!(cluster.read(reachable), some(eq(&register_value(7, vec![7]))), "{reachable}");
     }
 }
 
@@ -127,12 +128,12 @@
     cluster.run(&mut proposer(3, set(1, all), 19), Some((7, 7)), "b c", "c");
     // The second voter copies the first one's value, as the new member does.
     ["b", "d"].into_iter().for_each(|to| cluster.copy_registers(to, "a"));
-    let shown = cluster.read("b d");
+    let returned = cluster.read("b d");
     // The new member then copies from the voter left behind; the value read before must not change.
     cluster.copy_registers("d", "c");
-    expect_that!(shown, some(anything()));
-    for heard in ["b d", "a d", "a b d"] {
-        expect_that!(cluster.read(heard), eq(&shown), "{heard}");
+    expect_that!(returned, some(anything()));
+    for reachable in ["b d", "a d", "a b d"] {
+        expect_that!(cluster.read(reachable), eq(&returned), "{reachable}");
     }
 }
 
