--- a/crates/wv-access/src/care.rs
+++ b/crates/wv-access/src/care.rs
@@ -19,7 +19,7 @@
 const OWN_US: u64 = 3_000_000;
 
 impl Core {
-    pub(crate) fn take_conf(&mut self, version: u64, body: Result<Vec<u8>, wv_compression::PackError>) {
+    pub(crate) fn take_conf(&mut self, version: u64, body: Result<Vec<u8>, wv_compression::CompressionError>) {
         let held = self.conf.clone();
         // A node never steps back within its life.
         if held.as_ref().is_some_and(|held| held.version > version) {
--- a/crates/wv-access/src/news.rs
+++ b/crates/wv-access/src/news.rs
@@ -19,18 +19,19 @@
             });
             self.checks.retain(&ids.collect(), self.now);
         }
-        let news = self.follower.take(msg);
+        let news = self.follower.receive(msg);
         let taken = news.and_then(|news| news.into_iter().try_for_each(|news| self.news(news)));
         self.serve_stranded();
         self.care();
         // Asked for once, not again with each change that was under way already.
-        taken.or_else(|gap| if self.follower.ask(self.now) { Err(gap) } else { Ok(()) })
+        taken.or_else(|gap| if self.follower.request_snapshot(self.now) { Err(gap) } else { Ok(()) })
     }
 
     fn news(&mut self, news: FeedUpdate) -> Result<(), wv_change_feed::Gap> {
         match news {
             FeedUpdate::Configuration { version, body } => {
-                let body = wv_compression::unpack(&body, wv_configuration::BODY_MAX).map(std::borrow::Cow::into_owned);
+                let body =
+                    wv_compression::decompress(&body, wv_configuration::BODY_MAX).map(std::borrow::Cow::into_owned);
                 self.take_conf(version, body);
             }
             FeedUpdate::ConfigurationDelta { base, version, delta: change } => {
@@ -42,7 +43,7 @@
                 if self.body.0 != base {
                     return Err(wv_change_feed::Gap);
                 }
-                let body = wv_compression::apply(&self.body.1, &change, wv_configuration::BODY_MAX);
+                let body = wv_compression::apply_delta(&self.body.1, &change, wv_configuration::BODY_MAX);
                 if body.is_err() {
                     return Err(wv_change_feed::Gap);
                 }
@@ -95,7 +96,7 @@
 
     /// Where the feed stands here, for the next follow.
     pub fn place(&self) -> (u64, u64) {
-        (self.follower.life, self.follower.place)
+        (self.follower.incarnation, self.follower.position)
     }
 
     pub fn set_grace(&mut self, grace_us: u64) {
--- a/crates/wv-access/src/pool.rs
+++ b/crates/wv-access/src/pool.rs
@@ -25,5 +25,5 @@
     /// When its line is next served while it is being eased in.
     pub wake_at: u64,
     /// Who of the tenants holds and is owed what there.
-    pub line: wv_fair_queue::Line,
+    pub line: wv_fair_queue::FairQueue,
 }
--- a/crates/wv-access/src/share.rs
+++ b/crates/wv-access/src/share.rs
@@ -1,6 +1,6 @@
 //! This edge's capacity among tenants: sessions, lines to databases, and what may be under way at once.
 use crate::core::Core;
-use wv_fair_queue::{Tally, Tenants};
+use wv_fair_queue::{TenantUsage, Tenants};
 use wv_health::Spot;
 
 /// Requests that one node works on at once before those over their share are refused.
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(crate) struct Shares {
     pub tenants: Tenants,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<TenantUsage>,
     /// Requests open now, by tenant.
     pub open: Vec<u32>,
     pub clients_max: usize,
@@ -45,12 +45,12 @@
         }
         self.shares.tenants = Tenants::new(&conf.tenants, &self.shares.tenants);
         let count = self.shares.tenants.len();
-        self.shares.tallies.resize(count, Tally::default());
+        self.shares.tallies.resize(count, TenantUsage::default());
         self.shares.open.resize(count, 0);
         self.shares.tallies.iter_mut().for_each(|tally| tally.sessions = 0);
         for client in self.clients.values_mut() {
             if let Some(host) = &client.database {
-                let tenant = self.shares.tenants.find(host, &client.who);
+                let tenant = self.shares.tenants.tenant_of(host, &client.who);
                 self.shares.tallies[tenant as usize].sessions += 1;
                 // A open request is counted where it was opened.
                 if !client.request.is_open {
@@ -65,7 +65,7 @@
         let seated = self.clients.len();
         let Some(client) = self.clients.get_mut(&id) else { return false };
         let host = client.database.as_deref().unwrap_or_default();
-        client.tenant = self.shares.tenants.find(host, &client.who);
+        client.tenant = self.shares.tenants.tenant_of(host, &client.who);
         let tenant = client.tenant;
         if self.shares.tenants.is_empty() {
             return true;
@@ -141,12 +141,12 @@
             || self
                 .pools
                 .get(&spot)
-                .is_none_or(|pool| pool.line.may_hold(&self.shares.tenants, client.tenant, slots, self.now))
+                .is_none_or(|pool| pool.line.may_hold_slot(&self.shares.tenants, client.tenant, slots, self.now))
     }
 
     pub(crate) fn note_requested(&mut self, id: u64, spot: Spot) {
         if let (true, Some(client)) = (self.has_tenants(), self.clients.get(&id)) {
-            self.pools.entry(spot).or_default().line.asked(client.tenant, self.now);
+            self.pools.entry(spot).or_default().line.record_request(client.tenant, self.now);
         }
     }
 
@@ -162,8 +162,8 @@
         let expected_us = pool.line.start(tenant, weight);
         if let Some(tally) = self.shares.tallies.get_mut(tenant as usize) {
             tally.started += 1;
-            let held = pool.line.held.get(tenant as usize).copied().unwrap_or(0);
-            let is_over = |slots| held > pool.line.entitled(&self.shares.tenants, tenant, slots, self.now);
+            let held = pool.line.held_slots.get(tenant as usize).copied().unwrap_or(0);
+            let is_over = |slots| held > pool.line.entitled_slots(&self.shares.tenants, tenant, slots, self.now);
             tally.borrowed += u64::from(others || is_over(pool.all.max(1)));
         }
         if let Some(held) = self.dbs.get_mut(&db) {
@@ -177,7 +177,7 @@
         let held_us = self.now.saturating_sub(charge.since);
         let weight = self.shares.tenants.weight(charge.tenant);
         if let Some(pool) = self.pools.get_mut(&spot) {
-            pool.line.end(charge.tenant, weight, charge.expected_us, held_us);
+            pool.line.finish(charge.tenant, weight, charge.expected_us, held_us);
         }
         if let Some(tally) = self.shares.tallies.get_mut(charge.tenant as usize) {
             tally.held_us += held_us;
@@ -198,7 +198,7 @@
             return first(&|_| true);
         }
         let ready = pool.waiting.iter().filter(|id| self.may_take(**id, spot));
-        let tenant = pool.line.fair.nominate(ready.filter_map(|id| client(id).map(|client| client.tenant)))?;
+        let tenant = pool.line.scheduler.select(ready.filter_map(|id| client(id).map(|client| client.tenant)))?;
         first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.may_take(*id, spot))
     }
 
@@ -210,7 +210,7 @@
         self.shares.tallies.get_mut(tenant as usize).into_iter().for_each(|tally| tally.refused += 1);
         let service = self.checks.find(&route.service)?;
         let backlog = |(spot, pool): (&Spot, &crate::core::Pool)| {
-            let slots = pool.line.entitled(&self.shares.tenants, tenant, self.cap(*spot), self.now);
+            let slots = pool.line.entitled_slots(&self.shares.tenants, tenant, self.cap(*spot), self.now);
             self.waiting_of(pool, tenant) as u64 * pool.line.expected_us() / u64::from(slots)
         };
         let longest = self.pools.iter().filter(|(spot, _)| spot.service == service).map(backlog).max().unwrap_or(0);
@@ -220,8 +220,9 @@
     /// What each tenant is entitled to and uses, for operators.
     pub fn tenants_json(&self) -> String {
         let waiting = |tenant: u16| -> usize { self.pools.values().map(|pool| self.waiting_of(pool, tenant)).sum() };
-        let held =
-            |tenant: u16| -> u32 { self.pools.values().filter_map(|pool| pool.line.held.get(tenant as usize)).sum() };
+        let held = |tenant: u16| -> u32 {
+            self.pools.values().filter_map(|pool| pool.line.held_slots.get(tenant as usize)).sum()
+        };
         let all_us: u64 = self.shares.tallies.iter().map(|tally| tally.held_us).sum();
         let rows: Vec<serde_json::Value> = (0u16..)
             .zip(&self.shares.tallies)
--- a/crates/wv-access/tests/stale.rs
+++ b/crates/wv-access/tests/stale.rs
@@ -13,14 +13,14 @@
 }
 
 fn conf(version: u64, host: &str) -> FeedUpdate {
-    FeedUpdate::Configuration { version, body: wv_compression::pack(&text(version, host)) }
+    FeedUpdate::Configuration { version, body: wv_compression::compress(&text(version, host)) }
 }
 
 fn change((base, old): (u64, &str), (version, new): (u64, &str)) -> FeedUpdate {
     FeedUpdate::ConfigurationDelta {
         base,
         version,
-        delta: wv_compression::delta(&text(base, old), &text(version, new)),
+        delta: wv_compression::encode_delta(&text(base, old), &text(version, new)),
     }
 }
 
--- a/crates/wv-change-feed/src/lib.rs
+++ b/crates/wv-change-feed/src/lib.rs
@@ -1,6 +1,6 @@
-//! The numbered feed of changes, its snapshot, and the table of databases with its repair digests.
-mod follow;
-mod table;
+//! The sequenced change feed with its snapshots, and the table of database instances with its anti-entropy digests.
+mod feed;
+mod instance_table;
 
-pub use follow::{Feed, Follower, Gap};
-pub use table::{Table, RANGES};
+pub use feed::{Feed, Follower, Gap};
+pub use instance_table::{InstanceTable, DIGEST_RANGES};
--- a/crates/wv-compression/src/lib.rs
+++ b/crates/wv-compression/src/lib.rs
@@ -1,56 +1,59 @@
-//! Long bodies made short: packed, or told as what differs from a body that the other side holds.
-mod align;
-mod chunks;
+//! Compression of long bodies, whole or as a delta against a body that the receiver holds.
+mod chunked;
 mod delta;
+mod piece_matcher;
 
-pub use align::Align;
-pub use chunks::Packs;
-pub use delta::{apply, delta};
+pub use chunked::ChunkedCompressor;
+pub use delta::{apply_delta, encode_delta};
+pub use piece_matcher::PieceMatcher;
 
 #[derive(thiserror::Error, Debug, PartialEq, Eq)]
-pub enum PackError {
-    #[error("a packed body cannot be unpacked or is over its bound")]
-    Packed,
-    #[error("a change cannot be read or reaches beyond the body that it changes")]
-    Change,
-    #[error("the changed body is not the one that was meant")]
-    Digest,
+pub enum CompressionError {
+    #[error("compressed body is corrupt or exceeds the length limit")]
+    InvalidCompressed,
+    #[error("delta is malformed, exceeds the length limit or refers beyond the base body")]
+    InvalidDelta,
+    #[error("result of the delta does not match the expected length or checksum")]
+    ChecksumMismatch,
 }
 
-/// Packed bodies begin with this, which no text in JSON begins with.
-const MARK: u8 = 1;
-/// Short bodies gain nothing.
-const SHORT: usize = 512;
-/// Quick rather than small: the machines are slow and most of what can be gained is gained at once.
-const LEVEL: u8 = 3;
+/// First byte of a body compressed as a whole. No JSON text begins with it.
+const FORMAT_DEFLATE: u8 = 1;
+/// Shorter bodies are stored uncompressed.
+const MIN_COMPRESSED_BYTES: usize = 512;
+/// Favours speed over compression ratio.
+const DEFLATE_LEVEL: u8 = 3;
 
-/// The body packed, or as it is where that is no longer.
-pub fn pack(body: &[u8]) -> Vec<u8> {
-    if body.len() < SHORT {
+/// Compresses the body, or returns it unchanged where that is not shorter.
+pub fn compress(body: &[u8]) -> Vec<u8> {
+    if body.len() < MIN_COMPRESSED_BYTES {
         return body.to_vec();
     }
-    let packed = miniz_oxide::deflate::compress_to_vec(body, LEVEL);
-    if packed.len() + 1 >= body.len() {
+    let compressed = miniz_oxide::deflate::compress_to_vec(body, DEFLATE_LEVEL);
+    if compressed.len() + 1 >= body.len() {
         return body.to_vec();
     }
-    let mut out = Vec::with_capacity(packed.len() + 1);
-    out.push(MARK);
-    out.extend_from_slice(&packed);
+    let mut out = Vec::with_capacity(compressed.len() + 1);
+    out.push(FORMAT_DEFLATE);
+    out.extend_from_slice(&compressed);
     out
 }
 
-/// The body again, whether it was packed, in chunks or as one, or not; never longer than `bound`.
-pub fn unpack(bytes: &[u8], bound: usize) -> Result<std::borrow::Cow<'_, [u8]>, PackError> {
+/// Decompresses a body of any format; fails if it is longer than `bound` bytes.
+pub fn decompress(bytes: &[u8], bound: usize) -> Result<std::borrow::Cow<'_, [u8]>, CompressionError> {
     match bytes.split_first() {
-        Some((&MARK, packed)) => miniz_oxide::inflate::decompress_to_vec_with_limit(packed, bound)
+        Some((&FORMAT_DEFLATE, compressed)) => miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, bound)
             .map(std::borrow::Cow::Owned)
-            .map_err(|_| PackError::Packed),
-        Some((&chunks::MARK, _)) => Packs::default().unpack(bytes, bound).map(std::borrow::Cow::Owned),
-        _ if bytes.len() > bound => Err(PackError::Packed),
+            .map_err(|_| CompressionError::InvalidCompressed),
+        Some((&chunked::FORMAT_CHUNKED, _)) => {
+            ChunkedCompressor::default().decompress(bytes, bound).map(std::borrow::Cow::Owned)
+        }
+        _ if bytes.len() > bound => Err(CompressionError::InvalidCompressed),
         _ => Ok(std::borrow::Cow::Borrowed(bytes)),
     }
 }
 
-pub fn digest(body: &[u8]) -> u32 {
+/// CRC-32 of the body.
+pub fn checksum(body: &[u8]) -> u32 {
     crc32fast::hash(body)
 }
--- a/crates/wv-configuration/src/renew.rs
+++ b/crates/wv-configuration/src/renew.rs
@@ -43,7 +43,7 @@
             let entry: &Entry = &old.entries[at];
             &old.body[entry.at as usize..(entry.at + entry.len) as usize]
         };
-        let mut align = wv_compression::Align::new(old.entries.len(), piece);
+        let mut align = wv_compression::PieceMatcher::new(old.entries.len(), piece);
         let mut known = Known { old: Some(old), ..Known::none() };
         let (mut at, mut is_run) = (0, false);
         let ends = memchr::memchr_iter(b'}', body).map(|end| end + 1);
--- a/crates/wv-control/src/beats.rs
+++ b/crates/wv-control/src/beats.rs
@@ -65,7 +65,7 @@
     /// What a database says is kept and told on in any case. It is acknowledged only by a node that a majority hears: at
     /// once where the database stays, and where it leaves once enough others hold it too.
     fn take_beat(&mut self, token: u64, inst: Instance, is_leave: bool) {
-        let changed = self.table.offer(inst.clone());
+        let changed = self.table.merge(inst.clone());
         self.date_leave(&inst, Teller::Database);
         self.announce(&changed, true);
         // Also a beat that changes nothing says who leads, where nobody is known to.
@@ -118,7 +118,7 @@
     fn fold_lead(&mut self, told: &Instance, is_raised: bool) {
         // A late beat counts no more than it does in the table.
         let Some(inst) = self.table.get(&told.id).filter(|inst| inst.primary && !inst.gone) else { return };
-        let lead = self.feed.lead(&inst.service);
+        let lead = self.feed.leader(&inst.service);
         let is_open = lead.is_none_or(|lead| {
             let held = self.table.get(&lead.id);
             let promoted = self.claims.promoted.get(&inst.service).filter(|held| held.term == lead.term);
@@ -138,11 +138,11 @@
 
     /// Who leads a service, as this node tells it.
     pub fn lead(&self, service: &str) -> Option<&Leader> {
-        self.feed.lead(service)
+        self.feed.leader(service)
     }
 
     pub(crate) fn inst_from_peer(&mut self, inst: Instance) {
-        let changed = self.table.offer(inst.clone());
+        let changed = self.table.merge(inst.clone());
         self.date_leave(&inst, Teller::Peer);
         self.announce(&changed, true);
     }
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -81,7 +81,7 @@
                 self.ret(done.token, 404, "{\"cause\":\"no configuration has been taken yet\"}")
             }
             (Waiting::Get, Outcome::Read(cell)) => {
-                match self.packs.unpack(&Decided::read(&cell).body, crate::core::BODY_MAX) {
+                match self.packs.decompress(&Decided::read(&cell).body, crate::core::BODY_MAX) {
                     Ok(body) => self.ret(done.token, 200, body),
                     Err(error) => self.ret(done.token, 500, cause(&error.to_string())),
                 }
@@ -123,7 +123,7 @@
             log::error!("number {} stands with two contents: {digest:x}, {:x}", cell.version, self.published_digest);
         }
         if cell.version > self.published && !cell.bytes.is_empty() {
-            match self.packs.unpack(&decided.body, crate::core::BODY_MAX) {
+            match self.packs.decompress(&decided.body, crate::core::BODY_MAX) {
                 Ok(body) => self.enter_conf(cell.version, decided.body, &body),
                 Err(error) => {
                     (self.published, self.published_digest) = (cell.version, digest);
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -172,7 +172,7 @@
     pub(crate) fn give_recap(&mut self, link: u64, (asker, request): (u64, u64), ranges: &[u64]) {
         self.compare(link, ranges);
         self.tell_leaves(link);
-        let leads: Vec<Message> = self.feed.leads().cloned().map(Message::Leader).collect();
+        let leads: Vec<Message> = self.feed.leaders().cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -1,7 +1,7 @@
 pub use crate::types::{Act, Start};
 use crate::types::{Fall, Link, Peer, Waiting};
 use std::collections::BTreeMap;
-use wv_change_feed::{Feed, Table};
+use wv_change_feed::{Feed, InstanceTable};
 use wv_consensus::{Change, Quorum, Seat, Store};
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_membership::Membership;
@@ -47,7 +47,7 @@
     /// When this node is to be woken next.
     pub(crate) armed: u64,
     pub(crate) feed: Feed,
-    pub(crate) table: Table,
+    pub(crate) table: InstanceTable,
     pub(crate) roster: Membership,
     pub(crate) links: BTreeMap<u64, Link>,
     pub(crate) peers: BTreeMap<String, Peer>,
@@ -60,7 +60,7 @@
     /// The digest of its bytes: one number never stands for two contents.
     pub(crate) published_digest: u64,
     /// Its text and its packed form.
-    pub(crate) packs: wv_compression::Packs,
+    pub(crate) packs: wv_compression::ChunkedCompressor,
     /// When followers were last told of one, of which they were told before that, and whether there is a newer one.
     pub(crate) conf_told: u64,
     pub(crate) conf_base: u64,
@@ -150,7 +150,7 @@
             changed: 0,
             is_unlearned: false,
             quorum,
-            table: Table::default(),
+            table: InstanceTable::default(),
             links: BTreeMap::new(),
             peers,
             waiting: BTreeMap::new(),
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -32,7 +32,8 @@
     /// What the duty is told of one that left. Whoever took its place came after its end.
     pub(crate) fn departed(&self, inst: &Instance) -> Left {
         let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
-        let heir = self.table.of(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
+        let heir =
+            self.table.service_instances(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
         let held = self.left.get(&inst.id);
         let dark = held.and_then(|held| held.dark).map(|dark| dark + DARK_US).filter(|end| *end <= self.now);
         let ended = held.and_then(|held| held.ended).or(dark);
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -45,12 +45,12 @@
             refused_us: self.refused_us(&inst.id),
             left: inst.gone.then(|| self.departed(inst)),
         };
-        self.table.of(service).filter(is_counted).map(database).collect()
+        self.table.service_instances(service).filter(is_counted).map(database).collect()
     }
 
     fn with_duty(&mut self, service: &str, turn: impl FnOnce(&mut wv_promotion::Duty, &View<'_>)) {
         let Some(mut duty) = self.duties.remove(service) else { return };
-        let lead = self.feed.lead(service).map(|lead| lead.id.clone());
+        let lead = self.feed.leader(service).map(|lead| lead.id.clone());
         let databases = self.databases(service, lead.as_deref());
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
         let view = View {
@@ -143,7 +143,7 @@
     }
 
     pub(crate) fn lead_told(&mut self, lead: Leader) {
-        let held = self.feed.lead(&lead.service);
+        let held = self.feed.leader(&lead.service);
         // A term already known to be over is old news; the same word again is none.
         if held.is_none_or(|held| held.term < lead.term && !(held.id == lead.id && held.term == lead.term)) {
             self.note_led(&lead);
@@ -155,7 +155,7 @@
 
     /// What left before this one came to lead matters no more: all that was acknowledged stands in its log.
     pub(crate) fn note_led(&mut self, lead: &Leader) {
-        if self.feed.lead(&lead.service).is_some_and(|held| held.id != lead.id) {
+        if self.feed.leader(&lead.service).is_some_and(|held| held.id != lead.id) {
             self.led.insert(lead.service.clone(), self.now);
         }
     }
--- a/crates/wv-control/src/force.rs
+++ b/crates/wv-control/src/force.rs
@@ -18,7 +18,7 @@
         log::info!("in force {version}");
         self.conf = self.read_conf(body).ok();
         let body = self.conf.as_ref().map_or_else(|| body.into(), |conf| conf.body().clone());
-        self.packs.note(body, packed);
+        self.packs.set_reference(body, packed);
         self.sync_slots();
         self.is_conf_due = true;
         self.tell_conf();
@@ -29,9 +29,9 @@
         if !self.is_conf_due || self.now < self.conf_told + TOLD_US {
             return;
         }
-        (self.conf_told, self.is_conf_due, self.conf_base) = (self.now, false, self.feed.conf_version());
-        let (body, packed) = self.packs.held();
-        let msg = self.feed.publish_conf(self.published, packed, body);
+        (self.conf_told, self.is_conf_due, self.conf_base) = (self.now, false, self.feed.configuration_version());
+        let (body, packed) = self.packs.reference();
+        let msg = self.feed.publish_configuration(self.published, packed, body);
         self.tell_followers(&msg);
         if std::mem::take(&mut self.is_teller) {
             self.tell_thin();
@@ -53,7 +53,7 @@
     fn tell_thin(&mut self) {
         let is_other = |addr: &&String| !self.quorum.voters().contains(addr);
         let others: Vec<String> = self.peers.keys().filter(is_other).cloned().collect();
-        let news = self.feed.conf_since(self.conf_base);
+        let news = self.feed.configuration_updates_since(self.conf_base);
         for addr in others {
             self.send_peer(&addr, Message::CommittedConfigurations(news.clone()));
         }
--- a/crates/wv-control/src/judge.rs
+++ b/crates/wv-control/src/judge.rs
@@ -97,7 +97,7 @@
     fn order(&mut self, token: u64, number: u64, body: &[u8]) {
         let order = Order { number, digest: digest(body) };
         self.waiting.insert(token, Waiting::Put(order));
-        self.quorum.start(token, crate::core::CONF, Some(take(order, self.packs.pack(body))), self.now);
+        self.quorum.start(token, crate::core::CONF, Some(take(order, self.packs.compress(body))), self.now);
         self.run_quorum();
     }
 
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -31,7 +31,7 @@
 
 /// Names as they were written, a line each.
 fn names(cell: &RegisterValue) -> String {
-    let text = wv_compression::unpack(&cell.bytes, wv_configuration::BODY_MAX * 16).map(|text| text.into_owned());
+    let text = wv_compression::decompress(&cell.bytes, wv_configuration::BODY_MAX * 16).map(|text| text.into_owned());
     String::from_utf8(text.unwrap_or_default()).unwrap_or_default()
 }
 
@@ -85,12 +85,12 @@
     }
 
     pub(crate) fn put_things(&mut self, shard: &str, version: u64, (at, text): (usize, &str)) {
-        let value = wv_compression::pack(text.as_bytes());
+        let value = wv_compression::compress(text.as_bytes());
         self.put_keep(shard, &format!("things-{at}"), Keep::ThingsPut(at), (version, value));
     }
 
     pub(crate) fn put_fresh(&mut self, shard: &str, version: u64, text: &str) {
-        let value = wv_compression::pack(text.as_bytes());
+        let value = wv_compression::compress(text.as_bytes());
         self.put_keep(shard, "fresh", Keep::FreshPut, (version, value));
     }
 
--- a/crates/wv-control/src/order.rs
+++ b/crates/wv-control/src/order.rs
@@ -51,7 +51,7 @@
         if let Some(decided) = told.and_then(|(_, told)| DeBin::deserialize_bin(told).ok()) {
             return decided;
         }
-        let body = wv_compression::unpack(&cell.bytes, crate::core::BODY_MAX).unwrap_or_default();
+        let body = wv_compression::decompress(&cell.bytes, crate::core::BODY_MAX).unwrap_or_default();
         let taken = (cell.version > 0).then(|| Order { number: cell.version, digest: digest(&body) });
         Decided { taken: taken.into_iter().collect(), body: cell.bytes.clone() }
     }
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -40,7 +40,7 @@
         }
         self.send(link, Message::Sessions { sessions: self.roster.sessions(self.now) });
         // Whoever was away hears who was promoted meanwhile, and which shards changed hands.
-        let leads: Vec<_> = self.feed.leads().filter(|lead| lead.term > 0).cloned().map(Message::Leader).collect();
+        let leads: Vec<_> = self.feed.leaders().filter(|lead| lead.term > 0).cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
@@ -135,7 +135,7 @@
                 continue;
             }
             self.links.get_mut(&link).into_iter().for_each(|held| held.is_follower = true);
-            let msgs = self.feed.since(life, place, &self.table);
+            let msgs = self.feed.messages_since(life, place, &self.table);
             msgs.into_iter().for_each(|msg| self.send(link, msg));
         }
     }
@@ -234,7 +234,7 @@
         let ours = self.table.digests();
         for (range, sum) in ours.iter().enumerate() {
             if theirs.get(range).is_some_and(|their| their != sum) {
-                let instances = self.table.range(range);
+                let instances = self.table.range_instances(range);
                 self.send(link, Message::InstanceRange { range: range as u32, instances });
             }
         }
@@ -242,7 +242,7 @@
 
     fn mend_range(&mut self, instances: Vec<Instance>) {
         for instance in instances {
-            let changed = self.table.offer(instance.clone());
+            let changed = self.table.merge(instance.clone());
             self.date_leave(&instance, crate::drain::Teller::Peer);
             self.announce(&changed, false);
         }
--- a/crates/wv-control/src/post.rs
+++ b/crates/wv-control/src/post.rs
@@ -59,7 +59,7 @@
     }
 
     pub(crate) fn post(&mut self, service: &str, id: String, fence: u64) {
-        if self.feed.lead(service).is_none_or(|lead| lead.id != id) {
+        if self.feed.leader(service).is_none_or(|lead| lead.id != id) {
             let (service, id, us) = (service.to_owned(), id.clone(), PROMOTING_US);
             self.send_peers(&Message::Promoting { service: service.clone(), id: id.clone(), max_wait_us: us });
             self.publish(FeedUpdate::Promoting { service, id, max_wait_us: us });
--- a/crates/wv-control/src/recall.rs
+++ b/crates/wv-control/src/recall.rs
@@ -80,7 +80,7 @@
                 .filter(|inst| !inst.gone || needed.contains(&inst.id))
                 .map(KeptInst::from)
                 .collect(),
-            leads: self.feed.leads().cloned().collect(),
+            leads: self.feed.leaders().cloned().collect(),
             nodes: self.nodes_told,
         };
         let value = nanoserde::SerBin::serialize_bin(&kept);
@@ -105,14 +105,14 @@
             kept.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
         for inst in gone {
             self.left.insert(inst.id.clone(), Default::default());
-            self.table.offer(Instance { gone: false, ..inst.clone() });
-            self.table.offer(inst);
+            self.table.merge(Instance { gone: false, ..inst.clone() });
+            self.table.merge(inst);
         }
         for inst in here {
             if !inst.primary {
                 self.claims.replicas.insert(inst.id.clone());
             }
-            let changed = self.table.offer(inst);
+            let changed = self.table.merge(inst);
             changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
         }
         kept.leads.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -100,7 +100,7 @@
             pace: plan.rows_per_s,
             seal_us: plan.seal_us,
         });
-        let lead = |service: &str| self.feed.lead(service).map(|lead| (lead.id.clone(), lead.term));
+        let lead = |service: &str| self.feed.leader(service).map(|lead| (lead.id.clone(), lead.term));
         let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
         let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |inst| inst.capacity);
         let first = self.first_slots(shard);
--- a/crates/wv-control/src/thin.rs
+++ b/crates/wv-control/src/thin.rs
@@ -45,8 +45,8 @@
 
     /// Another node holds an older configuration than the one in force.
     pub(crate) fn take_lack(&mut self, link: u64, version: u64) {
-        if version < self.feed.conf_version() {
-            let news = self.feed.conf_since(version);
+        if version < self.feed.configuration_version() {
+            let news = self.feed.configuration_updates_since(version);
             self.send(link, Message::CommittedConfigurations(news));
         }
     }
@@ -56,15 +56,15 @@
         for news in news {
             let read = match news {
                 FeedUpdate::Configuration { version, body } if version > self.published => {
-                    self.packs.unpack(&body, crate::core::BODY_MAX).map(|text| (version, body, text))
+                    self.packs.decompress(&body, crate::core::BODY_MAX).map(|text| (version, body, text))
                 }
                 FeedUpdate::ConfigurationDelta { base, version, delta: change } if version > self.published => {
                     if base != self.published {
                         return self.lack(addr, self.published);
                     }
-                    let (held, _) = self.packs.held();
-                    let made = wv_compression::apply(&held, &change, crate::core::BODY_MAX);
-                    made.map(|text| (version, self.packs.pack(&text), text))
+                    let (held, _) = self.packs.reference();
+                    let made = wv_compression::apply_delta(&held, &change, crate::core::BODY_MAX);
+                    made.map(|text| (version, self.packs.compress(&text), text))
                 }
                 _ => continue,
             };
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -43,7 +43,7 @@
         if self.forgot + FORGET_US <= self.now {
             self.forgot = self.now;
             let needed = self.needed();
-            self.table.forget(&needed);
+            self.table.prune_departed(&needed);
             let table = &self.table;
             self.left.retain(|id, _| table.get(id).is_some());
             self.leave_acks.forget(|id| table.get(id).is_some());
--- a/crates/wv-control/src/words.rs
+++ b/crates/wv-control/src/words.rs
@@ -110,11 +110,11 @@
 
     /// The newest term that anyone has seen of this service.
     pub(crate) fn known_term(&self, service: &str) -> u64 {
-        let ids = self.table.of(service).map(|inst| inst.id.as_str());
+        let ids = self.table.service_instances(service).map(|inst| inst.id.as_str());
         let seen = ids
             .flat_map(|id| self.words(id))
             .filter_map(|(sight, _)| LogPosition::parse(sight.fenced_position.as_bytes()));
-        let told = self.feed.lead(service).map_or(0, |lead| lead.term);
+        let told = self.feed.leader(service).map_or(0, |lead| lead.term);
         seen.map(|pos| pos.term).max().unwrap_or(0).max(told)
     }
 
--- a/crates/wv-simulation/tests/change.rs
+++ b/crates/wv-simulation/tests/change.rs
@@ -49,7 +49,7 @@
 #[gtest]
 fn given_a_long_configuration_then_a_change_of_one_route_crosses_the_thin_link_as_what_differs() {
     let mut world = fleet();
-    let packed = wv_compression::pack(&long(5, 2000)).len() as u64;
+    let packed = wv_compression::compress(&long(5, 2000)).len() as u64;
     expect_that!(packed, gt(20_000));
     let first = crossed(&mut world, "c7", |world| expect_that!(put(world, 0, &long(5, 2000)), eq(200)));
     expect_that!(version(&world, 7), eq(5));
@@ -68,7 +68,7 @@
 fn given_a_machine_without_a_disk_that_starts_then_it_catches_up_by_one_copy_of_a_long_configuration() {
     let mut world = fleet();
     expect_that!(put(&mut world, 0, &long(5, 2000)), eq(200));
-    let packed = wv_compression::pack(&long(5, 2000)).len() as u64;
+    let packed = wv_compression::compress(&long(5, 2000)).len() as u64;
     restart_thin(&mut world, 7);
     let start = crossed(&mut world, "c7", |world| world.run(2 * S));
     expect_that!(version(&world, 7), eq(5));
