--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -14,7 +14,7 @@
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
     #[error("configuration {0}: {1}")]
-    Conf(String, wv_configuration::ConfError),
+    Conf(String, wv_configuration::ConfigurationError),
     #[error("data folder {0}: {1}")]
     Data(String, wv_consensus::RegError),
     #[error("{0}: {1}")]
@@ -58,8 +58,8 @@
         return check_data(dir);
     }
     if let Some(path) = text(found, "configuration") {
-        let conf =
-            wv_configuration::Conf::parse(&read(path)?).map_err(|error| MainError::Conf(path.to_owned(), error))?;
+        let conf = wv_configuration::Configuration::parse(&read(path)?)
+            .map_err(|error| MainError::Conf(path.to_owned(), error))?;
         println!("valid: issue {}, {} routes, {} services", conf.version, conf.routes.len(), conf.services.len());
         conf.tenants.iter().for_each(|tenant| println!("tenant {} of weight {}", tenant.label, tenant.weight));
         conf.partners.iter().for_each(|partner| println!("partner {} with portion {}", partner.label, partner.portion));
--- a/crates/wv-access/src/care.rs
+++ b/crates/wv-access/src/care.rs
@@ -34,7 +34,9 @@
             }
             return;
         }
-        let read = held.as_ref().map_or_else(|| wv_configuration::Conf::parse(&body), |held| held.renew(&body));
+        let read = held
+            .as_ref()
+            .map_or_else(|| wv_configuration::Configuration::parse(&body), |held| held.parse_incremental(&body));
         // Only checked configurations enter the feed; one that cannot be read here changes nothing.
         let Ok(conf) = read else {
             self.body = (version, body.into());
--- a/crates/wv-access/src/client.rs
+++ b/crates/wv-access/src/client.rs
@@ -30,7 +30,7 @@
             tries_since: None,
         };
         self.clients.insert(id, client);
-        let wait = self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.setup_us);
+        let wait = self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.setup_timeout_us);
         self.timers.put(self.now + wait, Timer::Setup { client: id });
         id
     }
@@ -55,7 +55,7 @@
 
     /// Takes whole lines until one opens a statement that has to wait.
     pub(crate) fn read_on(&mut self, id: u64) {
-        let bound = self.conf.as_ref().map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |conf| conf.limits.line_bytes);
+        let bound = self.conf.as_ref().map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |conf| conf.limits.max_line_bytes);
         let Some(client) = self.clients.get_mut(&id) else { return };
         let buf = std::mem::take(&mut client.inbuf);
         let mut at = 0;
--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -15,13 +15,13 @@
 const HOLD_FIRST_US: u64 = 15_000;
 const HOLD_LAST_US: u64 = 400_000;
 
-pub type Map<K, V> = hashbrown::HashMap<K, V, wv_configuration::Fixed>;
+pub type Map<K, V> = hashbrown::HashMap<K, V, wv_configuration::DeterministicHasher>;
 
 /// All state of an access node. Events and time go in, acts come out.
 pub struct Core {
     pub(crate) now: u64,
     pub(crate) zone: String,
-    pub(crate) conf: Option<Rc<wv_configuration::Conf>>,
+    pub(crate) conf: Option<Rc<wv_configuration::Configuration>>,
     /// The configuration's version and body as they came, for changes to be made to.
     pub(crate) body: (u64, Rc<[u8]>),
     pub(crate) checks: Checks,
--- a/crates/wv-access/src/news.rs
+++ b/crates/wv-access/src/news.rs
@@ -30,8 +30,8 @@
     fn news(&mut self, news: FeedUpdate) -> Result<(), wv_change_feed::Gap> {
         match news {
             FeedUpdate::Configuration { version, body } => {
-                let body =
-                    wv_compression::decompress(&body, wv_configuration::BODY_MAX).map(std::borrow::Cow::into_owned);
+                let body = wv_compression::decompress(&body, wv_configuration::MAX_BODY_BYTES)
+                    .map(std::borrow::Cow::into_owned);
                 self.take_conf(version, body);
             }
             FeedUpdate::ConfigurationDelta { base, version, delta: change } => {
@@ -43,7 +43,7 @@
                 if self.body.0 != base {
                     return Err(wv_change_feed::Gap);
                 }
-                let body = wv_compression::apply_delta(&self.body.1, &change, wv_configuration::BODY_MAX);
+                let body = wv_compression::apply_delta(&self.body.1, &change, wv_configuration::MAX_BODY_BYTES);
                 if body.is_err() {
                     return Err(wv_change_feed::Gap);
                 }
--- a/crates/wv-access/src/share.rs
+++ b/crates/wv-access/src/share.rs
@@ -38,7 +38,11 @@
     }
 
     /// Weights bind from the next start on; what is under way ends as it began.
-    pub(crate) fn set_tenants(&mut self, conf: &wv_configuration::Conf, before: Option<&wv_configuration::Conf>) {
+    pub(crate) fn set_tenants(
+        &mut self,
+        conf: &wv_configuration::Configuration,
+        before: Option<&wv_configuration::Configuration>,
+    ) {
         // Where nobody has a share, all sessions are alike: they need not be gone through.
         if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -50,11 +50,11 @@
     }
 
     /// The plans of a configuration that came into force.
-    pub(crate) fn set_plans(&mut self, conf: &wv_configuration::Conf) {
+    pub(crate) fn set_plans(&mut self, conf: &wv_configuration::Configuration) {
         let now = self.now;
         let slots = &mut self.slots;
-        slots.awaited.retain(|shard, _| conf.plans.iter().any(|plan| plan.shard == *shard));
-        for plan in conf.plans.iter().filter(|plan| !slots.shards.contains_key(&plan.shard)) {
+        slots.awaited.retain(|shard, _| conf.shard_plans.iter().any(|plan| plan.shard == *shard));
+        for plan in conf.shard_plans.iter().filter(|plan| !slots.shards.contains_key(&plan.shard)) {
             slots.awaited.entry(plan.shard.clone()).or_insert(now);
         }
     }
--- a/crates/wv-access/src/txn.rs
+++ b/crates/wv-access/src/txn.rs
@@ -65,7 +65,7 @@
 
     /// The session goes back to rest inside its transaction.
     pub(crate) fn rest(&mut self, id: u64) {
-        let (now, wait) = (self.now, self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.txn_idle_us));
+        let (now, wait) = (self.now, self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.txn_idle_timeout_us));
         if let Some(txn) = self.clients.get_mut(&id).and_then(|client| client.txn.as_mut()) {
             txn.rests_since = now;
             self.timers.put(now + wait, Timer::TxnIdle { client: id, since: now });
--- a/crates/wv-access/src/types.rs
+++ b/crates/wv-access/src/types.rs
@@ -86,7 +86,8 @@
 
     /// Routes that read on replicas carry other work than those that do not.
     pub fn kind(&self) -> usize {
-        let is_bounded = |route: &Rc<Route>| matches!(route.category, wv_configuration::Category::Bounded { .. });
+        let is_bounded =
+            |route: &Rc<Route>| matches!(route.category, wv_configuration::Category::BoundedStaleness { .. });
         usize::from(self.route.as_ref().is_some_and(is_bounded))
     }
 }
--- a/crates/wv-configuration/src/lib.rs
+++ b/crates/wv-configuration/src/lib.rs
@@ -1,60 +1,61 @@
-//! The operator's configuration: read whole, checked, and kept as sent.
-mod cut;
-mod entry;
-mod hosts;
-mod parts;
-mod path;
-mod plans;
-mod renew;
-
-pub use parts::{is_meant, Partner, Tenant, PARTS_MAX};
-pub use path::{PathError, Reader};
-pub use plans::ShardPlan;
-
-/// Bounds on what a configuration may hold.
-pub const BODY_MAX: usize = 1 << 20;
-pub const ENTRIES_MAX: usize = 10_000;
+//! The operator's configuration: parsed and validated as a whole, and kept together with its original text.
+mod entries;
+mod entry_spans;
+mod host_index;
+mod incremental;
+mod reader;
+mod sections;
+mod shard_plans;
+
+pub use reader::{PathError, Reader};
+pub use sections::{matches_pattern, Partner, Tenant, MAX_SECTION_ENTRIES};
+pub use shard_plans::ShardPlan;
+
+/// Maximum length of a configuration.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
+/// Maximum number of routes, and of services.
+pub const MAX_ENTRIES: usize = 10_000;
 
 #[derive(thiserror::Error, Debug)]
-pub enum ConfError {
-    #[error("not readable as JSON: {0}")]
+pub enum ConfigurationError {
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
     #[error(transparent)]
     Path(#[from] PathError),
-    #[error("route {0} names the unknown service {1}")]
+    #[error("route {0}: unknown service {1}")]
     UnknownService(String, String),
-    #[error("two routes share host {0} and prefix {1}")]
-    SamePlace(String, String),
-    #[error("route {0} has an expiryMs of 0")]
-    NoLimit(String),
-    #[error("service {0} stands twice")]
-    SameService(String),
-    #[error("more than {ENTRIES_MAX} entries")]
-    TooMany,
+    #[error("duplicate route for host {0} and path prefix {1}")]
+    DuplicateRoute(String, String),
+    #[error("route {0}: expiryMs must be greater than 0")]
+    ZeroExpiry(String),
+    #[error("duplicate service {0}")]
+    DuplicateService(String),
+    #[error("more than {MAX_ENTRIES} entries")]
+    TooManyEntries,
     #[error("{0} has more than {1} entries")]
-    TooManyOf(String, usize),
-    #[error("{0}: {1} is not known in this configuration")]
+    TooManySectionEntries(String, usize),
+    #[error("{0}: {1} is not defined in this configuration")]
     UnknownName(String, String),
-    #[error("{0}: {1} stands twice")]
-    SameLabel(String, String),
+    #[error("{0}: duplicate {1}")]
+    DuplicateLabel(String, String),
     #[error("{0}: {1}")]
     Calendar(String, String),
-    #[error("{0}: {1} belongs to {2} already")]
-    TwoPlaces(String, String, String),
+    #[error("{0}: {1} is already used by {2}")]
+    Conflict(String, String, String),
 }
 
-/// Hashes alike in every process, so that what is gone through in the order of a table goes alike too: a replay must
-/// come out the same each time. Keys are the operator's and our own, never a client's.
+/// Hasher with fixed seeds, so that hash tables iterate in the same order in every process and replays are
+/// deterministic. Not resistant to collision attacks: use it only for keys that clients cannot choose.
 #[derive(Clone)]
-pub struct Fixed(ahash::RandomState);
+pub struct DeterministicHasher(ahash::RandomState);
 
-impl Default for Fixed {
-    fn default() -> Fixed {
-        Fixed(ahash::RandomState::with_seeds(0x77, 0x69, 0x6e, 0x64))
+impl Default for DeterministicHasher {
+    fn default() -> DeterministicHasher {
+        DeterministicHasher(ahash::RandomState::with_seeds(0x77, 0x69, 0x6e, 0x64))
     }
 }
 
-impl std::hash::BuildHasher for Fixed {
+impl std::hash::BuildHasher for DeterministicHasher {
     type Hasher = ahash::AHasher;
 
     fn build_hasher(&self) -> ahash::AHasher {
@@ -62,11 +63,13 @@
     }
 }
 
-/// Which databases may run a route's reads.
+/// The consistency that a route requires of its reads.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Category {
+    /// Reads run on the primary only.
     Primary,
-    Bounded { stale_us: u64 },
+    /// Reads may run on replicas within the staleness bound.
+    BoundedStaleness { max_staleness_us: u64 },
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -79,8 +82,8 @@
     pub precedence: u32,
     pub service: String,
     pub max_attempts: u32,
-    /// The beginning of paths that it is for; none where it is for all.
-    pub prefix: Option<Box<str>>,
+    /// The prefix of the paths that it serves; `None` for all paths.
+    pub path_prefix: Option<Box<str>>,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -92,98 +95,101 @@
 
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Limits {
-    pub line_bytes: usize,
-    pub setup_us: u64,
-    pub txn_idle_us: u64,
+    pub max_line_bytes: usize,
+    pub setup_timeout_us: u64,
+    pub txn_idle_timeout_us: u64,
 }
 
-pub type Services = hashbrown::HashMap<String, Service, Fixed>;
+pub type Services = hashbrown::HashMap<String, Service, DeterministicHasher>;
 
-/// One whole configuration under its version.
+/// A validated configuration with its version.
 #[derive(Clone, Debug)]
-pub struct Conf {
+pub struct Configuration {
     pub version: u64,
     pub routes: Vec<std::rc::Rc<Route>>,
     pub services: std::rc::Rc<Services>,
     pub limits: Limits,
-    /// Sections that may be absent; without them nothing is divided and nothing owned.
+    /// Optional; if empty, capacity is not divided.
     pub tenants: Vec<Tenant>,
+    /// Optional; if empty, shards have no owners.
     pub partners: Vec<Partner>,
-    /// The services that are shared among partners.
+    /// The services that are distributed among the partners, sorted.
     pub shards: Vec<String>,
-    /// The services that are to be split in time.
-    pub plans: Vec<ShardPlan>,
-    /// The labels of the services in their order.
+    pub shard_plans: Vec<ShardPlan>,
+    /// The labels of the services in list order.
     labels: std::rc::Rc<Vec<String>>,
-    hosts: std::rc::Rc<hosts::Hosts>,
-    /// The text that all this was read of, and where its routes and services stand in it.
+    hosts: std::rc::Rc<host_index::HostIndex>,
+    /// The original text, and the position of each route and service in it.
     body: std::rc::Rc<[u8]>,
-    entries: Vec<cut::Entry>,
-    /// How many entries were read, rather than taken from an older configuration.
-    pub fresh: usize,
+    spans: Vec<entry_spans::EntrySpan>,
+    /// Number of entries that were parsed rather than reused from the previous configuration.
+    pub parsed_entries: usize,
 }
 
-impl Conf {
-    /// Reads the whole text.
-    pub fn parse(body: &[u8]) -> Result<Conf, ConfError> {
+impl Configuration {
+    /// Parses the whole text.
+    pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         let value: serde_json::Value = serde_json::from_slice(body)?;
-        let mut conf = Conf::read(&value, &renew::Known::none())?;
-        conf.entries = cut::entries(body, &conf);
-        conf.body = body.into();
-        Ok(conf)
+        let mut configuration = Configuration::from_value(&value, &incremental::ReusedEntries::none())?;
+        configuration.spans = entry_spans::entry_spans(body, &configuration);
+        configuration.body = body.into();
+        Ok(configuration)
     }
 
-    /// Reads a value whose lists may hold, in place of entries that are known, what tells which they are.
-    fn read(value: &serde_json::Value, known: &renew::Known<'_>) -> Result<Conf, ConfError> {
+    /// Reads a value whose lists may contain placeholders for reused entries.
+    fn from_value(
+        value: &serde_json::Value,
+        reused: &incremental::ReusedEntries<'_>,
+    ) -> Result<Configuration, ConfigurationError> {
         let reader = Reader::new(value);
-        let version = reader.whole("issue")?;
+        let version = reader.integer("issue")?;
         let (service_list, route_list) = (reader.list("services")?, reader.list("routing")?);
-        if known.count(&service_list) > ENTRIES_MAX || known.count(&route_list) > ENTRIES_MAX {
-            return Err(ConfError::TooMany);
+        if reused.entry_count(&service_list) > MAX_ENTRIES || reused.entry_count(&route_list) > MAX_ENTRIES {
+            return Err(ConfigurationError::TooManyEntries);
         }
-        let shared = known.services(&service_list);
-        let is_shared = shared.is_some();
-        let (services, labels) = shared.map_or_else(|| entry::services(&service_list, known), Ok)?;
+        let unchanged = reused.unchanged_services(&service_list);
+        let is_unchanged = unchanged.is_some();
+        let (services, labels) = unchanged.map_or_else(|| entries::parse_services(&service_list, reused), Ok)?;
         let mut routes = Vec::new();
-        let mut hosts = hosts::Entering::new(known.old());
+        let mut hosts = host_index::HostIndexBuilder::new(reused.previous_routes());
         for entry in route_list {
-            let run = known.run(&entry);
-            let fresh = if run.is_none() { Some(std::rc::Rc::new(entry::route(&entry)?)) } else { None };
-            // A route that stood there before names one of the same services.
-            let is_checked = run.is_some() && is_shared;
-            for route in run.into_iter().flatten().filter_map(|at| known.route(*at)).chain(fresh) {
+            let run = reused.visit_run(&entry);
+            let parsed = if run.is_none() { Some(std::rc::Rc::new(entries::parse_route(&entry)?)) } else { None };
+            // The service of a reused route was checked when the services are unchanged.
+            let is_checked = run.is_some() && is_unchanged;
+            for route in run.into_iter().flatten().filter_map(|matched| reused.route(*matched)).chain(parsed) {
                 if !is_checked && !services.contains_key(&route.service) {
-                    return Err(ConfError::UnknownService(route.label.clone(), route.service.clone()));
+                    return Err(ConfigurationError::UnknownService(route.label.clone(), route.service.clone()));
                 }
-                if !hosts.enter(&routes, &route) {
-                    let prefix = route.prefix.as_deref().unwrap_or("/").to_owned();
-                    return Err(ConfError::SamePlace(route.host.clone(), prefix));
+                if !hosts.insert(&routes, &route) {
+                    let prefix = route.path_prefix.as_deref().unwrap_or("/").to_owned();
+                    return Err(ConfigurationError::DuplicateRoute(route.host.clone(), prefix));
                 }
                 routes.push(route);
             }
         }
-        let hosts = hosts.end(&routes);
+        let hosts = hosts.build(&routes);
         let limits = Limits {
-            line_bytes: (reader.whole_or("limits.headerBytes", 16_384)? as usize)
-                .saturating_add(reader.whole_or("limits.bodyBytes", 262_144)? as usize)
+            max_line_bytes: (reader.integer_or("limits.headerBytes", 16_384)? as usize)
+                .saturating_add(reader.integer_or("limits.bodyBytes", 262_144)? as usize)
                 .clamp(1024, 1 << 20),
-            setup_us: entry::ms_or(&reader, "limits.headerTimerMs", 3_000_000)?,
-            txn_idle_us: entry::ms_or(&reader, "limits.txnIdleMs", 3_000_000)?,
+            setup_timeout_us: entries::duration_us_or(&reader, "limits.headerTimerMs", 3_000_000)?,
+            txn_idle_timeout_us: entries::duration_us_or(&reader, "limits.txnIdleMs", 3_000_000)?,
         };
-        let tenants = parts::tenants(&reader, |host| hosts.find(&routes, host).is_some())?;
-        let partners = parts::partners(&reader)?;
-        let mut shards = parts::shards(&reader, |name| services.contains_key(name))?;
-        // Where partners are named and no shards, all services are shared.
+        let tenants = sections::parse_tenants(&reader, |host| hosts.find(&routes, host).is_some())?;
+        let partners = sections::parse_partners(&reader)?;
+        let mut shards = sections::parse_shards(&reader, |name| services.contains_key(name))?;
+        // If partners are configured without shards, all services are shards.
         if shards.is_empty() && !partners.is_empty() {
             shards = services.keys().cloned().collect();
         }
         shards.sort();
         let is_synced = |name: &str| services.get(name).map(|service: &Service| service.sync_replicas > 0);
-        let routed = |name: &str| routes.iter().find(|route| route.service == name).map(|route| route.label.clone());
-        let plans = plans::plans(&reader, is_synced, routed)?;
-        let (body, entries) = Default::default();
-        let fresh = (routes.len() + labels.len()).saturating_sub(known.taken());
-        Ok(Conf {
+        let routed_by = |name: &str| routes.iter().find(|route| route.service == name).map(|route| route.label.clone());
+        let shard_plans = shard_plans::parse_plans(&reader, is_synced, routed_by)?;
+        let (body, spans) = Default::default();
+        let parsed_entries = (routes.len() + labels.len()).saturating_sub(reused.len());
+        Ok(Configuration {
             version,
             routes,
             services,
@@ -191,22 +197,22 @@
             tenants,
             partners,
             shards,
-            plans,
+            shard_plans,
             labels,
             hosts,
             body,
-            entries,
-            fresh,
+            spans,
+            parsed_entries,
         })
     }
 
-    /// The text that this was read of.
+    /// The original text.
     pub fn body(&self) -> &std::rc::Rc<[u8]> {
         &self.body
     }
 
-    /// The route whose host is this database name.
+    /// The route whose host is the given database name.
     pub fn route(&self, database: &str) -> Option<&std::rc::Rc<Route>> {
-        self.hosts.find(&self.routes, database).and_then(|at| self.routes.get(at))
+        self.hosts.find(&self.routes, database).and_then(|index| self.routes.get(index))
     }
 }
--- a/crates/wv-configuration/src/path.rs
+++ b/crates/wv-configuration/src/reader.rs
@@ -1,13 +1,14 @@
-//! A small reader of paths over a parsed value: `limits.headerBytes`, `listenAddrs.front`.
+//! Typed access to a parsed value by dotted path, such as `limits.headerBytes` or `listenAddrs.front`.
 
 #[derive(thiserror::Error, Debug, PartialEq, Eq)]
 pub enum PathError {
     #[error("{0} is missing")]
     Missing(String),
     #[error("{0} is not {1}")]
-    Kind(String, &'static str),
+    WrongType(String, &'static str),
 }
 
+/// A value and the path at which it was found, for error messages.
 pub struct Reader<'a> {
     value: &'a serde_json::Value,
     base: String,
@@ -18,7 +19,8 @@
         Reader { value, base: String::new() }
     }
 
-    pub fn name(&self, path: &str) -> String {
+    /// The path from the root of the document.
+    pub fn full_path(&self, path: &str) -> String {
         if self.base.is_empty() {
             path.to_owned()
         } else {
@@ -34,35 +36,35 @@
         self.find(path).is_some()
     }
 
-    fn want<T>(
+    fn get<T>(
         &self,
         path: &str,
-        kind: &'static str,
+        expected: &'static str,
         read: impl FnOnce(&'a serde_json::Value) -> Option<T>,
     ) -> Result<T, PathError> {
         self.find(path)
-            .ok_or_else(|| PathError::Missing(self.name(path)))
-            .and_then(|value| read(value).ok_or_else(|| PathError::Kind(self.name(path), kind)))
+            .ok_or_else(|| PathError::Missing(self.full_path(path)))
+            .and_then(|value| read(value).ok_or_else(|| PathError::WrongType(self.full_path(path), expected)))
     }
 
-    pub fn text(&self, path: &str) -> Result<&'a str, PathError> {
-        self.want(path, "a text", |value| value.as_str())
+    pub fn string(&self, path: &str) -> Result<&'a str, PathError> {
+        self.get(path, "a string", |value| value.as_str())
     }
 
-    pub fn flag(&self, path: &str) -> Result<bool, PathError> {
-        self.want(path, "true or false", |value| value.as_bool())
+    pub fn boolean(&self, path: &str) -> Result<bool, PathError> {
+        self.get(path, "true or false", |value| value.as_bool())
     }
 
-    /// Zero or more, whole or not.
+    /// A finite number that is not negative.
     pub fn number(&self, path: &str) -> Result<f64, PathError> {
-        self.want(path, "a number of 0 or more", |value| {
+        self.get(path, "a non-negative number", |value| {
             value.as_f64().filter(|number| number.is_finite() && *number >= 0.0)
         })
     }
 
-    /// Zero or more and whole.
-    pub fn whole(&self, path: &str) -> Result<u64, PathError> {
-        self.want(path, "a whole number of 0 or more", |value| {
+    /// A non-negative integer, also one written as a float such as `5.0`.
+    pub fn integer(&self, path: &str) -> Result<u64, PathError> {
+        self.get(path, "a non-negative integer", |value| {
             value.as_u64().or_else(|| {
                 value
                     .as_f64()
@@ -72,35 +74,35 @@
         })
     }
 
-    pub fn whole_or(&self, path: &str, default: u64) -> Result<u64, PathError> {
+    pub fn integer_or(&self, path: &str, default: u64) -> Result<u64, PathError> {
         if self.has(path) {
-            self.whole(path)
+            self.integer(path)
         } else {
             Ok(default)
         }
     }
 
     pub fn list(&self, path: &str) -> Result<Vec<Reader<'a>>, PathError> {
-        self.want(path, "a list", |value| value.as_array()).map(|entries| {
+        self.get(path, "a list", |value| value.as_array()).map(|entries| {
             entries
                 .iter()
                 .enumerate()
-                .map(|(at, value)| Reader { value, base: format!("{}[{at}]", self.name(path)) })
+                .map(|(index, value)| Reader { value, base: format!("{}[{index}]", self.full_path(path)) })
                 .collect()
         })
     }
 
-    /// This value itself as a text, for entries of a list of texts.
-    pub fn itself(&self) -> Result<&'a str, PathError> {
-        self.value.as_str().ok_or_else(|| PathError::Kind(self.base.clone(), "a text"))
+    /// This value as a string, for entries of a list.
+    pub fn as_str(&self) -> Result<&'a str, PathError> {
+        self.value.as_str().ok_or_else(|| PathError::WrongType(self.base.clone(), "a string"))
     }
 
-    /// The value itself, where it is not what a reader of paths expects.
     pub(crate) fn value(&self) -> &'a serde_json::Value {
         self.value
     }
 
-    pub fn itself_whole(&self) -> Result<u64, PathError> {
-        self.value.as_u64().ok_or_else(|| PathError::Kind(self.base.clone(), "a whole number"))
+    /// This value as an integer, for entries of a list.
+    pub fn as_integer(&self) -> Result<u64, PathError> {
+        self.value.as_u64().ok_or_else(|| PathError::WrongType(self.base.clone(), "a non-negative integer"))
     }
 }
--- a/crates/wv-control/src/beats.rs
+++ b/crates/wv-control/src/beats.rs
@@ -25,14 +25,14 @@
     let inst = || -> Result<Instance, wv_configuration::PathError> {
         Ok(Instance {
             id: id.to_owned(),
-            service: reader.text("destination")?.to_owned(),
-            address: reader.text("address")?.to_owned(),
-            zone: reader.text("zone").unwrap_or_default().to_owned(),
-            capacity: reader.whole_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
-            draining: reader.text("state")? == "draining",
+            service: reader.string("destination")?.to_owned(),
+            address: reader.string("address")?.to_owned(),
+            zone: reader.string("zone").unwrap_or_default().to_owned(),
+            capacity: reader.integer_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
+            draining: reader.string("state")? == "draining",
             cold_left_us: if reader.has("coldLeftMs") { (reader.number("coldLeftMs")? * 1000.0) as u64 } else { 0 },
-            primary: reader.has("dbRole") && reader.text("dbRole")? == "primary",
-            sequence: reader.whole("sequence")?,
+            primary: reader.has("dbRole") && reader.string("dbRole")? == "primary",
+            sequence: reader.integer("sequence")?,
             gone: false,
             leaving_age_us: 0,
         })
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -211,7 +211,7 @@
     pub(crate) fn catch_up(&mut self) {
         let has_conf = if self.is_thin() { self.has_newest() } else { self.contact.has_conf };
         let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced.contains(&plan.shard);
-        let has_slots = self.conf.as_ref().is_none_or(|conf| conf.plans.iter().all(is_synced));
+        let has_slots = self.conf.as_ref().is_none_or(|conf| conf.shard_plans.iter().all(is_synced));
         let is_whole = has_conf && has_slots && self.has_recap();
         if is_whole && self.contact.is_held && self.is_fresh() && !self.is_caught_up {
             self.is_caught_up = true;
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -9,7 +9,7 @@
 pub const CONF: &str = "conf";
 pub use wv_consensus::LOCAL;
 /// The configuration's body is read up to this bound.
-pub const BODY_MAX: usize = wv_configuration::BODY_MAX;
+pub const BODY_MAX: usize = wv_configuration::MAX_BODY_BYTES;
 /// How often a node has its regular turn.
 pub const TURN_US: u64 = 100_000;
 /// A majority that answered what was asked within this is fresh contact.
@@ -81,7 +81,7 @@
     pub(crate) fewer_since: u64,
     /// How many access nodes there were before this life.
     pub(crate) nodes_recalled: u32,
-    pub(crate) conf: Option<wv_configuration::Conf>,
+    pub(crate) conf: Option<wv_configuration::Configuration>,
     pub(crate) duties: BTreeMap<String, wv_promotion::Duty>,
     pub(crate) fences: BTreeMap<String, u64>,
     pub(crate) calls: crate::post::Calls,
--- a/crates/wv-control/src/fills.rs
+++ b/crates/wv-control/src/fills.rs
@@ -91,8 +91,8 @@
         if held.fill.wanted_until_us > now {
             return Some(held.fill.wanted_until_us);
         }
-        let advice = held.fill.advice.as_ref().filter(|_| plan.is_auto)?;
-        let is_open = (advice.from_us..advice.until_us).contains(&now) && plan.quiet.is_open(now);
+        let advice = held.fill.advice.as_ref().filter(|_| plan.is_automatic)?;
+        let is_open = (advice.from_us..advice.until_us).contains(&now) && plan.quiet_windows.is_open(now);
         (is_open && advice.raised_us > moved_us).then_some(advice.until_us)
     }
 
@@ -142,11 +142,11 @@
 
     fn look_ahead(&self, shard: &str, held: &mut Shard) {
         let Some(plan) = self.shard_plan(shard) else { return };
-        let level = |max: u64| (max as f64 * plan.warn_at) as u64;
-        let outlook = forecast(&held.fill.history, (level(plan.rows_max), level(plan.bytes_max)), METHOD);
+        let level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
+        let outlook = forecast(&held.fill.history, (level(plan.max_rows), level(plan.max_bytes)), METHOD);
         let rows = held.fill.history.points().last().map_or(0, |point| point.rows);
-        let move_us = MOVE_US + rows / 2 * 1_000_000 / u64::from(plan.rows_per_s);
-        let need = Need { now_us: self.epoch_us(), windows: plan.quiet.windows(self.epoch_us(), 4), move_us };
+        let move_us = MOVE_US + rows / 2 * 1_000_000 / u64::from(plan.max_rows_per_s);
+        let need = Need { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
         let (advice, is_news) = advise(&outlook, &need, held.fill.advice.as_ref());
         if is_news {
             match &advice {
--- a/crates/wv-control/src/force.rs
+++ b/crates/wv-control/src/force.rs
@@ -8,8 +8,13 @@
 
 impl Core {
     /// Reads a configuration, quickly where it is like the one in force.
-    pub(crate) fn read_conf(&self, body: &[u8]) -> Result<wv_configuration::Conf, wv_configuration::ConfError> {
-        self.conf.as_ref().map_or_else(|| wv_configuration::Conf::parse(body), |held| held.renew(body))
+    pub(crate) fn read_conf(
+        &self,
+        body: &[u8],
+    ) -> Result<wv_configuration::Configuration, wv_configuration::ConfigurationError> {
+        self.conf
+            .as_ref()
+            .map_or_else(|| wv_configuration::Configuration::parse(body), |held| held.parse_incremental(body))
     }
 
     /// Takes over a configuration that stands on a majority; followers hear of it at once where it is calm.
--- a/crates/wv-control/src/judge.rs
+++ b/crates/wv-control/src/judge.rs
@@ -26,7 +26,7 @@
 
 impl Core {
     /// A valid configuration: taken at once where nothing has to be read first.
-    pub(crate) fn judge(&mut self, token: u64, conf: &wv_configuration::Conf, body: &[u8]) {
+    pub(crate) fn judge(&mut self, token: u64, conf: &wv_configuration::Configuration, body: &[u8]) {
         if self.pending.len() >= PENDING_MAX {
             return self.ret(token, 503, UNREAD);
         }
@@ -49,9 +49,9 @@
     }
 
     /// Shards that are planned, or have moved slots, and would lose their plan.
-    fn dropped_plans(&self, conf: &wv_configuration::Conf) -> BTreeSet<String> {
-        let is_kept = |shard: &&String| conf.plans.iter().any(|plan| plan.shard == **shard);
-        let planned = self.conf.iter().flat_map(|held| held.plans.iter().map(|plan| &plan.shard));
+    fn dropped_plans(&self, conf: &wv_configuration::Configuration) -> BTreeSet<String> {
+        let is_kept = |shard: &&String| conf.shard_plans.iter().any(|plan| plan.shard == **shard);
+        let planned = self.conf.iter().flat_map(|held| held.shard_plans.iter().map(|plan| &plan.shard));
         let moved = self.feed.slots().values().filter(|map| !map.moved.is_empty()).map(|map| &map.shard);
         let is_news = conf.version > self.published;
         planned.chain(moved).filter(|shard| is_news && !is_kept(shard)).cloned().collect()
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -31,7 +31,8 @@
 
 /// Names as they were written, a line each.
 fn names(cell: &RegisterValue) -> String {
-    let text = wv_compression::decompress(&cell.bytes, wv_configuration::BODY_MAX * 16).map(|text| text.into_owned());
+    let text =
+        wv_compression::decompress(&cell.bytes, wv_configuration::MAX_BODY_BYTES * 16).map(|text| text.into_owned());
     String::from_utf8(text.unwrap_or_default()).unwrap_or_default()
 }
 
@@ -63,7 +64,7 @@
     pub(crate) fn sync_slots(&mut self) {
         let Some(conf) = self.conf.as_ref().filter(|_| self.contact.is_held) else { return };
         let is_new = |shard: &String| !self.contact.synced.contains(shard) && !self.contact.syncing.contains(shard);
-        let new: Vec<String> = conf.plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
+        let new: Vec<String> = conf.shard_plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
         for shard in new {
             self.contact.syncing.insert(shard.clone());
             self.start_keep(&shard, "slots", Keep::SyncSlots(self.contact.spell), None);
--- a/crates/wv-control/src/outlook.rs
+++ b/crates/wv-control/src/outlook.rs
@@ -49,8 +49,8 @@
         let advice = held.fill.advice.as_ref();
         serde_json::json!({
             "shard": shard, "rows": rows, "bytes": bytes, "error": (held.fill.sample.error() * 1e4).round() / 1e4,
-            "rowsShare": plan.and_then(|plan| share(rows, plan.rows_max)),
-            "bytesShare": plan.and_then(|plan| share(bytes, plan.bytes_max)),
+            "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
+            "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
             "names": held.split.names.len(), "forecast": forecast_json(held.fill.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::text(advice.early_us), "likely": advice.likely_us.map(wv_calendar::text),
@@ -77,7 +77,7 @@
         };
         let unknown = |shard: &str| serde_json::json!({ "shard": shard, "forecast": forecast_json(None) });
         let list: Vec<serde_json::Value> =
-            conf.plans.iter().map(|plan| told(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
+            conf.shard_plans.iter().map(|plan| told(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
         self.ret(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
     }
 
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_configuration::ShardPlan> {
-        self.conf.as_ref()?.plans.iter().find(|plan| plan.shard == shard)
+        self.conf.as_ref()?.shard_plans.iter().find(|plan| plan.shard == shard)
     }
 
     /// The slots that the shard had at first: all, or what a split of another one brought.
@@ -77,7 +77,7 @@
     pub(crate) fn run_shards(&mut self) {
         self.sync_slots();
         let Some(conf) = &self.conf else { return };
-        let planned = conf.plans.iter().map(|plan| plan.shard.clone());
+        let planned = conf.shard_plans.iter().map(|plan| plan.shard.clone());
         let names: std::collections::BTreeSet<String> = planned.chain(self.shards.keys().cloned()).collect();
         for shard in names {
             let is_known = self.shards.contains_key(&shard);
@@ -97,8 +97,8 @@
         let plan = self.shard_plan(shard).map(|plan| Plan {
             shard: plan.shard.clone(),
             target: plan.upper.clone(),
-            pace: plan.rows_per_s,
-            seal_us: plan.seal_us,
+            pace: plan.max_rows_per_s,
+            seal_us: plan.seal_timeout_us,
         });
         let lead = |service: &str| self.feed.leader(service).map(|lead| (lead.id.clone(), lead.term));
         let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -37,7 +37,7 @@
         self.swept = self.now;
         let Some(conf) = self.conf.as_ref() else { return };
         let is_named = |is_plan: bool, name: &str| {
-            let is_plan_named = || conf.plans.iter().any(|plan| plan.shard == name);
+            let is_plan_named = || conf.shard_plans.iter().any(|plan| plan.shard == name);
             if is_plan {
                 is_plan_named()
             } else {
--- a/crates/wv-fair-queue/src/lib.rs
+++ b/crates/wv-fair-queue/src/lib.rs
@@ -62,7 +62,7 @@
     pub fn tenant_of(&self, host: &str, user: &str) -> u16 {
         let entries = self.hosts.get(host).map(Vec::as_slice).unwrap_or_default();
         let is_match = |patterns: &[String]| {
-            patterns.is_empty() || patterns.iter().any(|pattern| wv_configuration::is_meant(pattern, user))
+            patterns.is_empty() || patterns.iter().any(|pattern| wv_configuration::matches_pattern(pattern, user))
         };
         entries.iter().find(|(patterns, _)| is_match(patterns)).map_or(DEFAULT_TENANT, |(_, tenant)| *tenant)
     }
--- a/crates/wv-route/src/lib.rs
+++ b/crates/wv-route/src/lib.rs
@@ -53,8 +53,8 @@
 ) -> RouteDecision {
     let Some(checker) = checks.checker(request.service) else { return RouteDecision::Wait };
     if request.is_read_only {
-        if let Category::Bounded { stale_us } = request.category {
-            let since = request.first_byte_at.saturating_sub(stale_us);
+        if let Category::BoundedStaleness { max_staleness_us } = request.category {
+            let since = request.first_byte_at.saturating_sub(max_staleness_us);
             // A replica read needs a minimum position from a sufficiently recent fenced observation.
             if let Some(pos) = checker.fenced.covering(since) {
                 if let Some(seat) = select_replica(checker, request, availability) {
--- a/crates/wv-settings/src/lib.rs
+++ b/crates/wv-settings/src/lib.rs
@@ -65,25 +65,25 @@
             serde_yaml_ng::from_str(text).map_err(|error| SettingsError::Yaml(file.to_owned(), error))?;
         let reader = wv_configuration::Reader::new(&value);
         let field = |error| SettingsError::Field(file.to_owned(), error);
-        let ip_text = reader.text("ip").map_err(field)?;
+        let ip_text = reader.string("ip").map_err(field)?;
         let ip = ip_text.parse().map_err(|_| SettingsError::Address(file.to_owned(), "ip", ip_text.to_owned()))?;
         let listen = |name: &'static str, path: &str| {
             reader
                 .has(path)
-                .then(|| reader.text(path).map_err(field).and_then(|text| addr(file, name, text)))
+                .then(|| reader.string(path).map_err(field).and_then(|text| addr(file, name, text)))
                 .transpose()
         };
         let ports = reader.list("internalPorts").map_err(field)?;
         let inner_port = ports
             .first()
             .ok_or(SettingsError::Value(file.to_owned(), "internalPorts is empty"))?
-            .itself_whole()
+            .as_integer()
             .map_err(field)?;
         let inner_port = u16::try_from(inner_port)
             .ok()
             .filter(|port| *port > 0)
             .ok_or(SettingsError::Value(file.to_owned(), "internalPorts[0] is not a port"))?;
-        let inner_last = ports.get(1).map_or(Ok(u64::from(inner_port)), |port| port.itself_whole()).map_err(field)?;
+        let inner_last = ports.get(1).map_or(Ok(u64::from(inner_port)), |port| port.as_integer()).map_err(field)?;
         let inner_last = u16::try_from(inner_last)
             .ok()
             .filter(|last| *last >= inner_port)
@@ -92,7 +92,7 @@
             .list("seeds")
             .map_err(field)?
             .iter()
-            .map(|seed| seed.itself().map_err(field).and_then(|text| addr(file, "seeds", text)))
+            .map(|seed| seed.as_str().map_err(field).and_then(|text| addr(file, "seeds", text)))
             .collect::<Result<Vec<_>, _>>()?;
         let us = |path: &str, default_ms: f64, unit: f64| {
             if reader.has(path) { reader.number(path).map_err(field) } else { Ok(default_ms) }
@@ -101,7 +101,7 @@
         let platform = reader
             .has("platformApi.address")
             .then(|| {
-                let place = reader.text("platformApi.address").map_err(field)?;
+                let place = reader.string("platformApi.address").map_err(field)?;
                 let duty_rate = if reader.has("platformApi.dutyRateS") {
                     reader.number("platformApi.dutyRateS").map_err(field)?
                 } else {
@@ -111,8 +111,8 @@
             })
             .transpose()?;
         Ok(Settings {
-            node: reader.text("nodeName").map_err(field)?.to_owned(),
-            zone: reader.text("zone").map_err(field)?.to_owned(),
+            node: reader.string("nodeName").map_err(field)?.to_owned(),
+            zone: reader.string("zone").map_err(field)?.to_owned(),
             ip,
             front: listen("listenAddrs.front", "listenAddrs.front")?,
             readiness: listen("listenAddrs.readiness", "listenAddrs.readiness")?,
@@ -120,9 +120,13 @@
             inner_port,
             inner_last,
             seeds,
-            initial_start: if reader.has("initialStart") { reader.flag("initialStart").map_err(field)? } else { false },
+            initial_start: if reader.has("initialStart") {
+                reader.boolean("initialStart").map_err(field)?
+            } else {
+                false
+            },
             data_dir: if reader.has("dataDir") {
-                Some(std::path::PathBuf::from(reader.text("dataDir").map_err(field)?))
+                Some(std::path::PathBuf::from(reader.string("dataDir").map_err(field)?))
             } else {
                 None
             },
@@ -130,11 +134,11 @@
             grace_us: us("timers.graceS", 6.0, 1e6)?,
             drain_us: us("timers.drainMs", 7000.0, 1e3)?,
             tolerate_machines: if reader.has("faultTolerance.machines") {
-                reader.whole("faultTolerance.machines").map_err(field)?
+                reader.integer("faultTolerance.machines").map_err(field)?
             } else {
                 0
             },
-            max_fds: reader.whole_or("limits.maxFds", 1024).map_err(field)?,
+            max_fds: reader.integer_or("limits.maxFds", 1024).map_err(field)?,
             platform,
         })
     }
--- a/crates/wv-shard-assignment/src/lib.rs
+++ b/crates/wv-shard-assignment/src/lib.rs
@@ -13,8 +13,9 @@
 
 /// The live nodes of each partner, in the order of the partners.
 pub fn seats<'a>(partners: &[Partner], nodes: &BTreeSet<&'a str>) -> Vec<Vec<&'a str>> {
-    let is_its =
-        |partner: &Partner, node: &str| partner.nodes.iter().any(|pattern| wv_configuration::is_meant(pattern, node));
+    let is_its = |partner: &Partner, node: &str| {
+        partner.nodes.iter().any(|pattern| wv_configuration::matches_pattern(pattern, node))
+    };
     partners.iter().map(|partner| nodes.iter().copied().filter(|node| is_its(partner, node)).collect()).collect()
 }
 
