--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -65,8 +65,8 @@
         conf.partners.iter().for_each(|partner| println!("partner {} with portion {}", partner.label, partner.portion));
         return Ok(());
     }
-    let settings = wv_settings::Settings::load(&wv_settings::Settings::path(text(found, "settings"))?)?;
-    println!("valid: node {} in zone {}", settings.node, settings.zone);
+    let settings = wv_settings::Settings::load(&wv_settings::Settings::resolve_path(text(found, "settings"))?)?;
+    println!("valid: node {} in zone {}", settings.node_name, settings.zone);
     Ok(())
 }
 
@@ -152,7 +152,7 @@
 
 fn load_settings(found: &ArgMatches) -> Result<(wv_settings::Settings, String), MainError> {
     ring::start(text(found, "log").unwrap_or("warn"))?;
-    let path = wv_settings::Settings::path(text(found, "settings"))?;
+    let path = wv_settings::Settings::resolve_path(text(found, "settings"))?;
     Ok((wv_settings::Settings::load(&path)?, path))
 }
 
--- a/crates/wv-access/src/run.rs
+++ b/crates/wv-access/src/run.rs
@@ -24,10 +24,10 @@
     fn reread(&mut self) {
         if let Some(settings) = self.file.reread() {
             let mut place = self.place.borrow_mut();
-            (place.seeds, place.inner_port) = (settings.seeds, settings.inner_port);
+            (place.seeds, place.inner_port) = (settings.seeds, settings.internal_port);
             let mut core = self.node.core.borrow_mut();
-            core.set_grace(settings.grace_us);
-            core.set_drain(settings.drain_us, settings.contact_us);
+            core.set_grace(settings.grace_period_us);
+            core.set_drain(settings.drain_timeout_us, settings.contact_timeout_us);
         }
     }
 }
@@ -94,34 +94,34 @@
 
 /// Runs until the platform ends the process.
 pub fn run(settings: wv_settings::Settings, settings_path: &str, options: Options) -> Result<(), AccessError> {
-    let front = settings.front.ok_or(AccessError::NoAddress("front"))?;
-    let readiness = settings.readiness.ok_or(AccessError::NoAddress("readiness"))?;
+    let front = settings.front_addr.ok_or(AccessError::NoAddress("front"))?;
+    let readiness = settings.readiness_addr.ok_or(AccessError::NoAddress("readiness"))?;
     // Nodes begin with different seeds, so that their sessions are spread.
-    let spread = settings.node.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
+    let spread = settings.node_name.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
     let life = wv_process::life().wrapping_add(spread);
     let system = System::new();
     system.block_on(async {
         let front_listener = wv_http::listen(front).map_err(|error| AccessError::Listen(front, error))?;
         let ready_listener = wv_http::listen(readiness).map_err(|error| AccessError::Listen(readiness, error))?;
-        let mut core = Core::new(&settings.zone, settings.grace_us);
+        let mut core = Core::new(&settings.zone, settings.grace_period_us);
         core.set_ease(options.ease);
-        core.set_clients_max(settings.clients_max());
-        core.set_name(&settings.node);
-        core.set_drain(settings.drain_us, settings.contact_us);
+        core.set_clients_max(settings.max_clients());
+        core.set_name(&settings.node_name);
+        core.set_drain(settings.drain_timeout_us, settings.contact_timeout_us);
         core.set_life(wv_process::draw());
         let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         core.set_record(options.record, wv_process::draw(), epoch.map_or(0, |since| since.as_micros() as u64));
         let node = Node::new(core);
-        let hands = settings.hands_addr();
+        let hands = settings.handover_addr();
         let place = Place {
-            node: settings.node.clone(),
+            node: settings.node_name.clone(),
             zone: settings.zone.clone(),
             seeds: settings.seeds.clone(),
-            inner_port: settings.inner_port,
+            inner_port: settings.internal_port,
             hands: hands.map(|addr| addr.to_string()).unwrap_or_default(),
         };
         let place: Shared = std::rc::Rc::new(std::cell::RefCell::new(place));
-        let clients_max = settings.clients_max();
+        let clients_max = settings.max_clients();
         let probed = node.clone();
         tokio::task::spawn_local(wv_http::serve(
             ready_listener,
@@ -150,7 +150,7 @@
             Access { node, place, file: SettingsFile::new(settings_path), rounds: 0, calendar: options.calendar }
                 .start();
         tokio::task::spawn_local(watch_signals(access));
-        log::info!("access node {} serves {front}", settings.node);
+        log::info!("access node {} serves {front}", settings.node_name);
         Ok::<(), AccessError>(())
     })?;
     system.run().map_err(|error| AccessError::Listen(front, error))
--- a/crates/wv-compression/tests/compression.rs
+++ b/crates/wv-compression/tests/compression.rs
@@ -66,9 +66,9 @@
         }
         found
     };
-    let (olds, news) = (chunks(&first), chunks(&second));
-    expect_that!(news.len(), gt(8));
-    expect_that!(news.iter().filter(|chunk| !olds.contains(chunk)).count(), le(3));
+    let (old_chunks, new_chunks) = (chunks(&first), chunks(&second));
+    expect_that!(new_chunks.len(), gt(8));
+    expect_that!(new_chunks.iter().filter(|chunk| !old_chunks.contains(chunk)).count(), le(3));
     for bytes in [&first, &second] {
         let whole = if *bytes == first { &old } else { &new };
         expect_that!(compressor.decompress(bytes, 1 << 20), ok(eq(whole)));
@@ -88,8 +88,8 @@
 
 #[gtest]
 fn given_moved_added_and_removed_pieces_then_known_pieces_are_found() {
-    let olds: Vec<Vec<u8>> = (0..100u32).map(|at| at.to_string().into_bytes()).collect();
-    let mut matcher = PieceMatcher::new(olds.len(), |at| olds[at].as_slice());
+    let old_pieces: Vec<Vec<u8>> = (0..100u32).map(|at| at.to_string().into_bytes()).collect();
+    let mut matcher = PieceMatcher::new(old_pieces.len(), |at| old_pieces[at].as_slice());
     let in_order = [("0", Some(0)), ("3", Some(3)), ("x", None), ("y", None), ("4", Some(4))];
     // Pieces outside the near window are found only after several consecutive misses.
     let distant = [("90", None), ("91", None), ("92", None), ("93", Some(93)), ("94", Some(94)), ("2", None)];
--- a/crates/wv-configuration/src/host_index.rs
+++ b/crates/wv-configuration/src/host_index.rs
@@ -53,7 +53,7 @@
 }
 
 /// Builds the index route by route. The previous index is reused as long as every route has the same host and path
-/// prefix as the previous route index its position.
+/// prefix as the previous route at its position.
 pub(crate) struct HostIndexBuilder<'a> {
     previous: Option<(&'a [Rc<Route>], &'a Rc<HostIndex>)>,
     hosts: HostIndex,
--- a/crates/wv-configuration/src/reader.rs
+++ b/crates/wv-configuration/src/reader.rs
@@ -5,7 +5,7 @@
     #[error("{0} is missing")]
     Missing(String),
     #[error("{0} is not {1}")]
-    WrongType(String, &'static str),
+    InvalidValue(String, &'static str),
 }
 
 /// A value and the path at which it was found, for error messages.
@@ -44,7 +44,7 @@
     ) -> Result<T, PathError> {
         self.find(path)
             .ok_or_else(|| PathError::Missing(self.full_path(path)))
-            .and_then(|value| read(value).ok_or_else(|| PathError::WrongType(self.full_path(path), expected)))
+            .and_then(|value| read(value).ok_or_else(|| PathError::InvalidValue(self.full_path(path), expected)))
     }
 
     pub fn string(&self, path: &str) -> Result<&'a str, PathError> {
@@ -94,7 +94,7 @@
 
     /// This value as a string, for entries of a list.
     pub fn as_str(&self) -> Result<&'a str, PathError> {
-        self.value.as_str().ok_or_else(|| PathError::WrongType(self.base.clone(), "a string"))
+        self.value.as_str().ok_or_else(|| PathError::InvalidValue(self.base.clone(), "a string"))
     }
 
     pub(crate) fn value(&self) -> &'a serde_json::Value {
@@ -103,6 +103,6 @@
 
     /// This value as an integer, for entries of a list.
     pub fn as_integer(&self) -> Result<u64, PathError> {
-        self.value.as_u64().ok_or_else(|| PathError::WrongType(self.base.clone(), "a non-negative integer"))
+        self.value.as_u64().ok_or_else(|| PathError::InvalidValue(self.base.clone(), "a non-negative integer"))
     }
 }
--- a/crates/wv-configuration/src/sections.rs
+++ b/crates/wv-configuration/src/sections.rs
@@ -36,7 +36,7 @@
     if (1..=MAX_WEIGHT).contains(&weight) {
         Ok(weight)
     } else {
-        Err(ConfigurationError::Path(PathError::WrongType(reader.full_path(path), "an integer from 1 to 1000000")))
+        Err(ConfigurationError::Path(PathError::InvalidValue(reader.full_path(path), "an integer from 1 to 1000000")))
     }
 }
 
@@ -47,7 +47,7 @@
     }
     list.iter()
         .map(|entry| match entry.as_str()? {
-            "" | "*" => Err(ConfigurationError::Path(PathError::WrongType(
+            "" | "*" => Err(ConfigurationError::Path(PathError::InvalidValue(
                 reader.full_path(path),
                 "a list of names or prefixes",
             ))),
--- a/crates/wv-configuration/src/shard_plans.rs
+++ b/crates/wv-configuration/src/shard_plans.rs
@@ -37,7 +37,7 @@
     kind: &'static str,
 ) -> Result<u64, ConfigurationError> {
     let value = reader.integer_or(path, default)?;
-    bounds.contains(&value).then_some(value).ok_or_else(|| PathError::WrongType(reader.full_path(path), kind).into())
+    bounds.contains(&value).then_some(value).ok_or_else(|| PathError::InvalidValue(reader.full_path(path), kind).into())
 }
 
 fn known_service(
@@ -57,7 +57,9 @@
     for (path, name) in [("shard", &shard), ("upper", &upper)] {
         // Every split promotes a replica, so acknowledged writes must survive a promotion.
         if is_synced(name) == Some(false) {
-            return Err(PathError::WrongType(reader.full_path(path), "a service with syncReplicas of 1 or more").into());
+            return Err(
+                PathError::InvalidValue(reader.full_path(path), "a service with syncReplicas of 1 or more").into()
+            );
         }
     }
     let amount = |path| integer_in_range(reader, path, 0, 0..=MAX_AMOUNT, "an integer from 0 to 2^48");
@@ -69,7 +71,7 @@
     }
     let warn_ratio = if reader.has("warnAt") { reader.number("warnAt")? } else { 0.8 };
     if !(0.05..=1.0).contains(&warn_ratio) {
-        return Err(PathError::WrongType(reader.full_path("warnAt"), "a number from 0.05 to 1").into());
+        return Err(PathError::InvalidValue(reader.full_path("warnAt"), "a number from 0.05 to 1").into());
     }
     let quiet_windows = wv_calendar::Calendar::parse(reader.string("quiet")?)
         .map_err(|error| ConfigurationError::Calendar(reader.full_path("quiet"), error.to_string()))?;
@@ -103,7 +105,7 @@
     for entry in sections::section_entries(reader, "shardPlans")? {
         let plan = parse_plan(&entry, &is_synced)?;
         if plan.shard == plan.upper {
-            return Err(PathError::WrongType(entry.full_path("upper"), "a service other than the shard").into());
+            return Err(PathError::InvalidValue(entry.full_path("upper"), "a service other than the shard").into());
         }
         // Directly routed data could collide with moved data of the same name.
         if let Some(route) = routed_by(&plan.upper) {
--- a/crates/wv-configuration/tests/incremental.rs
+++ b/crates/wv-configuration/tests/incremental.rs
@@ -9,7 +9,7 @@
 fn observable(result: &std::result::Result<Configuration, wv_configuration::ConfigurationError>) -> String {
     let configuration = match result {
         Ok(configuration) => configuration,
-        Err(error) => return format!("refused: {error}"),
+        Err(error) => return format!("rejected: {error}"),
     };
     let mut services: Vec<String> =
         configuration.services.iter().map(|(name, service)| format!("{name} {service:?}")).collect();
@@ -88,7 +88,7 @@
         let services: Vec<String> = (0..120).map(|at| format!("{{\"label\":\"s{at}\"}}")).collect();
         format!("{{\"issue\":{version},\"routing\":[{}],\"services\":[{}]}}", routes.join(","), services.join(","))
     };
-    let first = Configuration::parse(body(1, 800, 0..2000).as_bytes()).expect("a proper configuration");
+    let first = Configuration::parse(body(1, 800, 0..2000).as_bytes()).expect("a valid configuration");
     expect_that!(first.parsed_entries, eq(2120));
     let slower = first.parse_incremental(body(2, 900, 0..2000).as_bytes()).expect("one changed expiry");
     expect_that!(slower.parsed_entries, eq(1));
@@ -108,7 +108,7 @@
     let (one, two, three) = (route(1, ",\"headerBytes\":9000"), route(2, ""), route(3, ""));
     let service = "{\"label\":\"s\"}";
     let old = format!("{{\"issue\":1,\"routing\":[{one},{two},{three}],\"services\":[{service}]}}");
-    let old = Configuration::parse(old.as_bytes()).expect("a proper configuration");
+    let old = Configuration::parse(old.as_bytes()).expect("a valid configuration");
     let (lists, forged) = (format!("\"routing\":[{three}],\"services\":[{service}]"), "{\"\\u0001\":0}");
     let texts = [
         // A known entry as the value of another section.
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -23,22 +23,22 @@
     returns: Rc<RefCell<HashMap<u64, oneshot::Sender<wv_http::Return>>>>,
     inner_port: u16,
     pub(crate) name: String,
-    pub(crate) platform: Option<wv_settings::Platform>,
+    pub(crate) platform: Option<wv_settings::PlatformApi>,
     epoch: std::time::Instant,
 }
 
 impl Node {
     pub fn new(mut core: Core, settings: &wv_settings::Settings) -> Node {
-        let rate = settings.platform.as_ref().map_or(1.0, |platform| platform.duty_rate).max(0.1);
+        let rate = settings.platform_api.as_ref().map_or(1.0, |platform| platform.duty_rate_per_s).max(0.1);
         // Each node keeps well within the rate that all of them share.
         core.set_pace((8e6 / rate) as u64);
         Node {
-            name: settings.node.clone(),
-            platform: settings.platform.clone(),
+            name: settings.node_name.clone(),
+            platform: settings.platform_api.clone(),
             core: Rc::new(RefCell::new(core)),
             links: Default::default(),
             returns: Default::default(),
-            inner_port: settings.inner_port,
+            inner_port: settings.internal_port,
             epoch: std::time::Instant::now(),
         }
     }
--- a/crates/wv-control/src/request.rs
+++ b/crates/wv-control/src/request.rs
@@ -80,7 +80,7 @@
         }
         let headers = [("X-Duty-Holder", self.name.clone()), ("X-Fence-Number", fence.to_string())];
         let body = serde_json::json!({ "destination": service, "id": id }).to_string().into_bytes();
-        let code = wv_http::call(platform.addr, "POST", "/promotion", &headers, body, POST).await.ok();
+        let code = wv_http::call(platform.address, "POST", "/promotion", &headers, body, POST).await.ok();
         self.with(|core, now| core.posted(ask, code, now));
     }
 }
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -27,8 +27,8 @@
         if let Some(settings) = self.file.reread() {
             let seeds = settings.seeds.iter().map(|seed| seed.to_string()).collect();
             self.node.core.borrow_mut().set_seeds(seeds);
-            self.leave_us = settings.grace_us / 4;
-            self.node.core.borrow_mut().set_drain(settings.drain_us, settings.contact_us);
+            self.leave_us = settings.grace_period_us / 4;
+            self.node.core.borrow_mut().set_drain(settings.drain_timeout_us, settings.contact_timeout_us);
         }
     }
 }
@@ -95,21 +95,21 @@
     settings_path: &str,
     calendar: wv_calendar::Calendar,
 ) -> Result<(), ControlError> {
-    let addr = settings.control.ok_or(ControlError::NoAddress)?;
+    let addr = settings.control_addr.ok_or(ControlError::NoAddress)?;
     let seeds: Vec<String> = settings.seeds.iter().map(|seed| seed.to_string()).collect();
-    if settings.initial_start && settings.tolerate_machines as usize > seeds.len().saturating_sub(1) / 2 {
-        log::error!("{} voters do not bear the loss of {} machines", seeds.len(), settings.tolerate_machines);
+    if settings.initial_start && settings.tolerated_machine_failures as usize > seeds.len().saturating_sub(1) / 2 {
+        log::error!("{} voters do not bear the loss of {} machines", seeds.len(), settings.tolerated_machine_failures);
     }
     let store = open_store(&settings)?;
     let start = Start {
         me: addr.to_string(),
-        node: settings.node.clone(),
+        node: settings.node_name.clone(),
         zone: settings.zone.clone(),
         life: wv_process::life(),
         seeds,
         is_first: settings.initial_start,
         is_core: settings.data_dir.is_some(),
-        tolerate: settings.tolerate_machines as usize,
+        tolerate: settings.tolerated_machine_failures as usize,
         disk: wv_process::draw(),
         who: wv_process::draw(),
     };
@@ -117,9 +117,9 @@
     let system = System::new();
     system.block_on(async {
         let listener = wv_http::listen(addr).map_err(|error| ControlError::Listen(addr, error))?;
-        let inner = settings.inner_addr(addr);
+        let inner = settings.internal_addr(addr);
         let inner_listener = wv_http::listen(inner).map_err(|error| ControlError::Listen(inner, error))?;
-        core.set_drain(settings.drain_us, settings.contact_us);
+        core.set_drain(settings.drain_timeout_us, settings.contact_timeout_us);
         let node = Node::new(core, &settings);
         let (asked, called) = (node.clone(), node.clone());
         let head = move |method: &str, path: &str| asked.head(method, path);
@@ -130,12 +130,12 @@
             node,
             file: SettingsFile::new(settings_path),
             rounds: 0,
-            leave_us: settings.grace_us / 4,
+            leave_us: settings.grace_period_us / 4,
             leaving_since: None,
             calendar,
         };
         tokio::task::spawn_local(watch_signals(control.start()));
-        log::info!("control node {} serves {addr}", settings.node);
+        log::info!("control node {} serves {addr}", settings.node_name);
         Ok::<(), ControlError>(())
     })?;
     system.run().map_err(|error| ControlError::Listen(addr, error))
--- a/crates/wv-process/src/lib.rs
+++ b/crates/wv-process/src/lib.rs
@@ -88,7 +88,7 @@
         let write = |text: &str| std::fs::write(&path, text).is_ok();
         expect_that!(write(GOOD), eq(true));
         let mut file = SettingsFile::new(path.to_str().unwrap_or_default());
-        expect_that!(file.reread().map(|settings| settings.node), some(eq("a")));
+        expect_that!(file.reread().map(|settings| settings.node_name), some(eq("a")));
         expect_that!(write("nodeName: [1, 2"), eq(true));
         expect_that!(file.reread().is_none(), eq(true));
         expect_that!(write(&GOOD.replace("zone: z", "zone: y\nfieldOfTomorrow: 3")), eq(true));
--- a/crates/wv-settings/src/lib.rs
+++ b/crates/wv-settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! The settings file: what the platform tells a process at its start. Unknown fields are skipped.
+//! The settings file that a process reads at startup. Unknown fields are ignored.
 
 #[derive(thiserror::Error, Debug)]
 pub enum SettingsError {
     #[error("WINDVALVE_BOOT is not set and no --settings was given")]
-    Unnamed,
+    PathNotSet,
     #[error("settings file {0}: {1}")]
     Read(String, std::io::Error),
-    #[error("settings file {0} is not readable as YAML: {1}")]
+    #[error("settings file {0}: invalid YAML: {1}")]
     Yaml(String, serde_yaml_ng::Error),
     #[error("settings file {0}: {1}")]
     Field(String, wv_configuration::PathError),
@@ -17,41 +17,41 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Platform {
-    pub addr: std::net::SocketAddr,
-    pub duty_rate: f64,
+pub struct PlatformApi {
+    pub address: std::net::SocketAddr,
+    pub duty_rate_per_s: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    pub node: String,
+    pub node_name: String,
     pub zone: String,
     pub ip: std::net::IpAddr,
-    pub front: Option<std::net::SocketAddr>,
-    pub readiness: Option<std::net::SocketAddr>,
-    pub control: Option<std::net::SocketAddr>,
-    pub inner_port: u16,
-    /// The last of the ports that are free for what nodes say to each other.
-    pub inner_last: u16,
+    pub front_addr: Option<std::net::SocketAddr>,
+    pub readiness_addr: Option<std::net::SocketAddr>,
+    pub control_addr: Option<std::net::SocketAddr>,
+    pub internal_port: u16,
+    /// The last port of the range reserved for communication between nodes.
+    pub last_internal_port: u16,
     pub seeds: Vec<std::net::SocketAddr>,
     pub initial_start: bool,
     pub data_dir: Option<std::path::PathBuf>,
-    pub contact_us: u64,
-    pub grace_us: u64,
-    pub drain_us: u64,
-    pub tolerate_machines: u64,
+    pub contact_timeout_us: u64,
+    pub grace_period_us: u64,
+    pub drain_timeout_us: u64,
+    pub tolerated_machine_failures: u64,
     pub max_fds: u64,
-    pub platform: Option<Platform>,
+    pub platform_api: Option<PlatformApi>,
 }
 
-fn addr(file: &str, name: &'static str, text: &str) -> Result<std::net::SocketAddr, SettingsError> {
+fn parse_addr(file: &str, name: &'static str, text: &str) -> Result<std::net::SocketAddr, SettingsError> {
     text.parse().map_err(|_| SettingsError::Address(file.to_owned(), name, text.to_owned()))
 }
 
 impl Settings {
-    /// The path in force: the flag first, else `WINDVALVE_BOOT`.
-    pub fn path(flag: Option<&str>) -> Result<String, SettingsError> {
-        flag.map(str::to_owned).or_else(|| std::env::var("WINDVALVE_BOOT").ok()).ok_or(SettingsError::Unnamed)
+    /// The path of the settings file: the flag if given, else `WINDVALVE_BOOT`.
+    pub fn resolve_path(flag: Option<&str>) -> Result<String, SettingsError> {
+        flag.map(str::to_owned).or_else(|| std::env::var("WINDVALVE_BOOT").ok()).ok_or(SettingsError::PathNotSet)
     }
 
     pub fn load(path: &str) -> Result<Settings, SettingsError> {
@@ -70,55 +70,59 @@
         let listen = |name: &'static str, path: &str| {
             reader
                 .has(path)
-                .then(|| reader.string(path).map_err(field).and_then(|text| addr(file, name, text)))
+                .then(|| reader.string(path).map_err(field).and_then(|text| parse_addr(file, name, text)))
                 .transpose()
         };
         let ports = reader.list("internalPorts").map_err(field)?;
-        let inner_port = ports
+        let internal_port = ports
             .first()
             .ok_or(SettingsError::Value(file.to_owned(), "internalPorts is empty"))?
             .as_integer()
             .map_err(field)?;
-        let inner_port = u16::try_from(inner_port)
+        let internal_port = u16::try_from(internal_port)
             .ok()
             .filter(|port| *port > 0)
             .ok_or(SettingsError::Value(file.to_owned(), "internalPorts[0] is not a port"))?;
-        let inner_last = ports.get(1).map_or(Ok(u64::from(inner_port)), |port| port.as_integer()).map_err(field)?;
-        let inner_last = u16::try_from(inner_last)
+        let last_internal_port =
+            ports.get(1).map_or(Ok(u64::from(internal_port)), |port| port.as_integer()).map_err(field)?;
+        let last_internal_port = u16::try_from(last_internal_port)
             .ok()
-            .filter(|last| *last >= inner_port)
-            .ok_or(SettingsError::Value(file.to_owned(), "internalPorts[1] is not a port at or after the first"))?;
+            .filter(|last_port| *last_port >= internal_port)
+            .ok_or(SettingsError::Value(
+                file.to_owned(),
+                "internalPorts[1] is not a port equal to or above internalPorts[0]",
+            ))?;
         let seeds = reader
             .list("seeds")
             .map_err(field)?
             .iter()
-            .map(|seed| seed.as_str().map_err(field).and_then(|text| addr(file, "seeds", text)))
+            .map(|seed| seed.as_str().map_err(field).and_then(|text| parse_addr(file, "seeds", text)))
             .collect::<Result<Vec<_>, _>>()?;
-        let us = |path: &str, default_ms: f64, unit: f64| {
-            if reader.has(path) { reader.number(path).map_err(field) } else { Ok(default_ms) }
-                .map(|number| (number * unit) as u64)
+        let duration_us = |path: &str, default: f64, unit_us: f64| {
+            if reader.has(path) { reader.number(path).map_err(field) } else { Ok(default) }
+                .map(|number| (number * unit_us) as u64)
         };
-        let platform = reader
+        let platform_api = reader
             .has("platformApi.address")
             .then(|| {
-                let place = reader.string("platformApi.address").map_err(field)?;
-                let duty_rate = if reader.has("platformApi.dutyRateS") {
+                let address = reader.string("platformApi.address").map_err(field)?;
+                let duty_rate_per_s = if reader.has("platformApi.dutyRateS") {
                     reader.number("platformApi.dutyRateS").map_err(field)?
                 } else {
                     1.0
                 };
-                addr(file, "platformApi.address", place).map(|addr| Platform { addr, duty_rate })
+                parse_addr(file, "platformApi.address", address).map(|address| PlatformApi { address, duty_rate_per_s })
             })
             .transpose()?;
         Ok(Settings {
-            node: reader.string("nodeName").map_err(field)?.to_owned(),
+            node_name: reader.string("nodeName").map_err(field)?.to_owned(),
             zone: reader.string("zone").map_err(field)?.to_owned(),
             ip,
-            front: listen("listenAddrs.front", "listenAddrs.front")?,
-            readiness: listen("listenAddrs.readiness", "listenAddrs.readiness")?,
-            control: listen("listenAddrs.control", "listenAddrs.control")?,
-            inner_port,
-            inner_last,
+            front_addr: listen("listenAddrs.front", "listenAddrs.front")?,
+            readiness_addr: listen("listenAddrs.readiness", "listenAddrs.readiness")?,
+            control_addr: listen("listenAddrs.control", "listenAddrs.control")?,
+            internal_port,
+            last_internal_port,
             seeds,
             initial_start: if reader.has("initialStart") {
                 reader.boolean("initialStart").map_err(field)?
@@ -130,32 +134,33 @@
             } else {
                 None
             },
-            contact_us: us("timers.contactMs", 4000.0, 1e3)?,
-            grace_us: us("timers.graceS", 6.0, 1e6)?,
-            drain_us: us("timers.drainMs", 7000.0, 1e3)?,
-            tolerate_machines: if reader.has("faultTolerance.machines") {
+            contact_timeout_us: duration_us("timers.contactMs", 4000.0, 1e3)?,
+            grace_period_us: duration_us("timers.graceS", 6.0, 1e6)?,
+            drain_timeout_us: duration_us("timers.drainMs", 7000.0, 1e3)?,
+            tolerated_machine_failures: if reader.has("faultTolerance.machines") {
                 reader.integer("faultTolerance.machines").map_err(field)?
             } else {
                 0
             },
             max_fds: reader.integer_or("limits.maxFds", 1024).map_err(field)?,
-            platform,
+            platform_api,
         })
     }
 
-    /// How many clients a node takes: descriptors are left for databases, links and files.
-    pub fn clients_max(&self) -> usize {
+    /// The maximum number of client connections, leaving file descriptors for databases, peers and files.
+    pub fn max_clients(&self) -> usize {
         (self.max_fds as usize).saturating_sub(400).max(64) * 3 / 4
     }
 
-    /// Where an access node takes work that others hand over: beside the control node of its machine.
-    pub fn hands_addr(&self) -> Option<std::net::SocketAddr> {
-        let port = self.inner_port.checked_add(1).filter(|port| *port <= self.inner_last)?;
+    /// The address at which an access node accepts requests handed over by other nodes: the port after that of the
+    /// control node on the same machine.
+    pub fn handover_addr(&self) -> Option<std::net::SocketAddr> {
+        let port = self.internal_port.checked_add(1).filter(|port| *port <= self.last_internal_port)?;
         Some(std::net::SocketAddr::new(self.ip, port))
     }
 
-    /// Where the control node at `control` listens for the system's own links.
-    pub fn inner_addr(&self, control: std::net::SocketAddr) -> std::net::SocketAddr {
-        std::net::SocketAddr::new(control.ip(), self.inner_port)
+    /// The address at which the control node at `control_addr` accepts connections from other nodes.
+    pub fn internal_addr(&self, control_addr: std::net::SocketAddr) -> std::net::SocketAddr {
+        std::net::SocketAddr::new(control_addr.ip(), self.internal_port)
     }
 }
