--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -1,7 +1,7 @@
 pub use crate::types::{Act, Start};
 use crate::types::{Fall, Link, Peer, Waiting};
 use std::collections::BTreeMap;
-use wv_change_feed::{Feed, Table};
+use wv_change_feed::{Feed, InstanceTable};
 use wv_consensus::{Proposer, Store, VoterSetChange, VoterState};
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_membership::Membership;
@@ -9,7 +9,7 @@
 pub const CONF: &str = "conf";
 pub use wv_consensus::LOCAL_KEY_PREFIX;
 /// The configuration's body is read up to this bound.
-pub const BODY_MAX: usize = wv_configuration::BODY_MAX;
+pub const BODY_MAX: usize = wv_configuration::MAX_BODY_BYTES;
 /// How often a node has its regular turn.
 pub const TURN_US: u64 = 100_000;
 /// A majority that answered what was asked within this is fresh contact.
@@ -47,7 +47,7 @@
     /// When this node is to be woken next.
     pub(crate) armed: u64,
     pub(crate) feed: Feed,
-    pub(crate) table: Table,
+    pub(crate) table: InstanceTable,
     pub(crate) roster: Membership,
     pub(crate) links: BTreeMap<u64, Link>,
     pub(crate) peers: BTreeMap<String, Peer>,
@@ -60,7 +60,7 @@
     /// The digest of its bytes: one number never stands for two contents.
     pub(crate) published_digest: u64,
     /// Its text and its packed form.
-    pub(crate) packs: wv_compression::Packs,
+    pub(crate) packs: wv_compression::ChunkedCompressor,
     /// When followers were last told of one, of which they were told before that, and whether there is a newer one.
     pub(crate) conf_told: u64,
     pub(crate) conf_base: u64,
@@ -81,7 +81,7 @@
     pub(crate) fewer_since: u64,
     /// How many access nodes there were before this life.
     pub(crate) nodes_recalled: u32,
-    pub(crate) conf: Option<wv_configuration::Conf>,
+    pub(crate) conf: Option<wv_configuration::Configuration>,
     pub(crate) duties: BTreeMap<String, wv_promotion::PromotionCoordinator>,
     pub(crate) fences: BTreeMap<String, u64>,
     pub(crate) calls: crate::post::Calls,
@@ -150,7 +150,7 @@
             changed: 0,
             is_unlearned: false,
             quorum,
-            table: Table::default(),
+            table: InstanceTable::default(),
             links: BTreeMap::new(),
             peers,
             waiting: BTreeMap::new(),
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -45,7 +45,7 @@
             refused_for_us: self.refused_us(&inst.id),
             departed: inst.gone.then(|| self.departed(inst)),
         };
-        self.table.of(service).filter(is_counted).map(database).collect()
+        self.table.service_instances(service).filter(is_counted).map(database).collect()
     }
 
     fn with_duty(
@@ -54,7 +54,7 @@
         turn: impl FnOnce(&mut wv_promotion::PromotionCoordinator, &ServiceView<'_>),
     ) {
         let Some(mut duty) = self.duties.remove(service) else { return };
-        let lead = self.feed.lead(service).map(|lead| lead.id.clone());
+        let lead = self.feed.leader(service).map(|lead| lead.id.clone());
         let databases = self.databases(service, lead.as_deref());
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
         let view = ServiceView {
@@ -148,7 +148,7 @@
     }
 
     pub(crate) fn lead_told(&mut self, lead: Leader) {
-        let held = self.feed.lead(&lead.service);
+        let held = self.feed.leader(&lead.service);
         // A term already known to be over is old news; the same word again is none.
         if held.is_none_or(|held| held.term < lead.term && !(held.id == lead.id && held.term == lead.term)) {
             self.note_led(&lead);
@@ -160,7 +160,7 @@
 
     /// What left before this one came to lead matters no more: all that was acknowledged stands in its log.
     pub(crate) fn note_led(&mut self, lead: &Leader) {
-        if self.feed.lead(&lead.service).is_some_and(|held| held.id != lead.id) {
+        if self.feed.leader(&lead.service).is_some_and(|held| held.id != lead.id) {
             self.led.insert(lead.service.clone(), self.now);
         }
     }
