--- a/crates/wv-control/src/beats.rs
+++ b/crates/wv-control/src/beats.rs
@@ -1,7 +1,7 @@
 //! Beats of databases: ordered by their sequence, spread to the other control nodes, published.
 use crate::conf::cause;
 use crate::core::Core;
-use crate::drain::Teller;
+use crate::leave_ages::ReportSource;
 use wv_internal_protocol::{FeedUpdate, Instance, Leader, Message};
 
 /// Within this a database that was promoted says so itself.
@@ -62,11 +62,11 @@
         self.take_beat(token, Instance { gone: true, ..held }, true);
     }
 
-    /// What a database says is kept and told on in any case. It is acknowledged only by a node that a majority hears: at
-    /// once where the database stays, and where it leaves once enough others hold it too.
+    /// What a database says is kept and told on in any case. It is acknowledged only by a node that a majority hears:
+    /// at once where the database stays, and where it leaves once enough others hold it too.
     fn take_beat(&mut self, token: u64, inst: Instance, is_leave: bool) {
         let changed = self.table.offer(inst.clone());
-        self.date_leave(&inst, Teller::Database);
+        self.record_leave_time(&inst, ReportSource::Database);
         self.announce(&changed, true);
         // Also a beat that changes nothing says who leads, where nobody is known to.
         self.fold_lead(&inst, false);
@@ -74,7 +74,7 @@
             self.spread(&changed);
         }
         // While all are starting nobody is in contact; the database need not go round among them.
-        if !self.is_fresh() && (is_leave || !self.is_young()) {
+        if !self.has_majority() && (is_leave || !self.is_starting()) {
             if is_leave {
                 self.spread(&[inst]);
             }
@@ -85,8 +85,8 @@
         }
         let (asker, request, id) = (self.quorum.who(), self.quorum.next_request(), inst.id.clone());
         self.send_peers(&Message::Instance { requester: asker, request, instance: inst });
-        self.leave_acks.begin(token, request, id, self.now);
-        self.settle_leaves();
+        self.leave_acks.add(token, request, id, self.now);
+        self.acknowledge_leaves();
     }
 
     fn spread(&mut self, insts: &[Instance]) {
@@ -109,7 +109,7 @@
             self.publish(FeedUpdate::Instance(inst.clone()));
             self.fold_lead(inst, is_own_word && was_replica);
         }
-        self.watch_places(insts);
+        self.track_restarts(insts);
     }
 
     /// Beats say who leads where the control side does not know it. Under a term it does: then only the one that was
@@ -130,7 +130,7 @@
         if lead.is_none_or(|lead| lead.id != inst.id) && (is_raised || is_open) {
             let term = lead.map_or(0, |lead| lead.term);
             let lead = Leader { service: inst.service.clone(), id: inst.id.clone(), term };
-            self.note_led(&lead);
+            self.record_lead_change(&lead);
             self.publish(FeedUpdate::Leader(lead));
             self.is_table_due = true;
         }
@@ -143,7 +143,7 @@
 
     pub(crate) fn inst_from_peer(&mut self, inst: Instance) {
         let changed = self.table.offer(inst.clone());
-        self.date_leave(&inst, Teller::Peer);
+        self.record_leave_time(&inst, ReportSource::Peer);
         self.announce(&changed, true);
     }
 
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -12,7 +12,7 @@
         }
         // Nothing is sent where it cannot come to an end: the caller goes elsewhere at once, and nothing is in doubt.
         let is_conf = path.split('?').next().is_some_and(|path| path.trim_matches('/') == "configuration");
-        if is_conf && matches!(method, "PUT" | "GET") && !self.is_fresh() && !self.is_young() {
+        if is_conf && matches!(method, "PUT" | "GET") && !self.has_majority() && !self.is_starting() {
             return self.ret(token, 503, "{\"cause\":\"no majority of the voters is in contact\"}");
         }
         let steps: Vec<&str> = path.split('?').next().unwrap_or(path).trim_matches('/').split('/').collect();
@@ -28,9 +28,9 @@
             ("GET", ["instances"]) => self.list_insts(token),
             ("GET", ["voters"]) => self.list_voters(token),
             ("GET", ["shards"]) => self.list_shards(token),
-            ("GET", ["forecast" | "splits"]) => self.list_outlooks(token),
+            ("GET", ["forecast" | "splits"]) => self.list_shard_status(token),
             (_, [part @ ("forecast" | "splits" | "things"), shard]) => {
-                self.call_shard(token, method, (part, shard), body)
+                self.handle_shard_call(token, method, (part, shard), body)
             }
             (
                 _,
@@ -55,12 +55,12 @@
     pub(crate) fn quorum_done(&mut self, done: Done) {
         let Some(waiting) = self.waiting.remove(&done.token) else { return };
         let waiting = match waiting {
-            Waiting::Claim(service, turn) => return self.duty_claimed(service, turn, done.outcome, &done.before),
+            Waiting::Claim(service, turn) => return self.on_duty_claimed(service, turn, done.outcome, &done.before),
             Waiting::Call(call) => return self.call_confirmed(*call, done.outcome),
-            Waiting::Confirm(service, turn) => return self.duty_confirmed(service, turn, done.outcome),
+            Waiting::Confirm(service, turn) => return self.on_duty_confirmed(service, turn, done.outcome),
             Waiting::Swept => return,
             Waiting::Judge(token, shard) => return self.judged(token, &shard, done.outcome),
-            Waiting::Own(service) => return self.own_kept(&service, done.outcome),
+            Waiting::Own(service) => return self.on_owner_written(&service, done.outcome),
             Waiting::Keep(shard, keep) => return self.kept(shard, keep, done.outcome),
             waiting => waiting,
         };
@@ -86,7 +86,7 @@
                     Err(error) => self.ret(done.token, 500, cause(&error.to_string())),
                 }
             }
-            (Waiting::Sync(spell), outcome) => self.conf_synced(spell, matches!(outcome, Outcome::Read(_))),
+            (Waiting::Sync(spell), outcome) => self.on_conf_read(spell, matches!(outcome, Outcome::Read(_))),
             (_, _) => self.ret(done.token, 503, "{\"cause\":\"no majority of the voters answers\"}"),
         }
     }
@@ -110,7 +110,7 @@
         let held = self.store.get(CONF).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
         match held {
             Some(cell) => self.in_force(&cell),
-            None => self.sync_conf(),
+            None => self.read_newest_conf(),
         }
     }
 
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -1,243 +1,242 @@
-//! Contact with a majority of the voters, dated by what was asked, and catching up after it was lost.
+//! Contact with a majority of the voters, timed from when each ping was sent, and catching up after contact was lost.
 use crate::core::{Core, FRESH_US};
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
-/// Pings older than `FRESH_US` are forgotten; of links that come up in a rush no more than this many are known.
+/// Bounds the pings remembered within `FRESH_US`, also when many links come up at once.
 const PINGS_MAX: usize = 256;
-/// A voter that has not told what it holds in memory by then is not waited for; a thin link takes a while.
-const RECAP_US: u64 = 800_000;
+/// How long to wait for a voter's `ResyncDone` before the next voter is asked.
+const RESYNC_TIMEOUT_US: u64 = 800_000;
 
-/// What a node knows of its contact with the others.
+/// State of this node's contact with the other control nodes.
 #[derive(Default)]
 pub(crate) struct Contact {
-    /// The pings under way: the request and when it was sent.
+    /// Outstanding pings: request number and send time.
     pings: VecDeque<(u64, u64)>,
-    /// Until when a majority counts as in contact.
-    until: u64,
-    /// The number of this spell of contact; what was begun in an earlier one says nothing of now.
-    pub spell: u64,
-    pub is_held: bool,
-    /// When this spell began.
-    pub since: u64,
-    /// The register of the configuration is being read, and was read to the end in this spell.
-    is_reading: bool,
+    /// The time at which contact with a majority expires.
+    valid_until: u64,
+    /// Incremented whenever contact is lost, so that results of operations started before are discarded.
+    pub generation: u64,
+    pub is_established: bool,
+    /// When contact was last established.
+    pub established_at: u64,
+    /// Whether a read of the configuration register is in progress, and whether one completed in this generation.
+    is_reading_conf: bool,
     has_conf: bool,
-    /// The request of this spell for what others hold in memory, and the voters that have told all of it.
-    recap: u64,
-    told: BTreeSet<String>,
-    /// Whom that was asked of, and when last.
-    asked: Vec<String>,
-    asked_at: Option<u64>,
-    /// Planned shards whose maps were read in this spell, or are being read.
-    pub synced: BTreeSet<String>,
-    pub syncing: BTreeSet<String>,
-    /// What is read after this process stood still may have waited as long.
+    /// The resync request of this generation, and the voters that have answered it in full.
+    resync_request: u64,
+    resynced_voters: BTreeSet<String>,
+    /// The voters that a resync was requested from, and when the last request was sent.
+    resync_targets: Vec<String>,
+    resync_sent_at: Option<u64>,
+    /// Planned shards whose slot maps were read in this generation, and those whose reads are in progress.
+    pub synced_shards: BTreeSet<String>,
+    pub syncing_shards: BTreeSet<String>,
+    /// Detects process stalls: messages read after one may have been queued for as long.
     pub stalls: wv_internal_protocol::StallDetector,
 }
 
 impl Core {
-    /// Time goes on. Contact that ran out is noticed here, before anything else happens: also after this process stood
-    /// still, with answers from before that still to be read.
-    pub(crate) fn at(&mut self, now: u64) {
+    /// Advances the clock. Expired contact is detected here, before any input is handled: after a process stall,
+    /// replies that arrived before the stall may still be queued.
+    pub(crate) fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(now);
         self.contact.stalls.observe(self.now);
-        if self.contact.is_held && !self.is_fresh() {
-            self.reckon_contact();
-            if !self.is_fresh() {
-                self.lose_contact();
+        if self.contact.is_established && !self.has_majority() {
+            self.update_contact();
+            if !self.has_majority() {
+                self.on_majority_lost();
             }
         }
     }
 
-    /// Whether a majority of voters answered something that was asked less than `FRESH_US` ago, this node counted where
-    /// it votes.
-    pub fn is_fresh(&self) -> bool {
-        self.now < self.contact.until
+    /// Whether a majority of the voters, including this node if it votes, replied to pings sent within `FRESH_US`.
+    pub fn has_majority(&self) -> bool {
+        self.now < self.contact.valid_until
     }
 
-    /// Whether all that stood on a majority when contact came back is known here.
+    /// Whether everything that was decided by a majority before contact was established is known here.
     pub fn is_caught_up(&self) -> bool {
-        self.is_caught_up && self.is_fresh()
+        self.is_caught_up && self.has_majority()
     }
 
-    /// Whether this node is one of those that a majority is made of.
-    pub(crate) fn sits(&self) -> bool {
+    /// Whether this node counts toward a majority of the voters.
+    pub(crate) fn is_majority_member(&self) -> bool {
         self.seat.sits_in(&self.me) > 0
     }
 
-    pub(crate) fn ping_msg(&mut self) -> Message {
-        let (asker, request, now) = (self.quorum.who(), self.quorum.next_request(), self.now);
+    pub(crate) fn new_ping(&mut self) -> Message {
+        let (requester, request, now) = (self.quorum.who(), self.quorum.next_request(), self.now);
         let pings = &mut self.contact.pings;
         pings.retain(|(_, sent)| sent + FRESH_US > now);
         if pings.len() == PINGS_MAX {
             pings.pop_front();
         }
         pings.push_back((request, now));
-        Message::Ping { requester: asker, request }
+        Message::Ping { requester, request }
     }
 
-    /// When the ping was sent that is answered here: `None` for one of another life or of a forgotten age, whose answer
-    /// says nothing of now.
-    pub(crate) fn ping_sent(&self, asker: u64, request: u64) -> Option<u64> {
+    /// When the ping was sent that this pong answers. `None` if the ping is from an earlier incarnation or has expired.
+    pub(crate) fn ping_sent_at(&self, requester: u64, request: u64) -> Option<u64> {
         let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + FRESH_US > self.now;
         let sent = self.contact.pings.iter().find(is_sent).map(|(_, sent)| *sent);
-        sent.filter(|_| asker == self.quorum.who())
+        sent.filter(|_| requester == self.quorum.who())
     }
 
-    /// Dates contact with a majority. It never goes back: what was in contact with a majority of the set before stays
-    /// so until its time is over.
-    pub(crate) fn reckon_contact(&mut self) {
+    /// Recomputes until when contact lasts. The deadline never moves back: contact with a majority of the previous
+    /// voter set stays valid until it expires.
+    pub(crate) fn update_contact(&mut self) {
         let voters = self.quorum.voters();
-        // Also those that are sealed for a successor: nothing newer is decided without them.
-        let own = self.sits().then_some(self.now);
+        // Includes voters that are sealed for a successor: nothing newer can be decided without them.
+        let own = self.is_majority_member().then_some(self.now);
         let is_voting = |peer: &&crate::types::Peer| peer.set.max(peer.sealed) == voters.number && peer.contact > 0;
         let others = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_voting);
         let mut dates: Vec<u64> = others.map(|peer| peer.contact).chain(own).collect();
         dates.sort_unstable_by(|one, other| other.cmp(one));
         let newest = dates.get(self.quorum.majority() - 1).filter(|_| !voters.members.is_empty());
-        self.contact.until = newest.map_or(self.contact.until, |date| self.contact.until.max(date + FRESH_US));
-        if !self.contact.is_held && self.is_fresh() {
-            self.gain_contact();
+        self.contact.valid_until =
+            newest.map_or(self.contact.valid_until, |date| self.contact.valid_until.max(date + FRESH_US));
+        if !self.contact.is_established && self.has_majority() {
+            self.on_majority_gained();
         }
     }
 
-    fn lose_contact(&mut self) {
-        log::warn!("no majority of the voters is in contact");
-        self.contact.is_held = false;
-        self.contact.spell += 1;
-        (self.contact.is_reading, self.contact.has_conf) = (false, false);
-        self.contact.told.clear();
-        (self.contact.asked, self.contact.asked_at) = Default::default();
-        (self.contact.synced, self.contact.syncing) = Default::default();
+    fn on_majority_lost(&mut self) {
+        log::warn!("lost contact with the majority of the voters");
+        self.contact.is_established = false;
+        self.contact.generation += 1;
+        (self.contact.is_reading_conf, self.contact.has_conf) = (false, false);
+        self.contact.resynced_voters.clear();
+        (self.contact.resync_targets, self.contact.resync_sent_at) = Default::default();
+        (self.contact.synced_shards, self.contact.syncing_shards) = Default::default();
         self.is_caught_up = false;
         self.refuse_pending();
-        // Followers go elsewhere at once, and hear nothing more: what is published from here on may be old.
+        // Followers switch to another node at once and receive no more updates: anything published from now on may be
+        // stale.
         self.beat_followers();
         self.links.values_mut().for_each(|link| link.is_follower = false);
     }
 
-    /// Everything that may have changed meanwhile is read anew, by reads that begin now.
-    fn gain_contact(&mut self) {
-        log::info!("a majority of the voters is in contact");
-        (self.contact.is_held, self.contact.since) = (true, self.now);
-        self.contact.recap = self.quorum.next_request();
+    /// Starts new reads of everything that may have changed while contact was lost.
+    fn on_majority_gained(&mut self) {
+        log::info!("established contact with a majority of the voters");
+        (self.contact.is_established, self.contact.established_at) = (true, self.now);
+        self.contact.resync_request = self.quorum.next_request();
         self.ping();
-        self.keep_contact();
+        self.continue_catch_up();
     }
 
-    /// Reads that failed are begun again.
-    pub(crate) fn keep_contact(&mut self) {
-        if self.contact.is_held && !self.is_caught_up {
+    /// Retries the reads that failed.
+    pub(crate) fn continue_catch_up(&mut self) {
+        if self.contact.is_established && !self.is_caught_up {
             if !self.is_thin() && !self.contact.has_conf {
-                self.sync_conf();
+                self.read_newest_conf();
             }
-            self.ask_recap();
-            self.catch_up();
+            self.request_resync();
+            self.check_caught_up();
         }
         self.sync_slots();
     }
 
-    /// What stands in no register, from one voter after the other: the second one tells only what the first one lacked.
-    /// One that is silent is not waited for.
-    pub(crate) fn ask_recap(&mut self) {
-        let is_due = self.contact.asked_at.is_none_or(|at| at + RECAP_US <= self.now);
-        if !is_due || !self.contact.is_held || self.is_caught_up || self.has_recap() {
+    /// Requests the state that is in no register from one voter at a time: the digests let the second one send only
+    /// what the first one lacked. A voter that does not answer in time is skipped.
+    pub(crate) fn request_resync(&mut self) {
+        let is_due = self.contact.resync_sent_at.is_none_or(|at| at + RESYNC_TIMEOUT_US <= self.now);
+        if !is_due || !self.contact.is_established || self.is_caught_up || self.is_resynced() {
             return;
         }
-        let (asker, request) = (self.quorum.who(), self.contact.recap);
-        let times = |addr: &str| self.contact.asked.iter().filter(|asked| *asked == addr).count();
+        let (requester, request) = (self.quorum.who(), self.contact.resync_request);
+        let times = |addr: &str| self.contact.resync_targets.iter().filter(|asked| *asked == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
-            *addr != self.me && is_up && !self.contact.told.contains(*addr)
+            *addr != self.me && is_up && !self.contact.resynced_voters.contains(*addr)
         };
         let next = self.quorum.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
         let ranges = self.table.digests();
-        if self.send_peer(&addr, Message::Resync { requester: asker, request, digests: ranges }) {
-            self.contact.asked_at = Some(self.now);
-            self.contact.asked.push(addr);
+        if self.send_peer(&addr, Message::Resync { requester, request, digests: ranges }) {
+            self.contact.resync_sent_at = Some(self.now);
+            self.contact.resync_targets.push(addr);
         }
     }
 
-    /// Whether a majority of voters has told what it holds in memory, this node counted where it is one.
-    fn has_recap(&self) -> bool {
+    /// Whether a majority of the voters, including this node if it votes, has sent its in-memory state.
+    fn is_resynced(&self) -> bool {
         let voters = self.quorum.voters();
-        let told = self.contact.told.iter().filter(|addr| voters.contains(addr)).count();
-        usize::from(self.sits()) + told >= self.quorum.majority()
+        let resynced = self.contact.resynced_voters.iter().filter(|addr| voters.contains(addr)).count();
+        usize::from(self.is_majority_member()) + resynced >= self.quorum.majority()
     }
 
-    /// Another node was out of contact: the databases that it knows otherwise, who leads, who owns, and last that this
-    /// was all.
-    pub(crate) fn give_recap(&mut self, link: u64, (asker, request): (u64, u64), ranges: &[u64]) {
+    /// Answers a node that was out of contact: databases that differ, leaders, owners, and finally `ResyncDone`.
+    pub(crate) fn answer_resync(&mut self, link: u64, (requester, request): (u64, u64), ranges: &[u64]) {
         self.compare(link, ranges);
-        self.tell_leaves(link);
+        self.send_leaves(link);
         let leads: Vec<Message> = self.feed.leads().cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
-        self.send(link, Message::ResyncDone { requester: asker, request });
+        self.send(link, Message::ResyncDone { requester, request });
     }
 
-    pub(crate) fn recapped(&mut self, addr: &str, asker: u64, request: u64) {
-        if asker == self.quorum.who() && request == self.contact.recap && self.contact.is_held {
-            self.contact.told.insert(addr.to_owned());
-            self.contact.asked_at = None;
-            self.ask_recap();
-            self.catch_up();
+    pub(crate) fn on_resync_done(&mut self, addr: &str, requester: u64, request: u64) {
+        if requester == self.quorum.who() && request == self.contact.resync_request && self.contact.is_established {
+            self.contact.resynced_voters.insert(addr.to_owned());
+            self.contact.resync_sent_at = None;
+            self.request_resync();
+            self.check_caught_up();
         }
     }
 
-    /// Reads the register to learn what stands in force.
-    pub(crate) fn sync_conf(&mut self) {
-        if !std::mem::replace(&mut self.contact.is_reading, true) {
+    /// Reads the configuration in force from its register.
+    pub(crate) fn read_newest_conf(&mut self) {
+        if !std::mem::replace(&mut self.contact.is_reading_conf, true) {
             let token = self.fresh_id();
-            self.waiting.insert(token, crate::types::Waiting::Sync(self.contact.spell));
+            self.waiting.insert(token, crate::types::Waiting::Sync(self.contact.generation));
             self.quorum.start(token, crate::core::CONF, None, self.now);
             self.run_quorum();
         }
     }
 
-    /// A read of the configuration has ended; one that was begun before contact was lost says nothing of now.
-    pub(crate) fn conf_synced(&mut self, spell: u64, is_read: bool) {
-        if spell == self.contact.spell {
-            self.contact.is_reading = false;
-            self.contact.has_conf |= is_read && self.contact.is_held;
-            self.catch_up();
+    /// Handles the end of a configuration read. One that started before contact was lost is ignored.
+    pub(crate) fn on_conf_read(&mut self, generation: u64, is_read: bool) {
+        if generation == self.contact.generation {
+            self.contact.is_reading_conf = false;
+            self.contact.has_conf |= is_read && self.contact.is_established;
+            self.check_caught_up();
         }
     }
 
-    /// Whether everything was read since contact came back.
-    pub(crate) fn catch_up(&mut self) {
-        let has_conf = if self.is_thin() { self.has_newest() } else { self.contact.has_conf };
-        let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced.contains(&plan.shard);
+    /// Marks this node as caught up once every read since contact was established has completed.
+    pub(crate) fn check_caught_up(&mut self) {
+        let has_conf = if self.is_thin() { self.has_newest_conf() } else { self.contact.has_conf };
+        let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced_shards.contains(&plan.shard);
         let has_slots = self.conf.as_ref().is_none_or(|conf| conf.plans.iter().all(is_synced));
-        let is_whole = has_conf && has_slots && self.has_recap();
-        if is_whole && self.contact.is_held && self.is_fresh() && !self.is_caught_up {
+        let is_whole = has_conf && has_slots && self.is_resynced();
+        if is_whole && self.contact.is_established && self.has_majority() && !self.is_caught_up {
             self.is_caught_up = true;
             self.take_pending();
         }
         self.serve_follows();
     }
 
-    /// Whether a majority of voters, asked in this spell, holds no newer configuration.
-    fn has_newest(&self) -> bool {
+    /// Whether a majority of the voters, pinged in this generation, holds no newer configuration.
+    fn has_newest_conf(&self) -> bool {
         let voters = self.quorum.voters();
         let is_heard = |peer: &&crate::types::Peer| {
-            let is_asked = peer.contact >= self.contact.since && peer.contact + FRESH_US > self.now;
+            let is_asked = peer.contact >= self.contact.established_at && peer.contact + FRESH_US > self.now;
             is_asked && peer.set == voters.number && peer.conf <= self.published
         };
         let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
         !voters.members.is_empty() && heard.count() >= self.quorum.majority()
     }
 
-    /// Whether this node has caught up and has been in contact for `us`, so that it has heard who is there.
-    pub(crate) fn is_settled(&self, us: u64) -> bool {
-        self.is_caught_up() && self.contact.since + us <= self.now
+    /// Whether this node has caught up and has been in contact for at least `us`, so that membership is known.
+    pub(crate) fn is_stable_for(&self, us: u64) -> bool {
+        self.is_caught_up() && self.contact.established_at + us <= self.now
     }
 
-    /// A node that has just started: all others may be no further.
-    pub(crate) fn is_young(&self) -> bool {
+    /// Whether this node started so recently that the other nodes may be starting as well.
+    pub(crate) fn is_starting(&self) -> bool {
         self.now < self.born + crate::core::AWAIT_US
     }
 }
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -36,7 +36,7 @@
     pub(crate) is_core: bool,
     pub(crate) seat: Seat,
     /// How far this disk is with what voters hold, while it does not vote.
-    pub(crate) progress: crate::takeover::Progress,
+    pub(crate) progress: crate::voter_catch_up::CatchUpProgress,
     pub(crate) change: Option<Change>,
     /// The highest fence met over the next set.
     pub(crate) met: u64,
@@ -94,7 +94,7 @@
     pub(crate) left: BTreeMap<String, crate::departed::Departure>,
     pub(crate) led: BTreeMap<String, u64>,
     pub(crate) claims: crate::beats::Claims,
-    pub(crate) drains: crate::drain::Drains,
+    pub(crate) drains: crate::leave_ages::LeaveAges,
     /// Shards whose change of hands is being written, and when one was last moved without need.
     pub(crate) owning: Vec<String>,
     pub(crate) moved: u64,
@@ -205,7 +205,7 @@
             outlooks: BTreeMap::new(),
         };
         core.roster.set_has_disk(core.is_core);
-        core.recall_table();
+        core.load_table();
         Ok(core)
     }
 
@@ -219,7 +219,7 @@
     }
 
     pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
-        self.drains.stamp(&mut msg, self.now);
+        self.drains.stamp_ages(&mut msg, self.now);
         self.acts.push(Act::Send { link, msg });
     }
 
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -1,75 +1,80 @@
-//! Databases that said that they leave: until they have ended they may receive and be counted, and what they had
-//! received is lost with them.
+//! Databases that announced their departure. Until such a database has ended it may still receive and acknowledge log
+//! records, and those that it alone received are lost with it.
 use crate::core::Core;
 use std::collections::{BTreeMap, BTreeSet};
 use wv_internal_protocol::Instance;
 use wv_promotion::{Left, Silent, StatusReply};
 
-/// One that left is looked at no more often, at first and when it serves on: most end soon, and what was seen of the
-/// primary counts only from then on.
-const WATCH_FIRST_US: u64 = 200_000;
-const WATCH_US: u64 = 500_000;
-const FIRST_US: u64 = 3_000_000;
-/// One that left and has not answered for this long has ended: its machine is gone with it.
-const DARK_US: u64 = 20_000_000;
+/// Minimum intervals between status requests to a departed database, during the early period and after it. Most end
+/// soon, and observations of the primary count only from then on.
+const EARLY_POLL_INTERVAL_US: u64 = 200_000;
+const POLL_INTERVAL_US: u64 = 500_000;
+const EARLY_PERIOD_US: u64 = 3_000_000;
+/// A departed database that has not answered for this long is treated as ended.
+const UNREACHABLE_TIMEOUT_US: u64 = 20_000_000;
 
-/// When a database left, since when it is known to have ended or to be silent, and when it was looked at last.
+/// When a database left, when it was known to have ended or became unreachable, and when it was last polled.
 #[derive(Default)]
 pub(crate) struct Departure {
-    pub at: u64,
-    ended: Option<u64>,
-    dark: Option<u64>,
-    looked: u64,
+    pub left_at: u64,
+    ended_at: Option<u64>,
+    unreachable_since: Option<u64>,
+    polled_at: u64,
 }
 
 impl Departure {
-    pub fn new(at: u64) -> Departure {
-        Departure { at, ..Departure::default() }
+    pub fn new(left_at: u64) -> Departure {
+        Departure { left_at, ..Departure::default() }
     }
 }
 
 impl Core {
-    /// What the duty is told of one that left. Whoever took its place came after its end.
-    pub(crate) fn departed(&self, inst: &Instance) -> Left {
+    /// The view of a departed database given to the promotion state machine. Its replacement started after it ended.
+    pub(crate) fn departure_status(&self, inst: &Instance) -> Left {
         let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
         let heir = self.table.of(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
-        let held = self.left.get(&inst.id);
-        let dark = held.and_then(|held| held.dark).map(|dark| dark + DARK_US).filter(|end| *end <= self.now);
-        let ended = held.and_then(|held| held.ended).or(dark);
+        let departure = self.left.get(&inst.id);
+        let unreachable = departure
+            .and_then(|departure| departure.unreachable_since)
+            .map(|unreachable| unreachable + UNREACHABLE_TIMEOUT_US)
+            .filter(|end| *end <= self.now);
+        let ended = departure.and_then(|departure| departure.ended_at).or(unreachable);
         Left { ended_us: ended.map(|ended| self.now.saturating_sub(ended)), heir }
     }
 
-    /// The holder looks at those that left under the present lead until they have ended.
-    pub(crate) fn watch_departed(&mut self) {
+    /// Polls the databases that left under the current leader until they have ended, for services whose duty is held
+    /// here.
+    pub(crate) fn poll_departed(&mut self) {
         let now = self.now;
-        let is_due = |(id, held): &(&String, &Departure)| {
+        let is_due = |(id, departure): &(&String, &Departure)| {
             let service = self.table.get(id).map(|inst| inst.service.as_str());
             let is_counted = service.is_some_and(|service| {
-                let is_later = self.led.get(service).is_none_or(|led| held.at >= *led);
+                let is_later = self.led.get(service).is_none_or(|led| departure.left_at >= *led);
                 is_later && self.roster.is_duty_holder(service)
             });
-            let gap = if held.at + FIRST_US > now { WATCH_FIRST_US } else { WATCH_US };
-            held.ended.is_none() && held.looked + gap <= now && is_counted
+            let gap = if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
+            departure.ended_at.is_none() && departure.polled_at + gap <= now && is_counted
         };
         let due: Vec<String> = self.left.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
             let Some(service) = self.table.get(&id).map(|inst| inst.service.clone()) else { continue };
-            self.left.entry(id.clone()).or_default().looked = now;
-            self.ask_db(&service, id, "ENQUIRY".to_owned(), 0);
+            self.left.entry(id.clone()).or_default().polled_at = now;
+            self.send_db_request(&service, id, "ENQUIRY".to_owned(), 0);
         }
     }
 
-    /// Those that may still count under the present lead: who has not ended, and of the others the last to end, since what
-    /// is asked of a nominee for its sake covers those before it. They are never forgotten, however long ago they left.
-    pub(crate) fn needed(&self) -> BTreeSet<String> {
+    /// The departures that still matter under the current leader: databases that have not ended, and per service the
+    /// last one to end, because the conditions on a candidate for its sake cover earlier ones. These are kept without
+    /// time limit.
+    pub(crate) fn required_departures(&self) -> BTreeSet<String> {
         let mut last: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
         let mut needed = BTreeSet::new();
-        for (id, held) in &self.left {
+        for (id, departure) in &self.left {
             let Some(inst) = self.table.get(id).filter(|inst| inst.gone) else { continue };
-            if self.led.get(&inst.service).is_some_and(|led| held.at < *led) {
+            if self.led.get(&inst.service).is_some_and(|led| departure.left_at < *led) {
                 continue;
             }
-            match self.departed(inst).ended_us {
+            match self.departure_status(inst).ended_us {
                 None => drop(needed.insert(id.clone())),
                 Some(ago) => {
                     let ended = self.now.saturating_sub(ago);
@@ -82,16 +87,17 @@
         needed
     }
 
-    /// What a look at one that left says of its end.
-    pub(crate) fn note_ended(&mut self, id: &str, word: StatusReply) {
-        let is_replaced = self.table.get(id).is_some_and(|inst| inst.gone && self.departed(inst).heir.is_some());
+    /// Records what a status reply says about whether a departed database has ended.
+    pub(crate) fn record_departure_reply(&mut self, id: &str, reply: StatusReply) {
+        let is_replaced =
+            self.table.get(id).is_some_and(|inst| inst.gone && self.departure_status(inst).heir.is_some());
         let now = self.now;
-        let Some(held) = self.left.get_mut(id) else { return };
-        match word {
-            Ok(_) => (held.ended, held.dark) = (None, None),
-            Err(Silent::Refused) => held.ended = held.ended.or(Some(now)),
-            Err(Silent::Dark) if is_replaced => held.ended = held.ended.or(Some(now)),
-            Err(Silent::Dark) => held.dark = held.dark.or(Some(now)),
+        let Some(departure) = self.left.get_mut(id) else { return };
+        match reply {
+            Ok(_) => (departure.ended_at, departure.unreachable_since) = (None, None),
+            Err(Silent::Refused) => departure.ended_at = departure.ended_at.or(Some(now)),
+            Err(Silent::Dark) if is_replaced => departure.ended_at = departure.ended_at.or(Some(now)),
+            Err(Silent::Dark) => departure.unreachable_since = departure.unreachable_since.or(Some(now)),
         }
     }
 }
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,90 +1,90 @@
-//! The duties this node holds: what the promotion machines read, and what they order.
+//! Duties held by this node: inputs to the promotion state machines and execution of their effects.
 use crate::core::{Act, Core};
 use crate::types::{Asked, Waiting};
 use wv_consensus::Outcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
 use wv_promotion::{Database, Effect, Event, Silent, StatusReply, View};
 
-/// A node that has just started, or was out of contact, first hears who is there.
-const SETTLE_US: u64 = 800_000;
+/// How long contact must have lasted before a duty is acted on, so that membership is known.
+const STABLE_CONTACT_US: u64 = 800_000;
 
-fn key(service: &str) -> String {
+fn duty_key(service: &str) -> String {
     format!("duty/{service}")
 }
 
 impl Core {
-    pub(crate) fn take_sights(&mut self, node: &str, sights: Vec<HealthReport>) {
-        let is_bad = |sight: &&HealthReport| !matches!(sight.health, Health::Up | Health::Unknown);
-        let bad: Vec<String> = sights.iter().filter(is_bad).map(|sight| sight.id.clone()).collect();
-        for sight in &sights {
-            // Of a leader that is gone the last fenced sighting still tells who may follow it.
-            let is_gone = self.table.get(&sight.id).is_some_and(|inst| inst.gone);
-            let words = self.sights.entry(sight.id.clone()).or_default();
-            if sight.health == Health::Unknown && (sight.fenced_position.is_empty() || !is_gone) {
-                words.remove(node);
+    pub(crate) fn record_health_reports(&mut self, node: &str, reports: Vec<HealthReport>) {
+        let is_unhealthy = |report: &&HealthReport| !matches!(report.health, Health::Up | Health::Unknown);
+        let unhealthy: Vec<String> = reports.iter().filter(is_unhealthy).map(|report| report.id.clone()).collect();
+        for report in &reports {
+            // The last fenced position of a leader that is gone still determines which databases may succeed it.
+            let is_gone = self.table.get(&report.id).is_some_and(|inst| inst.gone);
+            let by_node = self.sights.entry(report.id.clone()).or_default();
+            if report.health == Health::Unknown && (report.fenced_position.is_empty() || !is_gone) {
+                by_node.remove(node);
             } else {
-                words.insert(node.to_owned(), (self.now, sight.clone()));
+                by_node.insert(node.to_owned(), (self.now, report.clone()));
             }
         }
-        self.watch_falls(&sights);
-        if !bad.is_empty() {
-            self.run_duties_of(&bad);
+        self.track_outages(&reports);
+        if !unhealthy.is_empty() {
+            self.run_duties_for(&unhealthy);
         }
     }
 
-    /// The databases of a service, and those that left it under the present lead.
+    /// The databases of a service, including those that left under the current leader.
     fn databases(&self, service: &str, lead: Option<&str>) -> Vec<Database> {
         let led = self.led.get(service).copied().unwrap_or(0);
         let is_counted = |inst: &&wv_internal_protocol::Instance| {
-            let is_left = inst.gone && self.left.get(&inst.id).is_some_and(|held| held.at >= led);
+            let is_left = inst.gone && self.left.get(&inst.id).is_some_and(|held| held.left_at >= led);
             !inst.gone || (is_left && Some(inst.id.as_str()) != lead)
         };
         let database = |inst: &wv_internal_protocol::Instance| Database {
             id: inst.id.clone(),
             is_draining: inst.draining,
             refused_us: self.refused_us(&inst.id),
-            left: inst.gone.then(|| self.departed(inst)),
+            left: inst.gone.then(|| self.departure_status(inst)),
         };
         self.table.of(service).filter(is_counted).map(database).collect()
     }
 
-    fn with_duty(&mut self, service: &str, turn: impl FnOnce(&mut wv_promotion::Duty, &View<'_>)) {
+    fn with_duty(&mut self, service: &str, run: impl FnOnce(&mut wv_promotion::Duty, &View<'_>)) {
         let Some(mut duty) = self.duties.remove(service) else { return };
         let lead = self.feed.lead(service).map(|lead| lead.id.clone());
         let databases = self.databases(service, lead.as_deref());
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
         let view = View {
             now: self.now,
-            is_holder: self.roster.is_duty_holder(service) && self.is_settled(SETTLE_US),
+            is_holder: self.roster.is_duty_holder(service) && self.is_stable_for(STABLE_CONTACT_US),
             lead: lead.as_deref(),
             sync_replicas: service_conf.map_or(1, |held| held.sync_replicas),
             databases: &databases,
             is_raise_wanted: self.is_raise_wanted(service),
             is_lead_doubted: lead
                 .as_deref()
-                .is_some_and(|lead| self.words(lead).any(|(sight, _)| sight.health != Health::Up)),
+                .is_some_and(|lead| self.words(lead).any(|(report, _)| report.health != Health::Up)),
             is_lead_past_drain: lead.as_deref().is_some_and(|lead| self.is_past_drain(lead)),
             is_lead_down: lead.as_deref().is_some_and(|lead| self.is_down(lead)),
             term: self.known_term(service),
             fenced: lead.as_deref().and_then(|lead| self.fenced(lead)),
         };
-        turn(&mut duty, &view);
+        run(&mut duty, &view);
         let effects = duty.take_effects();
         self.duties.insert(service.to_owned(), duty);
-        effects.into_iter().for_each(|effect| self.obey(service, effect));
+        effects.into_iter().for_each(|effect| self.apply_effect(service, effect));
     }
 
-    /// All duties that are held here, and those held until now, which have something to undo.
+    /// Runs all duties held here, and those no longer held that still have effects to revert.
     pub(crate) fn run_duties(&mut self) {
         let Some(conf) = self.conf.as_ref() else { return };
         let is_engaged = |service: &&String| self.duties.get(*service).is_some_and(wv_promotion::Duty::is_engaged);
         let is_meant = |service: &&String| self.roster.is_duty_holder(service) || is_engaged(service);
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
-        // A duty that begins anew counts its steps anew.
+        // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
         self.calls.asks.retain(|_, asked| asked.turn == 0 || self.duties.contains_key(&asked.service));
         services.iter().for_each(|service| self.run_duty(service));
-        self.watch_departed();
+        self.poll_departed();
     }
 
     fn run_duty(&mut self, service: &str) {
@@ -92,8 +92,8 @@
         self.with_duty(service, |duty, view| duty.tick(view));
     }
 
-    /// Bad news is acted on at once rather than at the next turn: by the duties of the services it is about.
-    fn run_duties_of(&mut self, ids: &[String]) {
+    /// Runs the duties of the affected services immediately instead of at the next tick.
+    fn run_duties_for(&mut self, ids: &[String]) {
         let service = |id: &String| self.table.get(id).map(|inst| inst.service.clone());
         let services: std::collections::BTreeSet<String> = ids.iter().filter_map(service).collect();
         let is_known = |service: &String| self.conf.as_ref().is_some_and(|conf| conf.services.contains_key(service));
@@ -101,111 +101,112 @@
         held.collect::<Vec<String>>().iter().for_each(|service| self.run_duty(service));
     }
 
-    pub(crate) fn turn(&self, service: &str) -> u64 {
+    pub(crate) fn duty_step(&self, service: &str) -> u64 {
         self.duties.get(service).map_or(0, wv_promotion::Duty::step_number)
     }
 
-    /// An answer counts in the step that asked for it; in a later one it would pass for another's answer.
-    pub(crate) fn duty_event(&mut self, service: &str, turn: u64, event: Event) {
-        if turn > 0 && turn == self.turn(service) {
+    /// Delivers an event only to the step that requested it: in a later step it would be taken for another reply.
+    pub(crate) fn on_duty_event(&mut self, service: &str, turn: u64, event: Event) {
+        if turn > 0 && turn == self.duty_step(service) {
             self.with_duty(service, |duty, view| duty.event(event, view));
         }
     }
 
-    pub(crate) fn ask(&mut self, service: &str, id: &str, turn: u64) -> u64 {
+    pub(crate) fn track_request(&mut self, service: &str, id: &str, turn: u64) -> u64 {
         let ask = self.fresh_id();
         self.calls.asks.insert(ask, Asked { service: service.to_owned(), id: id.to_owned(), turn });
         ask
     }
 
-    fn obey(&mut self, service: &str, effect: Effect) {
+    fn apply_effect(&mut self, service: &str, effect: Effect) {
         log::info!("duty {service}: {effect:?}");
-        let turn = self.turn(service);
+        let turn = self.duty_step(service);
         match effect {
             Effect::Claim => self.claim_duty(service),
             Effect::Confirm => {
                 self.calls.confirms.insert(service.to_owned(), self.now);
-                self.ask_register(service, Waiting::Confirm(service.to_owned(), turn), None);
+                self.start_duty_op(service, Waiting::Confirm(service.to_owned(), turn), None);
             }
-            Effect::Look { id } => self.ask_db(service, id, "ENQUIRY".to_owned(), turn),
-            Effect::Suspend { id, term } => self.ask_db(service, id, format!("SUSPEND {term}"), turn),
-            Effect::Continue { id } => self.ask_db(service, id, "CONTINUE".to_owned(), 0),
-            Effect::Yield { id, term } => self.ask_db(service, id, format!("YIELD {term}"), 0),
-            Effect::Depose { id, term } => self.ask_db(service, id, format!("YIELD {term}"), turn),
+            Effect::Look { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
+            Effect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
+            Effect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
+            Effect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
+            Effect::Depose { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
             Effect::Post { id, fence } => self.post(service, id, fence),
             Effect::Stalled(obstacle) => self.count_stall(service, &obstacle),
             Effect::Led { id, term } => {
                 let lead = Leader { service: service.to_owned(), id, term };
                 self.send_peers(&Message::Leader(lead.clone()));
-                self.lead_told(lead);
+                self.on_leader(lead);
             }
         }
     }
 
-    pub(crate) fn lead_told(&mut self, lead: Leader) {
+    pub(crate) fn on_leader(&mut self, lead: Leader) {
         let held = self.feed.lead(&lead.service);
-        // A term already known to be over is old news; the same word again is none.
+        // Ignores older terms and repeated messages.
         if held.is_none_or(|held| held.term < lead.term && !(held.id == lead.id && held.term == lead.term)) {
-            self.note_led(&lead);
+            self.record_lead_change(&lead);
             self.is_table_due = true;
             self.claims.promoted.insert(lead.service.clone(), lead.clone());
             self.publish(FeedUpdate::Leader(lead));
         }
     }
 
-    /// What left before this one came to lead matters no more: all that was acknowledged stands in its log.
-    pub(crate) fn note_led(&mut self, lead: &Leader) {
+    /// Departures before a change of leader no longer matter: the new leader's log holds everything acknowledged.
+    pub(crate) fn record_lead_change(&mut self, lead: &Leader) {
         if self.feed.lead(&lead.service).is_some_and(|held| held.id != lead.id) {
             self.led.insert(lead.service.clone(), self.now);
         }
     }
 
-    pub(crate) fn ask_db(&mut self, service: &str, id: String, text: String, turn: u64) {
+    pub(crate) fn send_db_request(&mut self, service: &str, id: String, text: String, turn: u64) {
         match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
-                let ask = self.ask(service, &id, turn);
+                let ask = self.track_request(service, &id, turn);
                 self.acts.push(Act::Request { ask, service: service.to_owned(), id, addr, text });
             }
-            None => self.duty_event(service, turn, Event::Row { id, reply: Err(Silent::Refused) }),
+            None => self.on_duty_event(service, turn, Event::Row { id, reply: Err(Silent::Refused) }),
         }
     }
 
-    /// A database's row came, or did not.
-    pub fn row(&mut self, ask: u64, reply: StatusReply, now: u64) {
-        self.at(now);
+    /// Handles a database's status reply, or the failure to get one.
+    pub fn on_db_status(&mut self, ask: u64, reply: StatusReply, now: u64) {
+        self.advance_clock(now);
         let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
-        log::info!("duty {service}: row of {id}: {reply:?}");
-        self.note_ended(&id, reply);
-        self.duty_event(&service, turn, Event::Row { id, reply });
+        log::info!("duty {service}: status of {id}: {reply:?}");
+        self.record_departure_reply(&id, reply);
+        self.on_duty_event(&service, turn, Event::Row { id, reply });
         self.run_quorum();
     }
 
-    /// The platform's return came, or did not.
-    pub fn posted(&mut self, ask: u64, code: Option<u16>, now: u64) {
-        self.at(now);
+    /// Handles the platform's response to a promotion call, or the failure to get one.
+    pub fn on_promotion_response(&mut self, ask: u64, code: Option<u16>, now: u64) {
+        self.advance_clock(now);
         let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
         log::info!("duty {service}: platform returned {code:?} for {id}");
-        self.duty_event(&service, turn, Event::Posted(code));
+        self.on_duty_event(&service, turn, Event::Posted(code));
         self.run_quorum();
     }
 
-    pub(crate) fn ask_register(&mut self, service: &str, waiting: Waiting, edit: Option<wv_consensus::Edit>) {
+    pub(crate) fn start_duty_op(&mut self, service: &str, waiting: Waiting, edit: Option<wv_consensus::Edit>) {
         let token = self.fresh_id();
         self.waiting.insert(token, waiting);
-        self.quorum.start(token, &key(service), edit, self.now);
+        self.quorum.start(token, &duty_key(service), edit, self.now);
     }
 
-    /// Takes the duty in one change: the next fence, in this node's name. No two changes make the same fence.
+    /// Claims the duty with a single register write: the next fence under this node's name. Fences are unique per
+    /// write.
     fn claim_duty(&mut self, service: &str) {
         self.calls.confirms.insert(service.to_owned(), self.now);
         let name = self.me.clone().into_bytes();
         let edit: wv_consensus::Edit = Box::new(move |held| Some(wv_consensus::cell(held.version + 1, name.clone())));
-        let turn = self.turn(service);
-        self.ask_register(service, Waiting::Claim(service.to_owned(), turn), Some(edit));
+        let turn = self.duty_step(service);
+        self.start_duty_op(service, Waiting::Claim(service.to_owned(), turn), Some(edit));
     }
 
-    /// Whoever held the duty before may have a call under way, unless it was this life's own last claim.
-    pub(crate) fn duty_claimed(
+    /// A previous holder may have a promotion call in flight, unless the previous claim was made by this incarnation.
+    pub(crate) fn on_duty_claimed(
         &mut self,
         service: String,
         turn: u64,
@@ -221,17 +222,17 @@
         if let Some(fence) = fence {
             self.fences.insert(service.clone(), fence);
         }
-        self.duty_event(&service, turn, Event::Claimed(fence.map(|fence| (fence, is_succession))));
+        self.on_duty_event(&service, turn, Event::Claimed(fence.map(|fence| (fence, is_succession))));
     }
 
-    /// Whether the register still names this node under its own last fence.
-    pub(crate) fn is_ours(&self, service: &str, outcome: &Outcome) -> bool {
+    /// Whether the duty register still names this node under its latest fence.
+    pub(crate) fn holds_duty_register(&self, service: &str, outcome: &Outcome) -> bool {
         let fence = self.fences.get(service).copied();
         matches!(outcome, Outcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
     }
 
-    pub(crate) fn duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
-        let is_ours = self.is_ours(&service, &outcome);
-        self.duty_event(&service, turn, Event::Confirmed(is_ours));
+    pub(crate) fn on_duty_confirmed(&mut self, service: String, turn: u64, outcome: Outcome) {
+        let is_ours = self.holds_duty_register(&service, &outcome);
+        self.on_duty_event(&service, turn, Event::Confirmed(is_ours));
     }
 }
--- a/crates/wv-control/src/head.rs
+++ b/crates/wv-control/src/head.rs
@@ -8,7 +8,7 @@
     /// and go out again to each voter. So those who write or read one are sent to a voter (307), and elsewhere (503)
     /// while no voter is in contact. A `place` of a 307 is a whole address, since callers follow it as it stands.
     pub fn head(&mut self, method: &str, path: &str, now: u64) -> Option<(u16, String)> {
-        self.at(now);
+        self.advance_clock(now);
         let path = path.split('?').next().unwrap_or(path).trim_matches('/');
         let is_conf = path == "configuration" && matches!(method, "PUT" | "GET");
         (is_conf && self.is_thin()).then(|| match self.voter_place() {
--- a/crates/wv-control/src/judge.rs
+++ b/crates/wv-control/src/judge.rs
@@ -43,7 +43,7 @@
         for shard in dropped {
             let read = self.fresh_id();
             self.waiting.insert(read, Waiting::Judge(token, shard.clone()));
-            self.quorum.start(read, &crate::shards::key("slots", &shard), None, self.now);
+            self.quorum.start(read, &crate::shards::register_key("slots", &shard), None, self.now);
         }
         self.run_quorum();
     }
--- a/crates/wv-control/src/keep.rs
+++ b/crates/wv-control/src/keep.rs
@@ -2,7 +2,7 @@
 //! all of its predecessor's, and reads what it raised in the same step: what is written under a lower ballot after that
 //! is refused by the register itself.
 use crate::core::Core;
-use crate::shards::key;
+use crate::shards::register_key;
 use crate::types::Waiting;
 use wv_consensus::{Edit, Outcome};
 use wv_internal_protocol::{FeedUpdate, Message, RegisterValue, SlotMap};
@@ -52,7 +52,7 @@
     fn start_keep(&mut self, shard: &str, part: &str, keep: Keep, edit: Option<Edit>) {
         let token = self.fresh_id();
         self.waiting.insert(token, Waiting::Keep(shard.to_owned(), keep));
-        self.quorum.start(token, &key(part, shard), edit, self.now);
+        self.quorum.start(token, &register_key(part, shard), edit, self.now);
     }
 
     fn put_keep(&mut self, shard: &str, part: &str, keep: Keep, (version, value): (u64, Vec<u8>)) {
@@ -61,12 +61,14 @@
 
     /// Slot maps that are not known here yet are read before anyone follows.
     pub(crate) fn sync_slots(&mut self) {
-        let Some(conf) = self.conf.as_ref().filter(|_| self.contact.is_held) else { return };
-        let is_new = |shard: &String| !self.contact.synced.contains(shard) && !self.contact.syncing.contains(shard);
+        let Some(conf) = self.conf.as_ref().filter(|_| self.contact.is_established) else { return };
+        let is_new = |shard: &String| {
+            !self.contact.synced_shards.contains(shard) && !self.contact.syncing_shards.contains(shard)
+        };
         let new: Vec<String> = conf.plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
         for shard in new {
-            self.contact.syncing.insert(shard.clone());
-            self.start_keep(&shard, "slots", Keep::SyncSlots(self.contact.spell), None);
+            self.contact.syncing_shards.insert(shard.clone());
+            self.start_keep(&shard, "slots", Keep::SyncSlots(self.contact.generation), None);
         }
     }
 
@@ -107,28 +109,28 @@
                     Err(error) => log::error!("the slot map of {shard}: {error}"),
                 }
             }
-            (Keep::SyncSlots(spell), _) if spell == self.contact.spell => {
-                self.contact.syncing.remove(&shard);
+            (Keep::SyncSlots(spell), _) if spell == self.contact.generation => {
+                self.contact.syncing_shards.remove(&shard);
             }
             (Keep::SyncSlots(_), _) => {}
             (Keep::Slots, Outcome::Written(cell)) => self.ballot_had(&shard, &cell),
             (Keep::Fill, Outcome::Written(cell)) => {
                 let fill = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
-                self.shard_read(&shard, |read| read.fill = fill);
+                self.on_shard_register(&shard, |read| read.usage = fill);
             }
             (Keep::Things, Outcome::Written(cell)) => {
-                self.shard_read(&shard, |read| read.names.load(&names(&cell)));
+                self.on_shard_register(&shard, |read| read.names.load(&names(&cell)));
             }
             (Keep::Fresh, Outcome::Written(cell)) => {
-                self.shard_read(&shard, |read| read.names.load_fresh(&names(&cell)));
+                self.on_shard_register(&shard, |read| read.names.load_fresh(&names(&cell)));
             }
             (keep @ (Keep::SlotsPut(_) | Keep::FillPut | Keep::ThingsPut(_) | Keep::FreshPut), outcome) => {
                 self.put_kept(&shard, keep, matches!(outcome, Outcome::Written(_)));
             }
             (_, _) => {
                 // Another one has taken the ballot since, or no majority answers: what else comes in counts no more.
-                self.shards.get_mut(&shard).into_iter().for_each(|held| held.reading = 0);
-                self.shard_event(&shard, wv_shard_split::Event::Claimed(None));
+                self.shards.get_mut(&shard).into_iter().for_each(|held| held.pending_reads = 0);
+                self.on_split_event(&shard, wv_shard_split::Event::Claimed(None));
             }
         }
     }
@@ -138,8 +140,8 @@
         let ballot = cell.version >> 16;
         let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
         let held = self.shards.entry(shard.to_owned()).or_default();
-        (held.ballot, held.step, held.reading) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
-        held.read = crate::shards::Read { map, ..Default::default() };
+        (held.ballot, held.writes, held.pending_reads) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
+        held.registers = crate::shards::ShardRegisters { map, ..Default::default() };
         self.start_keep(shard, "fill", Keep::Fill, Some(raise_to(ballot)));
         self.start_keep(shard, "fresh", Keep::Fresh, Some(raise_to(ballot)));
         let parts = (0..wv_shard_split::CHUNKS).map(|at| format!("things-{at}"));
@@ -148,10 +150,10 @@
 
     /// A read that was begun before contact was lost says nothing of now.
     fn slots_synced(&mut self, shard: &str, spell: u64) {
-        if spell == self.contact.spell {
-            self.contact.syncing.remove(shard);
-            self.contact.synced.insert(shard.to_owned());
-            self.catch_up();
+        if spell == self.contact.generation {
+            self.contact.syncing_shards.remove(shard);
+            self.contact.synced_shards.insert(shard.to_owned());
+            self.check_caught_up();
         }
     }
 
@@ -160,10 +162,10 @@
             Keep::SlotsPut(map) if is_ours => {
                 self.send_peers(&Message::Slots(map.clone()));
                 self.slots_told(map.clone());
-                self.shard_event(shard, wv_shard_split::Event::Written(Some(map)));
+                self.on_split_event(shard, wv_shard_split::Event::Written(Some(map)));
             }
-            Keep::SlotsPut(_) => self.shard_event(shard, wv_shard_split::Event::Written(None)),
-            keep => self.part_kept(shard, &keep, is_ours),
+            Keep::SlotsPut(_) => self.on_split_event(shard, wv_shard_split::Event::Written(None)),
+            keep => self.on_part_written(shard, &keep, is_ours),
         }
     }
 
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -1,36 +1,36 @@
-//! Acknowledgements of databases that leave: each waits until enough control nodes hold the leave.
+//! Acknowledgements of database leaves: each waits until enough control nodes hold the leave.
 //!
-//! Comes in: a call that says that a database leaves, other nodes' word that they hold it, and time. Goes out: calls that
-//! may be acknowledged, and calls that may not. Remembered: the calls that wait, and the leaves that were acknowledged.
-//! Invariant: a leave is acknowledged only once it stands on a majority of the voters, of whom any node that comes back asks
-//! as many, and on more nodes than may be lost at once, where there are that many (docs/consistency-1-contact.md).
+//! Inputs: calls that announce a leave, acknowledgements from other control nodes, and time. Outputs: calls to
+//! acknowledge or to reject. State: pending calls and acknowledged leaves. Invariant: a leave is acknowledged only once
+//! it is held by a majority of the voters, so that a node that resyncs from a majority learns of it, and by more nodes
+//! than may fail at once, where there are that many (docs/consistency-1-contact.md).
 use crate::core::Core;
 use std::collections::BTreeSet;
 
-/// A database waits a second for its acknowledgement.
-const WAIT_US: u64 = 700_000;
+/// Shorter than the second for which a database waits for its acknowledgement.
+const ACK_TIMEOUT_US: u64 = 700_000;
 
-/// A call whose acknowledgement waits until enough others hold the leave.
+/// A call whose acknowledgement waits until enough other nodes hold the leave.
 struct PendingAck {
     token: u64,
     request: u64,
     id: String,
-    /// The control nodes that hold it too.
+    /// The other control nodes that hold the leave.
     held_by: BTreeSet<String>,
     deadline: u64,
 }
 
-/// How many nodes have to hold a leave, as things are now.
-pub(crate) struct Quota<'a> {
-    /// Whether this node is one of the voters.
+/// How many nodes currently have to hold a leave.
+pub(crate) struct AckRequirement<'a> {
+    /// Whether this node is a voter.
     pub is_own_vote: bool,
     pub is_voter: &'a dyn Fn(&str) -> bool,
     pub majority: usize,
-    /// How many other nodes have to hold it, voters or not.
+    /// How many other nodes must hold the leave, whether they vote or not.
     pub others: usize,
 }
 
-impl Quota<'_> {
+impl AckRequirement<'_> {
     fn is_met(&self, pending: &PendingAck) -> bool {
         let votes = pending.held_by.iter().filter(|addr| (self.is_voter)(addr)).count();
         usize::from(self.is_own_vote) + votes >= self.majority && pending.held_by.len() >= self.others
@@ -48,27 +48,27 @@
         self.acknowledged.contains(id)
     }
 
-    pub fn begin(&mut self, token: u64, request: u64, id: String, now: u64) {
-        self.pending.push(PendingAck { token, request, id, held_by: BTreeSet::new(), deadline: now + WAIT_US });
+    pub fn add(&mut self, token: u64, request: u64, id: String, now: u64) {
+        self.pending.push(PendingAck { token, request, id, held_by: BTreeSet::new(), deadline: now + ACK_TIMEOUT_US });
     }
 
-    pub fn held(&mut self, addr: &str, request: u64, id: &str) {
+    pub fn record_holder(&mut self, addr: &str, request: u64, id: &str) {
         let pending = self.pending.iter_mut().find(|pending| pending.request == request && pending.id == id);
         pending.into_iter().for_each(|pending| {
             pending.held_by.insert(addr.to_owned());
         });
     }
 
-    /// The calls, with the database of each, that enough nodes hold by now.
-    pub fn take_settled(&mut self, quota: &Quota<'_>) -> Vec<(u64, String)> {
+    /// Removes the calls whose leave is held by enough nodes, and returns them with their database ids.
+    pub fn take_settled(&mut self, requirement: &AckRequirement<'_>) -> Vec<(u64, String)> {
         let (settled, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.pending).into_iter().partition(|pending| quota.is_met(pending));
+            std::mem::take(&mut self.pending).into_iter().partition(|pending| requirement.is_met(pending));
         self.pending = rest;
         self.acknowledged.extend(settled.iter().map(|pending| pending.id.clone()));
         settled.into_iter().map(|pending| (pending.token, pending.id)).collect()
     }
 
-    /// The calls whose time is over: too few nodes hold the leave.
+    /// Removes the calls that timed out before enough nodes held the leave.
     pub fn take_expired(&mut self, now: u64) -> Vec<u64> {
         let (expired, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|pending| pending.deadline <= now);
@@ -76,37 +76,37 @@
         expired.into_iter().map(|pending| pending.token).collect()
     }
 
-    pub fn forget(&mut self, is_known: impl Fn(&str) -> bool) {
+    pub fn retain_known(&mut self, is_known: impl Fn(&str) -> bool) {
         self.acknowledged.retain(|id| is_known(id));
     }
 }
 
 impl Core {
-    /// Another control node holds it too: counted once, and only where this life asked it about this database.
-    pub(crate) fn inst_held(&mut self, addr: &str, (asker, request): (u64, u64), id: &str) {
-        if asker == self.quorum.who() {
-            self.leave_acks.held(addr, request, id);
+    /// Counts each node once, and only replies to requests of this incarnation about this database.
+    pub(crate) fn on_instance_ack(&mut self, addr: &str, (requester, request): (u64, u64), id: &str) {
+        if requester == self.quorum.who() {
+            self.leave_acks.record_holder(addr, request, id);
         }
-        self.settle_leaves();
+        self.acknowledge_leaves();
     }
 
-    pub(crate) fn settle_leaves(&mut self) {
+    pub(crate) fn acknowledge_leaves(&mut self) {
         let voters = self.quorum.voters();
         let others_up = self.peers.values().filter(|peer| peer.is_up).count();
-        let quota = Quota {
-            is_own_vote: self.sits(),
+        let requirement = AckRequirement {
+            is_own_vote: self.is_majority_member(),
             is_voter: &|addr| voters.contains(addr),
             majority: self.quorum.majority(),
             others: self.tolerate.min(others_up),
         };
-        for (token, id) in self.leave_acks.take_settled(&quota) {
+        for (token, id) in self.leave_acks.take_settled(&requirement) {
             self.count_leave(&id);
             self.ret(token, 200, "{}");
         }
     }
 
-    /// Leaves that too few nodes hold are not acknowledged: the database calls another node.
-    pub(crate) fn end_leaves(&mut self) {
+    /// Rejects leaves that too few nodes hold in time: the database then calls another node.
+    pub(crate) fn expire_leaves(&mut self) {
         let expired = self.leave_acks.take_expired(self.now);
         expired.into_iter().for_each(|token| self.ret(token, 503, crate::beats::UNHEARD));
     }
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -49,7 +49,7 @@
         let mut page = Page::default();
         page.figure(
             ("windvalve_in_contact", "Whether a majority of the voters is in contact"),
-            self.is_fresh().into(),
+            self.has_majority().into(),
         )?;
         page.figure(("windvalve_configuration_version", "The configuration in force"), self.published)?;
         page.figure(
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -6,7 +6,7 @@
 impl Core {
     /// A link came in.
     pub fn link_in(&mut self, now: u64) -> u64 {
-        self.at(now);
+        self.advance_clock(now);
         let link = self.fresh_id();
         self.links.insert(link, Link { peer: None, node: None, is_follower: false, awaited: None });
         link
@@ -14,7 +14,7 @@
 
     /// A link this side dialled stands.
     pub fn link_up(&mut self, link: u64, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         let Some(addr) = self.links.get(&link).and_then(|held| held.peer.clone()) else { return };
         self.peers.get_mut(&addr).into_iter().for_each(|peer| peer.is_up = true);
         self.send(
@@ -31,11 +31,11 @@
         if self.is_leave_told {
             self.send(link, Message::Leaving);
         }
-        let ping = self.ping_msg();
+        let ping = self.new_ping();
         self.send(link, ping);
-        self.tell_leaves(link);
+        self.send_leaves(link);
         // Before there is contact nothing is compared: then all of it is asked for.
-        if self.contact.is_held {
+        if self.contact.is_established {
             self.send(link, Message::InstanceDigests { digests: self.table.digests() });
         }
         self.send(link, Message::Sessions { sessions: self.roster.sessions(self.now) });
@@ -46,11 +46,11 @@
         owners.into_iter().for_each(|owner| self.send(link, owner));
         let maps: Vec<Message> = self.feed.slots().values().cloned().map(Message::Slots).collect();
         maps.into_iter().for_each(|map| self.send(link, map));
-        self.take_over();
+        self.run_catch_up();
     }
 
     pub fn link_down(&mut self, link: u64, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         let Some(held) = self.links.remove(&link) else { return };
         if let Some(peer) = held.peer.and_then(|addr| self.peers.get_mut(&addr)).filter(|peer| peer.link == Some(link))
         {
@@ -63,7 +63,7 @@
     }
 
     pub fn msg(&mut self, link: u64, msg: Message, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         let Some(held) = self.links.get(&link) else { return };
         let (peer, node) = (held.peer.clone(), held.node.clone());
         if let Some(addr) = &peer {
@@ -114,8 +114,8 @@
                 self.serve_follows();
             }
             Message::HealthReports(sights) => self.hear_sights(node, sights),
-            Message::DirtyKeys(marks) => self.take_marks(node, marks),
-            Message::KeySamples(fill) => self.take_fill(node, fill),
+            Message::DirtyKeys(marks) => self.on_write_marks(node, marks),
+            Message::KeySamples(fill) => self.on_shard_report(node, fill),
             _ => self.acts.push(crate::Act::Close { link }),
         }
     }
@@ -123,8 +123,8 @@
     /// Followers are served once a majority is in fresh contact. Without one what is known here may be old: they ask
     /// elsewhere, unless this node has only just started, when all others may be no further.
     pub(crate) fn serve_follows(&mut self) {
-        let is_ready = self.is_caught_up() && self.contact.syncing.is_empty() && !self.is_leaving;
-        let is_young = self.is_young() && !self.is_leaving;
+        let is_ready = self.is_caught_up() && self.contact.syncing_shards.is_empty() && !self.is_leaving;
+        let is_young = self.is_starting() && !self.is_leaving;
         if !is_ready && is_young {
             return;
         }
@@ -158,25 +158,25 @@
                 let version = self.store.get(crate::core::CONF).map_or(0, |held| held.value.version);
                 let disk = self.is_core.then_some(self.seat.disk);
                 let voter_set = self.seat.votes_in(&self.me);
-                let ready = self.is_ready();
+                let ready = self.is_ready_to_vote();
                 let sealed_set = if voter_set == 0 { self.seat.sits_in(&self.me) } else { 0 };
                 self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
             Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
-                let Some(sent) = self.ping_sent(requester, request) else { return };
+                let Some(sent) = self.ping_sent_at(requester, request) else { return };
                 let is_leaving = self.peers.get(addr).is_some_and(|peer| peer.is_leaving);
                 self.roster.set_peer_has_disk(addr, disk.is_some() && !is_leaving);
                 if let Some(peer) = self.peers.get_mut(addr).filter(|peer| peer.contact <= sent) {
                     (peer.contact, peer.disk, peer.set) = (sent, disk, voter_set);
                     (peer.sealed, peer.is_ready) = (sealed_set, ready);
                 }
-                self.reckon_contact();
+                self.update_contact();
                 self.hear_version(addr, version);
             }
-            Message::Resync { requester, request, digests } => self.give_recap(link, (requester, request), &digests),
-            Message::ResyncDone { requester, request } => self.recapped(addr, requester, request),
+            Message::Resync { requester, request, digests } => self.answer_resync(link, (requester, request), &digests),
+            Message::ResyncDone { requester, request } => self.on_resync_done(addr, requester, request),
             Message::RegisterRequest { requester, request, voter_set, key, step } => {
-                let vote = self.vote(voter_set, &key, &step);
+                let vote = self.answer_register_step(voter_set, &key, &step);
                 vote.into_iter().for_each(|vote| {
                     self.send(link, Message::RegisterReply { requester, request, key: key.clone(), vote })
                 });
@@ -184,14 +184,14 @@
             Message::RegisterReply { requester, request, key, vote } => {
                 self.quorum.voted(addr, (requester, request), &key, vote, self.now);
             }
-            Message::Takeover(msg) => self.hear_takeover(link, addr, msg),
-            Message::Leaving => self.peer_leaves(addr),
-            Message::Handover(msg) => self.hear_handover(link, addr, msg),
+            Message::Takeover(msg) => self.on_catch_up(link, addr, msg),
+            Message::Leaving => self.on_peer_leaving(addr),
+            Message::Handover(msg) => self.on_handover(link, addr, msg),
             msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
-                let word = self.change_word(msg);
+                let word = self.answer_change(msg);
                 word.into_iter().for_each(|word| self.send(link, word));
             }
-            msg @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => self.change_heard(addr, msg),
+            msg @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => self.on_successor(addr, msg),
             Message::Committed { key, accepted } if key == crate::core::CONF => self.committed(accepted),
             Message::ConfigurationRequest { version } => self.take_lack(link, version),
             Message::CommittedConfigurations(news) => self.take_in_force(addr, news),
@@ -202,27 +202,27 @@
                     self.send(link, Message::InstanceAck { requester, request, id });
                 }
             }
-            Message::InstanceAck { requester, request, id } => self.inst_held(addr, (requester, request), &id),
+            Message::InstanceAck { requester, request, id } => self.on_instance_ack(addr, (requester, request), &id),
             Message::PeerHealthReports { node, mut reports } => {
                 self.date_sights(&mut reports);
-                self.take_sights(&node, reports)
+                self.record_health_reports(&node, reports)
             }
-            Message::Leader(lead) => self.lead_told(lead),
-            Message::Owner(owner) => self.owner_told(owner),
+            Message::Leader(lead) => self.on_leader(lead),
+            Message::Owner(owner) => self.on_owner(owner),
             Message::Slots(map) => self.slots_told(map),
-            Message::PeerDirtyKeys { node, dirty_keys } => self.take_marks(&node, dirty_keys),
-            Message::PeerKeySamples { node, samples } => self.take_fill(&node, samples),
+            Message::PeerDirtyKeys { node, dirty_keys } => self.on_write_marks(&node, dirty_keys),
+            Message::PeerKeySamples { node, samples } => self.on_shard_report(&node, samples),
             Message::ShardStatus { shard, text } => {
                 self.outlooks.insert(shard, text);
             }
             Message::DirtyKeysAck { ref node, .. } | Message::KeySamplesAck { ref node, .. } => {
                 let node = node.clone();
-                self.pass_on(&node, &msg);
+                self.forward_to_access_node(&node, &msg);
             }
             Message::Promoting { service, id, max_wait_us } => {
                 self.publish(wv_internal_protocol::FeedUpdate::Promoting { service, id, max_wait_us });
             }
-            Message::Recovered { id, outages } => self.eased(id, outages),
+            Message::Recovered { id, outages } => self.on_peer_recovered(id, outages),
             Message::InstanceDigests { digests } => self.compare(link, &digests),
             Message::InstanceRange { instances, .. } => self.mend_range(instances),
             _ => {}
@@ -243,7 +243,7 @@
     fn mend_range(&mut self, instances: Vec<Instance>) {
         for instance in instances {
             let changed = self.table.offer(instance.clone());
-            self.date_leave(&instance, crate::drain::Teller::Peer);
+            self.record_leave_time(&instance, crate::leave_ages::ReportSource::Peer);
             self.announce(&changed, false);
         }
     }
--- a/crates/wv-control/src/post.rs
+++ b/crates/wv-control/src/post.rs
@@ -64,8 +64,8 @@
             self.send_peers(&Message::Promoting { service: service.clone(), id: id.clone(), max_wait_us: us });
             self.publish(FeedUpdate::Promoting { service, id, max_wait_us: us });
         }
-        let turn = self.turn(service);
-        let ask = self.ask(service, &id, turn);
+        let turn = self.duty_step(service);
+        let ask = self.track_request(service, &id, turn);
         let wait = self.calls.pace.turn(self.now);
         let began = self.calls.confirms.get(service).copied().unwrap_or(0);
         if wait == 0 && began + CONFIRMED_US > self.now {
@@ -91,13 +91,14 @@
         for call in due {
             self.calls.confirms.insert(call.service.clone(), now);
             let service = call.service.clone();
-            self.ask_register(&service, Waiting::Call(Box::new(call)), None);
+            self.start_duty_op(&service, Waiting::Call(Box::new(call)), None);
         }
     }
 
     pub(crate) fn call_confirmed(&mut self, call: Call, outcome: Outcome) {
         let began = self.calls.confirms.get(&call.service).copied().unwrap_or(0);
-        let is_ours = self.is_ours(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
+        let is_ours =
+            self.holds_duty_register(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
         if is_ours && began + CONFIRMED_US > self.now {
             return self.call_platform(call.ask, &call.service, call.id, (call.fence, began));
         }
@@ -108,12 +109,12 @@
     fn unsent(&mut self, ask: u64) {
         let Some(asked) = self.calls.asks.remove(&ask) else { return };
         log::warn!("duty {}: no call under a confirmation that is over", asked.service);
-        self.duty_event(&asked.service, asked.turn, Event::Confirmed(false));
+        self.on_duty_event(&asked.service, asked.turn, Event::Confirmed(false));
     }
 
     /// The same, from the one that was to make it.
     pub fn late(&mut self, ask: u64, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         self.unsent(ask);
         self.run_quorum();
     }
--- a/crates/wv-control/src/request.rs
+++ b/crates/wv-control/src/request.rs
@@ -67,12 +67,12 @@
             }
             Err(_) => Err(Silent::Dark),
         };
-        self.with(|core, now| core.row(ask, word, now));
+        self.with(|core, now| core.on_db_status(ask, word, now));
     }
 
     pub(crate) async fn post(self, ask: u64, service: String, id: String, (fence, until): (u64, u64)) {
         let Some(platform) = self.platform.clone() else {
-            return self.with(|core, now| core.posted(ask, None, now));
+            return self.with(|core, now| core.on_promotion_response(ask, None, now));
         };
         // A process that stood still since must not make a call that another holder may have overtaken.
         if self.now() > until {
@@ -81,6 +81,6 @@
         let headers = [("X-Duty-Holder", self.name.clone()), ("X-Fence-Number", fence.to_string())];
         let body = serde_json::json!({ "destination": service, "id": id }).to_string().into_bytes();
         let code = wv_http::call(platform.addr, "POST", "/promotion", &headers, body, POST).await.ok();
-        self.with(|core, now| core.posted(ask, code, now));
+        self.with(|core, now| core.on_promotion_response(ask, code, now));
     }
 }
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -28,7 +28,7 @@
             let seeds = settings.seeds.iter().map(|seed| seed.to_string()).collect();
             self.node.core.borrow_mut().set_seeds(seeds);
             self.leave_us = settings.grace_us / 4;
-            self.node.core.borrow_mut().set_drain(settings.drain_us, settings.contact_us);
+            self.node.core.borrow_mut().set_drain_times(settings.drain_us, settings.contact_us);
         }
     }
 }
@@ -51,10 +51,10 @@
             let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             control.node.with(|core, now| {
                 core.tick(now);
-                core.set_epoch(epoch.map_or(0, |since| since.as_micros() as u64));
+                core.set_epoch_us(epoch.map_or(0, |since| since.as_micros() as u64));
             });
             let left_us = control.leaving_since.map_or(0, |since| control.node.now().saturating_sub(since));
-            let is_relieved = || control.node.core.borrow().is_relieved();
+            let is_relieved = || control.node.core.borrow().may_exit();
             if left_us > LEAVE_MAX * control.leave_us || (left_us > control.leave_us && is_relieved()) {
                 System::current().stop();
             }
@@ -69,7 +69,7 @@
         match signal {
             Signal::Leave => {
                 self.leaving_since.get_or_insert(self.node.now());
-                self.node.with(|core, now| core.leave(now));
+                self.node.with(|core, now| core.begin_shutdown(now));
             }
             Signal::Reread => self.reread(),
         }
@@ -119,7 +119,7 @@
         let listener = wv_http::listen(addr).map_err(|error| ControlError::Listen(addr, error))?;
         let inner = settings.inner_addr(addr);
         let inner_listener = wv_http::listen(inner).map_err(|error| ControlError::Listen(inner, error))?;
-        core.set_drain(settings.drain_us, settings.contact_us);
+        core.set_drain_times(settings.drain_us, settings.contact_us);
         let node = Node::new(core, &settings);
         let (asked, called) = (node.clone(), node.clone());
         let head = move |method: &str, path: &str| asked.head(method, path);
--- a/crates/wv-control/src/run_texts.rs
+++ b/crates/wv-control/src/run_texts.rs
@@ -103,6 +103,6 @@
         texts: Vec<String>,
     ) {
         let replies = run_texts(&addr, &service, &id, &texts).await;
-        self.with(|core, now| core.ran(number, replies, now));
+        self.with(|core, now| core.on_texts_run(number, replies, now));
     }
 }
--- a/crates/wv-control/src/own.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -1,64 +1,64 @@
-//! Shards among partners: who is to own what, and how a shard changes hands.
+//! Shard ownership among partners: target assignment and changes of owner.
 use crate::core::Core;
 use crate::types::Waiting;
 use std::collections::{BTreeMap, BTreeSet};
 use wv_consensus::Outcome;
 use wv_internal_protocol::{FeedUpdate, Message, Owner};
 
-/// Moves that only even out the portions follow each other no sooner, from this node.
-const PACE_US: u64 = 300_000;
-/// A node that has just started, or was out of contact, first hears who is there.
-const SETTLE_US: u64 = 1_500_000;
+/// Minimum interval between moves by this node that only rebalance.
+const REBALANCE_INTERVAL_US: u64 = 300_000;
+/// How long contact must have lasted before shards are assigned, so that membership is known.
+const STABLE_CONTACT_US: u64 = 1_500_000;
 
-fn key(service: &str) -> String {
+fn owner_key(service: &str) -> String {
     format!("own/{service}")
 }
 
 impl Core {
-    /// Gives shards to those that are to own them, as far as their keys are held here.
-    pub(crate) fn run_owners(&mut self) {
+    /// Assigns shards to their target owners, for those whose assignment duty is held here.
+    pub(crate) fn assign_shards(&mut self) {
         let Some(conf) = self.conf.as_ref().filter(|conf| !conf.partners.is_empty()) else { return };
-        if !self.is_settled(SETTLE_US) || self.is_leaving {
+        if !self.is_stable_for(STABLE_CONTACT_US) || self.is_leaving {
             return;
         }
         let members = self.roster.access_nodes(self.now);
         let owners: BTreeMap<String, String> =
             self.feed.owners().values().map(|owner| (owner.service.clone(), owner.node.clone())).collect();
         let owned: BTreeSet<&str> = owners.values().map(String::as_str).collect();
-        let is_fit = |told: &&wv_internal_protocol::Session| {
-            !told.is_leaving
-                && !told.handover_address.is_empty()
-                && (!told.is_new || owned.contains(told.node.as_str()))
+        let is_fit = |session: &&wv_internal_protocol::Session| {
+            !session.is_leaving
+                && !session.handover_address.is_empty()
+                && (!session.is_new || owned.contains(session.node.as_str()))
         };
-        let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|told| told.node.as_str()).collect();
+        let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
         let wanted = wv_shard_assignment::assign(&conf.partners, &nodes, &conf.shards, &owners);
         let is_due = |(service, node): &(String, String)| {
             let owner = owners.get(service);
-            let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|told| told.is_leaving));
-            let is_moved = owner != Some(node) || self.is_replaced(service, &members);
-            let is_held = self.roster.is_duty_holder(&key(service)) && !self.owning.contains(service);
-            is_held && is_moved && (is_lost || self.moved + PACE_US <= self.now)
+            let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|session| session.is_leaving));
+            let is_moved = owner != Some(node) || self.has_owner_moved(service, &members);
+            let is_held = self.roster.is_duty_holder(&owner_key(service)) && !self.owning.contains(service);
+            is_held && is_moved && (is_lost || self.moved + REBALANCE_INTERVAL_US <= self.now)
         };
         let due: Vec<(String, String)> = wanted.into_iter().filter(is_due).collect();
         let is_lost = |service: &str| owners.get(service).is_none_or(|owner| !nodes.contains(owner.as_str()));
-        // What has no owner goes at once, all of it; what is only uneven one by one.
+        // All shards without an owner are assigned at once; rebalancing moves one at a time.
         let (lost, uneven): (Vec<_>, Vec<_>) = due.into_iter().partition(|(service, _)| is_lost(service));
         if !uneven.is_empty() {
             self.moved = self.now;
         }
         for (service, node) in lost.into_iter().chain(uneven.into_iter().take(1)) {
             self.owning.push(service.clone());
-            self.give_shard(service, node);
+            self.write_shard_owner(service, node);
         }
     }
 
-    /// Writes the new owner under the next number.
-    fn give_shard(&mut self, service: String, node: String) {
-        let Some(place) = self.roster.access_nodes(self.now).get(&node).map(|told| told.handover_address.clone())
+    /// Writes the new owner with the next epoch.
+    fn write_shard_owner(&mut self, service: String, node: String) {
+        let Some(place) = self.roster.access_nodes(self.now).get(&node).map(|session| session.handover_address.clone())
         else {
             return self.owning.retain(|held| *held != service);
         };
-        let (token, key) = (self.fresh_id(), key(&service));
+        let (token, key) = (self.fresh_id(), owner_key(&service));
         self.waiting.insert(token, Waiting::Own(service.clone()));
         let owner = Owner { service, node, handover_address: place, epoch: 0 };
         let edit: wv_consensus::Edit = Box::new(move |held| {
@@ -71,26 +71,26 @@
         self.quorum.start(token, &key, Some(edit), self.now);
     }
 
-    /// The owner came back elsewhere: the same name at another place.
-    fn is_replaced(&self, service: &str, members: &BTreeMap<String, wv_internal_protocol::Session>) -> bool {
+    /// Whether the owner restarted under the same name at another address.
+    fn has_owner_moved(&self, service: &str, members: &BTreeMap<String, wv_internal_protocol::Session>) -> bool {
         let owner = self.feed.owners().get(service);
         owner.is_some_and(|owner| {
-            members.get(&owner.node).is_some_and(|told| {
-                !told.handover_address.is_empty() && told.handover_address != owner.handover_address
+            members.get(&owner.node).is_some_and(|session| {
+                !session.handover_address.is_empty() && session.handover_address != owner.handover_address
             })
         })
     }
 
-    /// Only what stands on a majority is told.
-    pub(crate) fn own_kept(&mut self, service: &str, outcome: Outcome) {
+    /// Sends an owner to the peers only once it is stored on a majority.
+    pub(crate) fn on_owner_written(&mut self, service: &str, outcome: Outcome) {
         self.owning.retain(|held| held != service);
         let (Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return };
-        let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
-        self.send_peers(&Message::Owner(told.clone()));
-        self.owner_told(told);
+        let Ok(owner) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
+        self.send_peers(&Message::Owner(owner.clone()));
+        self.on_owner(owner);
     }
 
-    pub(crate) fn owner_told(&mut self, owner: Owner) {
+    pub(crate) fn on_owner(&mut self, owner: Owner) {
         let held = self.feed.owners().get(&owner.service).map_or(0, |held| held.epoch);
         if owner.epoch > held {
             log::info!("shard {} goes to {} under {}", owner.service, owner.node, owner.epoch);
@@ -98,8 +98,9 @@
         }
     }
 
-    /// After a restart what this disk holds is a hint good enough: an owner that is none any more says so.
-    pub(crate) fn recall_owners(&mut self) {
+    /// Loads owners from this disk as hints after a restart: a node that no longer owns a shard rejects requests for
+    /// it.
+    pub(crate) fn load_owners(&mut self) {
         let is_own = |(key, held): &(&str, &wv_internal_protocol::AcceptorState)| {
             key.starts_with("own/") && !held.value.bytes.is_empty()
         };
@@ -109,13 +110,13 @@
         let owners: Vec<Result<Owner, _>> = self.store.iter().filter(is_own).map(read).collect();
         for owner in owners {
             match owner {
-                Ok(owner) => self.owner_told(owner),
-                Err(error) => log::warn!("an owner on this disk: {error}"),
+                Ok(owner) => self.on_owner(owner),
+                Err(error) => log::warn!("cannot decode a stored shard owner: {error}"),
             }
         }
     }
 
-    /// `GET /shards`: who owns what, under which number, and how the portions stand.
+    /// `GET /shards`: owners with their epochs, and the portions of the partners.
     pub(crate) fn list_shards(&mut self, token: u64) {
         let Some(conf) = self.conf.as_ref() else {
             return self.ret_none(token);
--- a/crates/wv-control/src/outlook.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of planned shards, and where their calls on them go.
+//! Status of planned shards, and routing of operator calls on them.
 use crate::conf::cause;
 use crate::core::Core;
 use crate::shards::Shard;
@@ -23,18 +23,18 @@
 }
 
 impl Core {
-    /// Whether the split of a shard is driven here.
+    /// Whether this node drives the splits of the shard.
     pub fn holds_shard(&self, shard: &str) -> bool {
         self.shards.get(shard).is_some_and(|held| held.split.has_ballot())
     }
 
-    /// The slot map of a shard as this node knows it.
+    /// The slot map of a shard as known to this node.
     pub fn slot_map(&self, shard: &str) -> Option<wv_internal_protocol::SlotMap> {
         self.feed.slots().get(shard).cloned()
     }
 
-    /// One planned shard: how full, what is foretold, how far its split is.
-    pub(crate) fn describe(&self, shard: &str, held: &Shard) -> serde_json::Value {
+    /// The usage, forecast and split progress of one planned shard.
+    pub(crate) fn shard_status_json(&self, shard: &str, held: &Shard) -> serde_json::Value {
         let (rows, bytes) = self.shard_totals(shard, held);
         let plan = self.shard_plan(shard);
         let share = |found: u64, max: u64| (max > 0).then(|| (found as f64 / max as f64 * 1e4).round() / 1e4);
@@ -46,12 +46,12 @@
             .map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target }))
             .collect();
         let (copied, left, surges) = held.split.counts();
-        let advice = held.fill.advice.as_ref();
+        let advice = held.usage.advice.as_ref();
         serde_json::json!({
-            "shard": shard, "rows": rows, "bytes": bytes, "error": (held.fill.sample.error() * 1e4).round() / 1e4,
+            "shard": shard, "rows": rows, "bytes": bytes, "error": (held.usage.sample.error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.rows_max)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.bytes_max)),
-            "names": held.split.names.len(), "forecast": forecast_json(held.fill.outlook.as_ref()),
+            "names": held.split.names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::text(advice.early_us), "likely": advice.likely_us.map(wv_calendar::text),
                 "splitFrom": wv_calendar::text(advice.from_us), "splitUntil": wv_calendar::text(advice.until_us),
@@ -66,25 +66,25 @@
         })
     }
 
-    /// `GET /forecast` and `GET /splits`: all planned shards, as their holders last told of them.
-    pub(crate) fn list_outlooks(&mut self, token: u64) {
+    /// `GET /forecast` and `GET /splits`: all planned shards, as last reported by their holders.
+    pub(crate) fn list_shard_status(&mut self, token: u64) {
         let Some(conf) = self.conf.as_ref() else {
             return self.ret_none(token);
         };
-        let told = |plan: &wv_configuration::ShardPlan| {
+        let reported = |plan: &wv_configuration::ShardPlan| {
             let text = self.outlooks.get(&plan.shard)?;
             serde_json::from_str::<serde_json::Value>(text).ok()
         };
         let unknown = |shard: &str| serde_json::json!({ "shard": shard, "forecast": forecast_json(None) });
         let list: Vec<serde_json::Value> =
-            conf.plans.iter().map(|plan| told(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
+            conf.plans.iter().map(|plan| reported(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
         self.ret(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
     }
 
-    /// Calls that change something of a planned shard are its holder's: others send the caller there.
-    pub(crate) fn call_shard(&mut self, token: u64, method: &str, path: (&str, &str), body: Option<&[u8]>) {
+    /// Handles calls that modify a planned shard; a node other than the holder redirects the caller to it.
+    pub(crate) fn handle_shard_call(&mut self, token: u64, method: &str, path: (&str, &str), body: Option<&[u8]>) {
         let (part, shard) = path;
-        // Also that there is no such plan is said only by a node that knows the newest configuration.
+        // Only a node that knows the newest configuration may answer that a plan does not exist.
         if self.conf.is_none() || !self.is_caught_up() {
             return self.ret(token, 503, cause("no majority of the voters is in contact, call again"));
         }
@@ -98,10 +98,10 @@
         let text = body.and_then(|body| std::str::from_utf8(body).ok());
         match (method, part, text) {
             (_, _, None) => self.ret(token, 413, cause("the body is over the bound, or no text")),
-            ("PUT", "splits", _) => self.want_split(shard, true, token),
-            ("DELETE", "splits", _) => self.want_split(shard, false, token),
-            ("PUT", "things", Some(text)) => self.list_things(shard, text, token),
-            ("PUT", "forecast", Some(text)) => self.bring_history(shard, text, token),
+            ("PUT", "splits", _) => self.request_split(shard, true, token),
+            ("DELETE", "splits", _) => self.request_split(shard, false, token),
+            ("PUT", "things", Some(text)) => self.add_listed_keys(shard, text, token),
+            ("PUT", "forecast", Some(text)) => self.import_history(shard, text, token),
             _ => self.ret(token, 405, cause("this method is not served here")),
         }
     }
--- /dev/null
+++ b/crates/wv-control/src/shard_usage.rs
@@ -0,0 +1,236 @@
+//! Usage of planned shards, their forecasts, and operator calls that wait for stored state.
+use crate::conf::cause;
+use crate::core::Core;
+use crate::shards::Shard;
+use nanoserde::{DeBin, SerBin};
+use wv_internal_protocol::Message;
+use wv_shard_forecast::{advise, forecast, Advice, History, KeySample, Need, Outlook, Sample, METHOD};
+
+/// Minimum interval between writes of the measurements.
+const WRITE_INTERVAL_US: u64 = 2_000_000;
+/// Interval between history points and forecasts.
+const MEASURE_INTERVAL_US: u64 = 60_000_000;
+/// Interval at which the status shown to operators is sent to peers.
+const REPORT_INTERVAL_US: u64 = 1_000_000;
+/// How long a requested split may run.
+pub(crate) const SPLIT_REQUEST_US: u64 = 3_600_000_000;
+/// Duration of a move in addition to copying its rows: promotions and final copies.
+const MOVE_OVERHEAD_US: u64 = 60_000_000;
+
+/// The usage of a shard as stored in its register.
+#[derive(SerBin, DeBin, Clone, Default, Debug)]
+pub struct StoredUsage {
+    pub entries: Vec<KeySample>,
+    pub history: History,
+    pub advice: Option<Advice>,
+    /// The time until which a requested split may run, 0 if none.
+    pub requested_until_us: u64,
+}
+
+#[derive(Default)]
+pub(crate) struct ShardUsage {
+    pub sample: Sample,
+    pub history: History,
+    pub advice: Option<Advice>,
+    pub requested_until_us: u64,
+    pub outlook: Option<Outlook>,
+    pub is_dirty: bool,
+    /// Whether a write of the usage or of a part of the key names is in progress.
+    is_writing: bool,
+    written_at: u64,
+    pub measured_at: u64,
+    reported_at: u64,
+    /// Access nodes to acknowledge: those whose key names are not yet being written, and those in the current write.
+    pending_acks: Vec<(String, u64, u64)>,
+    in_flight_acks: Vec<(String, u64, u64)>,
+    /// Operator calls to answer once everything is stored.
+    pub pending_calls: Vec<u64>,
+}
+
+impl ShardUsage {
+    /// Merges the stored state into what was received since.
+    pub fn merge_stored(&mut self, stored: StoredUsage) {
+        self.sample.merge(stored.entries);
+        self.history.merge(&stored.history);
+        self.advice = stored.advice.or(self.advice.take());
+        self.requested_until_us = self.requested_until_us.max(stored.requested_until_us);
+        (self.is_writing, self.is_dirty) = (false, true);
+    }
+
+    fn to_stored(&self) -> StoredUsage {
+        StoredUsage {
+            entries: self.sample.entries().collect(),
+            history: self.history.clone(),
+            advice: self.advice.clone(),
+            requested_until_us: self.requested_until_us,
+        }
+    }
+}
+
+impl Core {
+    /// Estimated rows and bytes in the shard: the planned base values plus what was written since.
+    pub(crate) fn shard_totals(&self, shard: &str, held: &Shard) -> (u64, u64) {
+        let (from, until) = self.held_slots(shard);
+        let first = self.initial_slots(shard);
+        let part = f64::from(until - from) / f64::from((first.1 - first.0).max(1));
+        let (rows, bytes) = held.usage.sample.totals(|slot| (from..until).contains(&slot));
+        let base = self.shard_plan(shard).map_or((0, 0), |plan| (plan.base_rows, plan.base_bytes));
+        (rows + (base.0 as f64 * part) as u64, bytes + (base.1 as f64 * part) as u64)
+    }
+
+    fn held_slots(&self, shard: &str) -> (u16, u16) {
+        let moved = self.feed.slots().get(shard).map(|map| map.moved.clone()).unwrap_or_default();
+        wv_shard_split::held(self.initial_slots(shard), &moved)
+    }
+
+    /// The deadline of the split that is currently requested or advised, if any.
+    pub(crate) fn split_deadline_us(&self, shard: &str, held: &Shard) -> Option<u64> {
+        let plan = self.shard_plan(shard)?;
+        let now = self.epoch_us();
+        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
+        if held.usage.requested_until_us > now {
+            return Some(held.usage.requested_until_us);
+        }
+        let advice = held.usage.advice.as_ref().filter(|_| plan.is_auto)?;
+        let is_open = (advice.from_us..advice.until_us).contains(&now) && plan.quiet.is_open(now);
+        (is_open && advice.raised_us > moved_us).then_some(advice.until_us)
+    }
+
+    /// Updates measurements and the forecast of one shard, and writes what changed.
+    pub(crate) fn run_shard_usage(&mut self, shard: &str) {
+        let (now, epoch) = (self.now, self.epoch_us());
+        if !self.shards.get(shard).is_some_and(|held| held.split.has_ballot()) {
+            return;
+        }
+        let Some(mut held) = self.shards.remove(shard) else { return };
+        let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
+        let usage = &mut held.usage;
+        // The requested split has completed or expired.
+        if usage.requested_until_us > 0
+            && (usage.requested_until_us <= epoch || moved_us + SPLIT_REQUEST_US > usage.requested_until_us)
+        {
+            (usage.requested_until_us, usage.is_dirty) = (0, true);
+        }
+        if usage.advice.as_ref().is_some_and(|advice| moved_us > advice.raised_us) {
+            // The history continues with the half that stayed in this shard.
+            usage.history.scale(0.5);
+            (usage.advice, usage.is_dirty) = (None, true);
+        }
+        if usage.measured_at + MEASURE_INTERVAL_US <= now || usage.measured_at == 0 {
+            held.usage.measured_at = now;
+            let (rows, bytes) = self.shard_totals(shard, &held);
+            held.usage.history.note(epoch, rows, bytes);
+            self.update_forecast(shard, &mut held);
+        }
+        self.write_next_part(shard, &mut held);
+        let is_kept = !held.usage.is_dirty && !held.usage.is_writing && held.split.names.is_kept();
+        let calls = if is_kept { std::mem::take(&mut held.usage.pending_calls) } else { Vec::new() };
+        calls.into_iter().for_each(|token| self.ret(token, 200, "{}"));
+        if is_kept {
+            // Reports that named only stored keys can be acknowledged at once.
+            let acks = std::mem::take(&mut held.usage.pending_acks);
+            acks.into_iter().for_each(|ack| self.send_samples_ack(shard, ack));
+        }
+        if held.usage.reported_at + REPORT_INTERVAL_US <= now {
+            held.usage.reported_at = now;
+            let text = self.shard_status_json(shard, &held).to_string();
+            if self.outlooks.get(shard) != Some(&text) {
+                self.send_peers(&Message::ShardStatus { shard: shard.to_owned(), text: text.clone() });
+                self.outlooks.insert(shard.to_owned(), text);
+            }
+        }
+        self.shards.insert(shard.to_owned(), held);
+    }
+
+    fn update_forecast(&self, shard: &str, held: &mut Shard) {
+        let Some(plan) = self.shard_plan(shard) else { return };
+        let level = |max: u64| (max as f64 * plan.warn_at) as u64;
+        let outlook = forecast(&held.usage.history, (level(plan.rows_max), level(plan.bytes_max)), METHOD);
+        let rows = held.usage.history.points().last().map_or(0, |point| point.rows);
+        let move_us = MOVE_OVERHEAD_US + rows / 2 * 1_000_000 / u64::from(plan.rows_per_s);
+        let need = Need { now_us: self.epoch_us(), windows: plan.quiet.windows(self.epoch_us(), 4), move_us };
+        let (advice, is_news) = advise(&outlook, &need, held.usage.advice.as_ref());
+        if is_news {
+            match &advice {
+                Some(advice) => log::warn!(
+                    "forecast: shard {shard} reaches its level at {} at the earliest; split it between {} and {}",
+                    wv_calendar::text(advice.early_us),
+                    wv_calendar::text(advice.from_us),
+                    wv_calendar::text(advice.until_us)
+                ),
+                None => log::warn!("forecast: a split of shard {shard} is no longer needed"),
+            }
+        }
+        held.usage.is_dirty |= is_news || advice != held.usage.advice;
+        (held.usage.advice, held.usage.outlook) = (advice, Some(outlook));
+    }
+
+    /// Starts at most one write at a time: new key names first, since requests wait for them, then usage, then name
+    /// chunks.
+    fn write_next_part(&mut self, shard: &str, held: &mut Shard) {
+        if held.usage.is_writing {
+            return;
+        }
+        let is_usage_due = held.usage.is_dirty
+            && (held.usage.written_at + WRITE_INTERVAL_US <= self.now || !held.usage.pending_calls.is_empty());
+        held.usage.is_writing = true;
+        if let Some(text) = held.split.names.take_fresh() {
+            held.usage.in_flight_acks = std::mem::take(&mut held.usage.pending_acks);
+            self.put_fresh(shard, held.next_version(), &text);
+        } else if is_usage_due {
+            (held.usage.is_dirty, held.usage.written_at) = (false, self.now);
+            self.put_fill(shard, held.next_version(), SerBin::serialize_bin(&held.usage.to_stored()));
+        } else if let Some((at, text)) = held.split.names.take_dirty() {
+            self.put_things(shard, held.next_version(), (at, &text));
+        } else {
+            held.usage.is_writing = false;
+        }
+    }
+
+    /// Handles the end of a write of one part.
+    pub(crate) fn on_part_written(&mut self, shard: &str, part: &crate::keep::Keep, is_ours: bool) {
+        let Some(held) = self.shards.get_mut(shard) else { return };
+        held.usage.is_writing = false;
+        let acked = std::mem::take(&mut held.usage.in_flight_acks);
+        match (part, is_ours) {
+            (crate::keep::Keep::ThingsPut(_), true) => held.split.names.written(),
+            (crate::keep::Keep::ThingsPut(at), false) => held.split.names.put_back(*at),
+            (crate::keep::Keep::FreshPut, false) => held.split.names.renew(),
+            (crate::keep::Keep::FillPut, false) => held.usage.is_dirty = true,
+            _ => {}
+        }
+        if !is_ours {
+            // Access nodes resend their reports; operators are told that the change was not stored.
+            let calls = std::mem::take(&mut held.usage.pending_calls);
+            return calls.into_iter().for_each(|token| self.ret(token, 503, cause("not kept, call again")));
+        }
+        acked.into_iter().for_each(|ack| self.send_samples_ack(shard, ack));
+        self.run_shard_usage(shard);
+    }
+
+    /// Acknowledges a report by incarnation and serial: another incarnation may use the same serial.
+    fn send_samples_ack(&mut self, shard: &str, (node, life, serial): (String, u64, u64)) {
+        let msg = Message::KeySamplesAck { node: node.clone(), shard: shard.to_owned(), incarnation: life, serial };
+        self.send_to_access_node(&node, msg);
+    }
+
+    /// Handles an access node's report: forwards it to the shard's holder, or merges it if held here.
+    pub(crate) fn on_shard_report(&mut self, node: &str, report: wv_internal_protocol::ShardReport) {
+        let holder = self.shard_holder(&report.shard);
+        if holder != self.me {
+            self.send_peer(&holder, Message::PeerKeySamples { node: node.to_owned(), samples: report });
+            return;
+        }
+        let Some(held) = self.shards.get_mut(&report.shard).filter(|held| held.split.has_ballot()) else { return };
+        held.usage.is_dirty |= held.usage.sample.merge(report.samples) > 0;
+        report.keys.iter().for_each(|name| held.split.names.add(name));
+        let ack = (node.to_owned(), report.incarnation, report.serial);
+        if held.split.names.is_kept() && !held.usage.is_writing {
+            return self.send_samples_ack(&report.shard, ack);
+        }
+        if !held.usage.pending_acks.contains(&ack) {
+            held.usage.pending_acks.push(ack);
+        }
+        self.run_shard_usage(&report.shard);
+    }
+}
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,49 +1,49 @@
-//! Planned shards: who drives their splits, and what the machine of each one reads and orders.
+//! Planned shards: which node drives their splits, and execution of the split state machine's orders.
 use crate::core::{Act, Core};
 use std::collections::BTreeMap;
 use wv_internal_protocol::{Message, SlotMap, WriteMarks};
 use wv_shard_split::{Event, Names, Order, Plan, Side, Split, View};
 
-/// A holder that has just started, or was out of contact, first hears who is there.
-const SETTLE_US: u64 = 1_000_000;
+/// How long contact must have lasted before a split is driven, so that membership is known.
+const STABLE_CONTACT_US: u64 = 1_000_000;
 
-pub(crate) fn key(part: &str, shard: &str) -> String {
+pub(crate) fn register_key(part: &str, shard: &str) -> String {
     format!("{part}/{shard}")
 }
 
-/// What was read when the ballot was taken.
+/// The registers read after the ballot was acquired.
 #[derive(Default)]
-pub(crate) struct Read {
+pub(crate) struct ShardRegisters {
     pub map: Option<SlotMap>,
-    pub fill: Option<crate::fills::Kept>,
+    pub usage: Option<crate::shard_usage::StoredUsage>,
     pub names: Names,
 }
 
-/// One planned shard at its holder.
+/// State of one planned shard at its holder.
 #[derive(Default)]
 pub(crate) struct Shard {
     pub split: Split,
-    /// The ballot, and how many writes were made under it.
+    /// The ballot, and the number of writes made under it.
     pub ballot: u64,
-    pub step: u32,
-    /// Reads that are still out after the ballot was taken.
-    pub reading: usize,
-    pub read: Read,
-    pub fill: crate::fills::Fill,
+    pub writes: u32,
+    /// Outstanding register reads after the ballot was acquired.
+    pub pending_reads: usize,
+    pub registers: ShardRegisters,
+    pub usage: crate::shard_usage::ShardUsage,
     pub runs: BTreeMap<u64, u64>,
 }
 
 impl Shard {
-    /// The version under which the next write is made: ordered by ballots, then by writes.
+    /// The version for the next write: ordered by ballot, then by write number.
     pub fn next_version(&mut self) -> u64 {
-        self.step += 1;
-        self.ballot << 16 | u64::from(self.step & 0xffff)
+        self.writes += 1;
+        self.ballot << 16 | u64::from(self.writes & 0xffff)
     }
 }
 
 impl Core {
-    /// The time of day, in microseconds since the epoch.
-    pub fn set_epoch(&mut self, epoch_us: u64) {
+    /// Sets the time of day, in microseconds since the epoch.
+    pub fn set_epoch_us(&mut self, epoch_us: u64) {
         self.epoch = epoch_us.saturating_sub(self.now);
     }
 
@@ -52,19 +52,19 @@
     }
 
     pub(crate) fn is_shard_holder(&self, shard: &str) -> bool {
-        self.roster.is_duty_holder(&key("split", shard))
+        self.roster.is_duty_holder(&register_key("split", shard))
     }
 
     pub(crate) fn shard_holder(&self, shard: &str) -> String {
-        self.roster.duty_holder(&key("split", shard)).to_owned()
+        self.roster.duty_holder(&register_key("split", shard)).to_owned()
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_configuration::ShardPlan> {
         self.conf.as_ref()?.plans.iter().find(|plan| plan.shard == shard)
     }
 
-    /// The slots that the shard had at first: all, or what a split of another one brought.
-    pub(crate) fn first_slots(&self, shard: &str) -> (u16, u16) {
+    /// The slots that the shard started with: all of them, or those moved to it by the split of another shard.
+    pub(crate) fn initial_slots(&self, shard: &str) -> (u16, u16) {
         let moved = self.feed.slots().values().flat_map(|map| &map.moved);
         moved
             .filter(|range| range.target == shard)
@@ -73,7 +73,7 @@
             .unwrap_or((0, wv_internal_protocol::SLOT_COUNT))
     }
 
-    /// Drives all shards whose key is held here.
+    /// Drives all shards whose split duty is held here.
     pub(crate) fn run_shards(&mut self) {
         self.sync_slots();
         let Some(conf) = &self.conf else { return };
@@ -83,16 +83,16 @@
             let is_known = self.shards.contains_key(&shard);
             if is_known || self.is_shard_holder(&shard) {
                 self.with_shard(&shard, |split, view| split.tick(view));
-                self.run_fill(&shard);
+                self.run_shard_usage(&shard);
             }
         }
     }
 
-    pub(crate) fn shard_event(&mut self, shard: &str, event: Event) {
+    pub(crate) fn on_split_event(&mut self, shard: &str, event: Event) {
         self.with_shard(shard, |split, view| split.event(event, view));
     }
 
-    fn with_shard(&mut self, shard: &str, turn: impl FnOnce(&mut Split, &View<'_>)) {
+    fn with_shard(&mut self, shard: &str, run: impl FnOnce(&mut Split, &View<'_>)) {
         let mut held = self.shards.remove(shard).unwrap_or_default();
         let plan = self.shard_plan(shard).map(|plan| Plan {
             shard: plan.shard.clone(),
@@ -103,8 +103,8 @@
         let lead = |service: &str| self.feed.lead(service).map(|lead| (lead.id.clone(), lead.term));
         let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
         let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |inst| inst.capacity);
-        let first = self.first_slots(shard);
-        let is_holder = self.is_shard_holder(shard) && self.is_settled(SETTLE_US) && !self.is_leaving;
+        let first = self.initial_slots(shard);
+        let is_holder = self.is_shard_holder(shard) && self.is_stable_for(STABLE_CONTACT_US) && !self.is_leaving;
         let view = View {
             now: self.now,
             epoch_us: self.epoch_us(),
@@ -113,21 +113,21 @@
             source: source.as_ref().map(|(id, term)| (id.as_str(), *term)),
             target: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
             capacity,
-            wanted_until_us: self.wanted_until(shard, &held),
+            wanted_until_us: self.split_deadline_us(shard, &held),
             first,
             rows: self.shard_totals(shard, &held).0,
         };
-        turn(&mut held.split, &view);
-        // A ballot that was let go, or lost, is worth nothing.
-        if !held.split.has_ballot() && held.reading == 0 && held.split.step_name() != "claiming" {
+        run(&mut held.split, &view);
+        // A released or lost ballot must not be used for further writes.
+        if !held.split.has_ballot() && held.pending_reads == 0 && held.split.step_name() != "claiming" {
             held.ballot = 0;
         }
         let orders = held.split.take_orders();
         self.shards.insert(shard.to_owned(), held);
-        orders.into_iter().for_each(|order| self.obey_split(shard, order));
+        orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
     }
 
-    fn obey_split(&mut self, shard: &str, order: Order) {
+    fn apply_split_order(&mut self, shard: &str, order: Order) {
         match order {
             Order::Claim => self.claim_shard(shard),
             Order::Write(map) => {
@@ -142,7 +142,7 @@
                     Side::Target => plan.map(|plan| plan.upper.clone()).unwrap_or_default(),
                 };
                 let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
-                    return self.shard_event(shard, Event::Ran { token, replies: None });
+                    return self.on_split_event(shard, Event::Ran { token, replies: None });
                 };
                 let run = self.fresh_id();
                 self.shards.entry(shard.to_owned()).or_default().runs.insert(run, token);
@@ -151,49 +151,49 @@
         }
     }
 
-    /// What came of texts that were run at a database.
-    pub fn ran(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
-        self.at(now);
+    /// Handles the replies to statements run on a database.
+    pub fn on_texts_run(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
+        self.advance_clock(now);
         let found = self.shards.iter_mut().find_map(|(shard, held)| Some((shard.clone(), held.runs.remove(&run)?)));
         if let Some((shard, token)) = found {
-            self.shard_event(&shard, Event::Ran { token, replies });
+            self.on_split_event(&shard, Event::Ran { token, replies });
         }
         self.run_quorum();
     }
 
-    /// One of the reads after the ballot was taken has come; with the last one the machine goes on.
-    pub(crate) fn shard_read(&mut self, shard: &str, take: impl FnOnce(&mut Read)) {
-        let Some(held) = self.shards.get_mut(shard).filter(|held| held.reading > 0) else { return };
-        take(&mut held.read);
-        held.reading -= 1;
-        if held.reading == 0 {
-            let read = std::mem::take(&mut held.read);
-            held.fill.load(read.fill.unwrap_or_default());
-            self.shard_event(shard, Event::Claimed(Some((read.map, read.names))));
+    /// Handles one of the register reads; after the last one the ballot is reported to the state machine as claimed.
+    pub(crate) fn on_shard_register(&mut self, shard: &str, take: impl FnOnce(&mut ShardRegisters)) {
+        let Some(held) = self.shards.get_mut(shard).filter(|held| held.pending_reads > 0) else { return };
+        take(&mut held.registers);
+        held.pending_reads -= 1;
+        if held.pending_reads == 0 {
+            let read = std::mem::take(&mut held.registers);
+            held.usage.merge_stored(read.usage.unwrap_or_default());
+            self.on_split_event(shard, Event::Claimed(Some((read.map, read.names))));
         }
     }
 
-    /// Marks of an access node: to the holder, or to the machine here.
-    pub(crate) fn take_marks(&mut self, node: &str, marks: WriteMarks) {
+    /// Handles write marks from an access node: forwards them to the shard's holder, or to the state machine here.
+    pub(crate) fn on_write_marks(&mut self, node: &str, marks: WriteMarks) {
         let holder = self.shard_holder(&marks.shard);
         if holder != self.me {
             self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys: marks });
             return;
         }
         let (shard, attempt, life, serial) = (marks.shard.clone(), marks.attempt, marks.incarnation, marks.serial);
-        // Before the ballot is had nobody can say what the marks are for: the node sends them again.
+        // Without the ballot the marks cannot be attributed to an attempt; the access node resends them.
         if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
             return;
         }
-        self.shard_event(&shard, Event::Marks { node: node.to_owned(), marks });
-        self.tell_node(
+        self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks });
+        self.send_to_access_node(
             node,
             Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
         );
     }
 
-    /// A word for one access node: on its session here, or through the control node that holds it.
-    pub(crate) fn tell_node(&mut self, node: &str, msg: Message) {
+    /// Sends a message to an access node over its session here, or through the control node that has its session.
+    pub(crate) fn send_to_access_node(&mut self, node: &str, msg: Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         if own.is_empty() {
@@ -202,8 +202,8 @@
         own.into_iter().for_each(|link| self.send(link, msg.clone()));
     }
 
-    /// The same, as another control node passed it on.
-    pub(crate) fn pass_on(&mut self, node: &str, msg: &Message) {
+    /// Delivers a message for an access node that another control node forwarded.
+    pub(crate) fn forward_to_access_node(&mut self, node: &str, msg: &Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         own.into_iter().for_each(|link| self.send(link, msg.clone()));
--- /dev/null
+++ b/crates/wv-control/src/stored_table.rs
@@ -0,0 +1,120 @@
+//! The table of databases on disk: hints after a restart until heartbeats arrive.
+use crate::core::{Core, LOCAL};
+use wv_internal_protocol::{FeedUpdate, Instance, Leader};
+
+/// Larger tables are not stored; heartbeats restore them soon after a restart.
+const TABLE_MAX_BYTES: usize = 1 << 20;
+
+/// A database as stored on disk. The age of its leave is not stored, as it is unknown after a restart.
+#[derive(nanoserde::SerBin, nanoserde::DeBin)]
+struct StoredInstance {
+    id: String,
+    service: String,
+    addr: String,
+    zone: String,
+    capacity: u32,
+    draining: bool,
+    cold_us: u64,
+    primary: bool,
+    sequence: u64,
+    gone: bool,
+}
+
+impl From<&Instance> for StoredInstance {
+    fn from(inst: &Instance) -> StoredInstance {
+        StoredInstance {
+            id: inst.id.clone(),
+            service: inst.service.clone(),
+            addr: inst.address.clone(),
+            zone: inst.zone.clone(),
+            capacity: inst.capacity,
+            draining: inst.draining,
+            cold_us: inst.cold_left_us,
+            primary: inst.primary,
+            sequence: inst.sequence,
+            gone: inst.gone,
+        }
+    }
+}
+
+impl From<StoredInstance> for Instance {
+    fn from(stored: StoredInstance) -> Instance {
+        Instance {
+            id: stored.id,
+            service: stored.service,
+            address: stored.addr,
+            zone: stored.zone,
+            capacity: stored.capacity,
+            draining: stored.draining,
+            cold_left_us: stored.cold_us,
+            primary: stored.primary,
+            sequence: stored.sequence,
+            gone: stored.gone,
+            leaving_age_us: wv_internal_protocol::UNKNOWN_AGE_US,
+        }
+    }
+}
+
+#[derive(nanoserde::SerBin, nanoserde::DeBin, Default)]
+struct StoredTable {
+    insts: Vec<StoredInstance>,
+    leads: Vec<Leader>,
+    nodes: u32,
+}
+
+fn table_key() -> String {
+    format!("{LOCAL}table")
+}
+
+impl Core {
+    /// Writes the table to disk if it changed.
+    pub(crate) fn store_table(&mut self) {
+        if !std::mem::take(&mut self.is_table_due) {
+            return;
+        }
+        let needed = self.required_departures();
+        let stored = StoredTable {
+            insts: self
+                .table
+                .iter()
+                .filter(|inst| !inst.gone || needed.contains(&inst.id))
+                .map(StoredInstance::from)
+                .collect(),
+            leads: self.feed.leads().cloned().collect(),
+            nodes: self.nodes_told,
+        };
+        let value = nanoserde::SerBin::serialize_bin(&stored);
+        if value.len() <= TABLE_MAX_BYTES {
+            if let Err(error) = self.store.put_local(&table_key(), value) {
+                log::warn!("cannot store the table of databases: {error}");
+            }
+        }
+    }
+
+    /// Loads hints only: each connection names the id it expects, and databases fence their own lead.
+    pub(crate) fn load_table(&mut self) {
+        self.load_owners();
+        let stored: Option<StoredTable> =
+            self.store.get(&table_key()).and_then(|held| nanoserde::DeBin::deserialize_bin(&held.value.bytes).ok());
+        let Some(stored) = stored else { return };
+        // Until the other nodes have had time to return, connections are shared among as many nodes as before the
+        // restart: shares computed over the few nodes already back would overload the databases once all return.
+        self.nodes_recalled = stored.nodes;
+        // A departed database may have held records that no other one has, so departures are restored as well.
+        let (gone, here): (Vec<Instance>, Vec<Instance>) =
+            stored.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
+        for inst in gone {
+            self.left.insert(inst.id.clone(), Default::default());
+            self.table.offer(Instance { gone: false, ..inst.clone() });
+            self.table.offer(inst);
+        }
+        for inst in here {
+            if !inst.primary {
+                self.claims.replicas.insert(inst.id.clone());
+            }
+            let changed = self.table.offer(inst);
+            changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
+        }
+        stored.leads.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
+    }
+}
--- a/crates/wv-control/src/thin.rs
+++ b/crates/wv-control/src/thin.rs
@@ -18,8 +18,8 @@
         self.peers.get_mut(addr).into_iter().for_each(|peer| peer.conf = version);
         if !self.is_thin() {
             // Just started, or a voter holds something newer than what is in force here: settle it and learn it.
-            if (!self.is_caught_up || version > self.published) && self.is_fresh() {
-                self.sync_conf();
+            if (!self.is_caught_up || version > self.published) && self.has_majority() {
+                self.read_newest_conf();
             }
             return;
         }
@@ -27,7 +27,7 @@
             self.lack(addr, self.published);
         }
         // Whatever was acknowledged stands on a majority: nothing newer than what is here, if a majority has nothing.
-        self.catch_up();
+        self.check_caught_up();
     }
 
     /// The version of the configuration in force here, 0 for none.
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -20,12 +20,12 @@
 impl Core {
     /// Regular work, ten times a second.
     pub fn tick(&mut self, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         if self.born == 0 {
             self.born = self.now;
         }
         // A node that is its own majority asks nobody.
-        self.reckon_contact();
+        self.update_contact();
         self.dial();
         if self.pinged + PING_US <= self.now {
             self.ping();
@@ -42,38 +42,38 @@
         }
         if self.forgot + FORGET_US <= self.now {
             self.forgot = self.now;
-            let needed = self.needed();
+            let needed = self.required_departures();
             self.table.forget(&needed);
             let table = &self.table;
             self.left.retain(|id, _| table.get(id).is_some());
-            self.leave_acks.forget(|id| table.get(id).is_some());
-            self.drains.forget(|id| table.get(id).is_some());
+            self.leave_acks.retain_known(|id| table.get(id).is_some());
+            self.drains.retain_known(|id| table.get(id).is_some());
             self.forget_peers();
         }
-        self.keep_contact();
+        self.continue_catch_up();
         self.tell_conf();
         self.serve_follows();
-        self.keep_table();
-        self.take_over();
+        self.store_table();
+        self.run_catch_up();
         self.roster.expire_sessions(self.now);
         self.settle_holders();
-        self.run_voters();
+        self.run_voter_change();
         self.run_duties();
         self.run_calls();
-        self.run_leaving();
-        self.run_owners();
+        self.run_shutdown();
+        self.assign_shards();
         self.run_shards();
         self.run_sweep();
         self.tell_nodes();
         self.quorum.tick(self.now);
         self.run_quorum();
-        self.end_leaves();
+        self.expire_leaves();
         self.end_pending();
     }
 
     pub(crate) fn ping(&mut self) {
         self.pinged = self.now;
-        let msg = self.ping_msg();
+        let msg = self.new_ping();
         self.send_peers(&msg);
     }
 
--- /dev/null
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -0,0 +1,222 @@
+//! Copying registers to a disk that does not vote yet: a member of a new set before its first vote, or a learner.
+use crate::core::Core;
+use std::collections::BTreeSet;
+use wv_consensus::parts;
+use wv_internal_protocol::{AcceptorState, CatchUp, Message};
+
+/// Interval between comparisons of a learner that is up to date.
+const LEARNER_INTERVAL_US: u64 = 500_000;
+/// A learner counts as ready if its last complete comparison started no longer ago than this.
+const READY_WINDOW_US: u64 = 1_200_000;
+/// How long to wait for a source; doubled with each consecutive source that times out, up to sixteen times, since long
+/// registers take time over a slow link.
+const SOURCE_TIMEOUT_US: u64 = 600_000;
+
+/// A comparison with one source.
+struct Comparison {
+    source: String,
+    request: u64,
+    started_at: u64,
+    answered_at: u64,
+    /// The set in which the source last voted, once known.
+    set: u64,
+    /// Ranges that still differ, and how many of them were requested last.
+    differing: Vec<u32>,
+    requested: usize,
+}
+
+#[derive(Default)]
+pub(crate) struct CatchUpProgress {
+    current: Option<Comparison>,
+    /// Members of the previous set that have left it and whose registers are all held here.
+    complete_sources: BTreeSet<String>,
+    /// Sources that timed out since any source last answered.
+    silent_sources: Vec<String>,
+    /// When the last complete comparison started.
+    up_to_date_at: Option<u64>,
+    /// A learner starts no comparison before this time.
+    next_attempt_at: u64,
+}
+
+impl CatchUpProgress {
+    /// Discards progress made toward an older set. The registers copied so far are kept.
+    pub fn reset(&mut self) {
+        *self = CatchUpProgress::default();
+    }
+}
+
+impl Core {
+    /// Whether this node is a member of the newest set that does not vote in it yet.
+    fn is_joining(&self) -> bool {
+        self.seat.is_member(&self.me) && self.seat.sits_in(&self.me) == 0
+    }
+
+    fn is_learner(&self) -> bool {
+        self.is_core && !self.seat.is_member(&self.me) && !self.seat.voters.members.is_empty()
+    }
+
+    /// Whether this learner holds everything that a voter held as of a moment ago.
+    pub fn is_ready_to_vote(&self) -> bool {
+        self.is_learner() && self.progress.up_to_date_at.is_some_and(|at| at + READY_WINDOW_US > self.now)
+    }
+
+    /// Compares with one source at a time, and switches to another if it times out.
+    pub(crate) fn run_catch_up(&mut self) {
+        let is_urgent = self.is_joining();
+        if !is_urgent && !self.is_learner() {
+            return;
+        }
+        let span = SOURCE_TIMEOUT_US << self.progress.silent_sources.len().min(4);
+        if let Some(held) = &self.progress.current {
+            let is_up = self.peers.get(&held.source).is_some_and(|peer| peer.is_up);
+            if is_up && held.answered_at + span > self.now {
+                return;
+            }
+            let source = held.source.clone();
+            self.progress.silent_sources.push(source);
+            self.progress.current = None;
+        }
+        if !is_urgent && self.progress.next_attempt_at > self.now {
+            return;
+        }
+        let Some(source) = self.next_source(is_urgent) else { return };
+        let (voters, before, request) =
+            (self.seat.voters.clone(), self.seat.before.clone(), self.quorum.next_request());
+        let digest = parts::total(&parts::sums(&self.store));
+        let (now, differing) = (self.now, Vec::new());
+        self.send_peer(&source, Message::Takeover(CatchUp::Compare { request, voters, previous: before, digest }));
+        self.progress.current =
+            Some(Comparison { source, request, started_at: now, answered_at: now, set: 0, differing, requested: 0 });
+    }
+
+    /// A voter of the newest set alone is sufficient; otherwise members of the previous set are asked in turn. Among
+    /// equals the source with the fewest timeouts is chosen.
+    fn next_source(&self, is_urgent: bool) -> Option<String> {
+        let (voters, before) = (&self.seat.voters, &self.seat.before);
+        let addrs: BTreeSet<&str> = voters.addrs().chain(before.addrs().filter(|_| is_urgent)).collect();
+        let order = |addr: &&str| {
+            let peer =
+                self.peers.get(*addr).filter(|peer| peer.is_up && !self.progress.complete_sources.contains(*addr))?;
+            let silent = self.progress.silent_sources.iter().filter(|silent| silent == addr).count();
+            let is_voter = peer.set == voters.number;
+            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.contact)))
+        };
+        let ordered = addrs.into_iter().filter_map(|addr| Some((order(&addr)?, addr)));
+        ordered.min().map(|(_, addr)| addr.to_owned())
+    }
+
+    /// Handles both sides of a comparison.
+    pub(crate) fn on_catch_up(&mut self, link: u64, addr: &str, msg: CatchUp) {
+        match msg {
+            CatchUp::Compare { request, voters, previous: before, digest } => {
+                // Learning of the new set ends voting in the previous one: only then are the registers sent from here
+                // final.
+                self.learn_voters(&voters, &before);
+                if self.seat.voters.number > voters.number {
+                    let msg = self.peers_msg();
+                    return self.send(link, msg);
+                }
+                let set = self.seat.tells_of(&self.me);
+                if set > 0 {
+                    let digests = parts::sums(&self.store);
+                    let digests = if parts::total(&digests) == digest { Vec::new() } else { digests };
+                    self.send(link, Message::Takeover(CatchUp::Digests { request, set, digests }));
+                }
+            }
+            CatchUp::CompareRanges { request, ranges } => {
+                let (registers, is_complete) = parts::part(&self.store, &ranges);
+                self.send(link, Message::Takeover(CatchUp::NewerRegisters { request, registers, is_complete }));
+            }
+            CatchUp::Digests { request, set, digests } => self.on_digests(addr, request, set, &digests),
+            CatchUp::NewerRegisters { request, registers, is_complete } => {
+                self.on_registers(addr, request, registers, is_complete)
+            }
+        }
+    }
+
+    fn current_comparison(&mut self, addr: &str, request: u64) -> Option<&mut Comparison> {
+        let now = self.now;
+        let held = self.progress.current.as_mut().filter(|held| held.source == addr && held.request == request)?;
+        held.answered_at = now;
+        Some(held)
+    }
+
+    fn on_digests(&mut self, addr: &str, request: u64, set: u64, theirs: &[u64]) {
+        let ours = parts::sums(&self.store);
+        let Some(held) = self.current_comparison(addr, request) else { return };
+        let differs = |range: &u32| theirs.get(*range as usize).is_some_and(|sum| *sum != ours[*range as usize]);
+        (held.set, held.differing) = (set, (0..parts::RANGES as u32).filter(differs).collect());
+        self.progress.silent_sources.clear();
+        self.request_next_part();
+    }
+
+    /// Stores received registers regardless of source or delay: before its first vote a disk may always hold more.
+    fn on_registers(&mut self, addr: &str, request: u64, registers: Vec<(String, AcceptorState)>, is_complete: bool) {
+        if !self.is_joining() && !self.is_learner() {
+            return;
+        }
+        if let Err(error) = self.store.adopt(registers) {
+            log::error!("cannot store registers copied from a voter: {error}");
+            self.progress.current = None;
+            return;
+        }
+        let Some(held) = self.current_comparison(addr, request) else { return };
+        if is_complete {
+            let asked = std::mem::take(&mut held.requested).min(held.differing.len());
+            held.differing.drain(..asked);
+        }
+        self.progress.silent_sources.clear();
+        self.request_next_part();
+    }
+
+    /// Requests one part at a time, so that links and sources stay available for other work.
+    fn request_next_part(&mut self) {
+        let Some(held) = self.progress.current.as_mut() else { return };
+        if held.differing.is_empty() {
+            return self.finish_comparison();
+        }
+        let ranges = parts::listed(&self.store, &held.differing);
+        held.requested = ranges.len();
+        let (source, request) = (held.source.clone(), held.request);
+        self.send_peer(&source, Message::Takeover(CatchUp::CompareRanges { request, ranges }));
+    }
+
+    /// Everything that the source held when the comparison started is stored here.
+    fn finish_comparison(&mut self) {
+        let Some(held) = self.progress.current.take() else { return };
+        self.progress.next_attempt_at = self.now + LEARNER_INTERVAL_US;
+        let (voters, before) = (self.seat.voters.clone(), self.seat.before.clone());
+        if held.set == voters.number {
+            self.progress.up_to_date_at = Some(held.started_at);
+        }
+        if !self.is_joining() {
+            return;
+        }
+        // A source that has not voted in either set knows no more than this disk: others are preferred.
+        if held.set == before.number {
+            self.progress.complete_sources.insert(held.source);
+        } else if held.set != voters.number {
+            return self.progress.silent_sources.push(held.source);
+        }
+        // This disk's own state in the previous set counts like any other member's.
+        let has_left = |addr: &&str| {
+            self.progress.complete_sources.contains(*addr)
+                || (*addr == self.me && self.seat.tells_of(&self.me) == before.number)
+        };
+        let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
+        // A majority of the previous set, each member having left it before it answered, holds everything acknowledged
+        // in it. So does any voter of the newest set, which copied it from such a majority. Anything acknowledged in
+        // the newest set is stored on a majority of it that does not need this disk.
+        if held.set != voters.number && !has_before {
+            return self.run_catch_up();
+        }
+        match self.seat.install(&mut self.store) {
+            Ok(()) => {
+                log::warn!("this disk now votes in set {}", self.seat.set);
+                self.progress.reset();
+                self.ping();
+            }
+            Err(error) => log::error!("cannot store the vote in the new set: {error}"),
+        }
+    }
+}
--- a/crates/wv-control/src/handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -1,51 +1,51 @@
-//! The steps of a change of voters between those that take part: claimed, sealed, handed over, settled.
+//! Participant side of a voter set change: prepare, seal, hand over registers, accept.
 use crate::core::Core;
 use wv_consensus::{parts, RegError};
 use wv_internal_protocol::{AcceptorState, Handover, Message, RegisterSummary};
 
-fn noted(error: RegError) {
-    log::error!("a word on the next voters is not kept: {error}");
+fn log_not_stored(error: RegError) {
+    log::error!("cannot store a step of the voter set change: {error}");
 }
 
 impl Core {
-    /// Sends a step of a change. This node's own part in it comes last: it may already lead to the next step.
-    pub(crate) fn send_change(&mut self, msgs: Vec<(String, Message)>) {
-        let sums = parts::sums(&self.store);
+    /// Sends a step of a change. This node's own part comes last, because it may already trigger the next step.
+    pub(crate) fn send_change_step(&mut self, msgs: Vec<(String, Message)>) {
+        let digests = parts::sums(&self.store);
         let me = self.me.clone();
         let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
         for (voter, mut msg) in others {
             match &mut msg {
-                Message::Handover(Handover::Seal { digest: sum, .. }) => *sum = parts::total(&sums),
-                Message::Handover(Handover::Fetch { digests: told, .. }) => *told = sums.clone(),
+                Message::Handover(Handover::Seal { digest, .. }) => *digest = parts::total(&digests),
+                Message::Handover(Handover::Fetch { digests: told, .. }) => *told = digests.clone(),
                 _ => {}
             }
             self.send_peer(&voter, msg);
         }
         for (_, msg) in own {
             match msg {
-                // What is told or to be fetched stands here already.
+                // This node holds its own registers already, so there is nothing to compare or fetch.
                 Message::Handover(Handover::Seal { request, set, fence, .. }) => {
-                    let sealed = self.seal(set, fence);
-                    sealed.into_iter().for_each(|ok| self.sealed(&me, request, ok));
+                    let sealed = self.seal_voter(set, fence);
+                    sealed.into_iter().for_each(|ok| self.on_sealed(&me, request, ok));
                 }
                 Message::Handover(Handover::Fetch { request, set, next, .. }) => {
-                    if self.seat.is_named(&me, set, &next) && self.is_whole(set) {
-                        self.fetched(&me, request);
+                    if self.seat.is_named(&me, set, &next) && self.is_handover_complete(set) {
+                        self.on_fetched(&me, request);
                     }
                 }
                 msg => {
-                    let word = self.change_word(msg);
-                    word.into_iter().for_each(|word| self.change_heard(&me, word));
+                    let reply = self.answer_change(msg);
+                    reply.into_iter().for_each(|reply| self.on_successor(&me, reply));
                 }
             }
         }
     }
 
-    /// A voter's answer to the one that changes the set.
-    pub(crate) fn change_word(&mut self, msg: Message) -> Option<Message> {
+    /// A voter's reply to the node that drives the change.
+    pub(crate) fn answer_change(&mut self, msg: Message) -> Option<Message> {
         match msg {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
-                let claimed = self.seat.claim(&mut self.store, &self.me, set, fence)?.map_err(noted).ok()?;
+                let claimed = self.seat.claim(&mut self.store, &self.me, set, fence)?.map_err(log_not_stored).ok()?;
                 Some(Message::SuccessorVote {
                     request,
                     ok: claimed.is_ok,
@@ -54,53 +54,54 @@
                 })
             }
             Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
-                let ok = self.seat.settle(&mut self.store, &self.me, (set, fence), &next)?.map_err(noted).ok()?;
+                let ok =
+                    self.seat.settle(&mut self.store, &self.me, (set, fence), &next)?.map_err(log_not_stored).ok()?;
                 Some(Message::SuccessorAccepted { request, ok })
             }
             _ => None,
         }
     }
 
-    fn seal(&mut self, set: u64, fence: u64) -> Option<bool> {
-        self.seat.seal(&mut self.store, &self.me, (set, fence))?.map_err(noted).ok()
+    fn seal_voter(&mut self, set: u64, fence: u64) -> Option<bool> {
+        self.seat.seal(&mut self.store, &self.me, (set, fence))?.map_err(log_not_stored).ok()
     }
 
-    fn is_whole(&mut self, set: u64) -> bool {
-        self.seat.finish(&mut self.store, set).map_err(noted).unwrap_or(false)
+    fn is_handover_complete(&mut self, set: u64) -> bool {
+        self.seat.finish(&mut self.store, set).map_err(log_not_stored).unwrap_or(false)
     }
 
-    pub(crate) fn hear_handover(&mut self, link: u64, addr: &str, msg: Handover) {
+    pub(crate) fn on_handover(&mut self, link: u64, addr: &str, msg: Handover) {
         match msg {
-            Handover::Seal { request, set, fence, digest: sum } => {
-                let Some(ok) = self.seal(set, fence) else { return };
-                let sums = parts::sums(&self.store);
-                let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
-                self.send(link, Message::Handover(Handover::Sealed { request, ok, digests: sums }));
+            Handover::Seal { request, set, fence, digest } => {
+                let Some(ok) = self.seal_voter(set, fence) else { return };
+                let digests = parts::sums(&self.store);
+                let digests = if parts::total(&digests) == digest { Vec::new() } else { digests };
+                self.send(link, Message::Handover(Handover::Sealed { request, ok, digests }));
             }
-            Handover::Sealed { request, ok, digests: sums } => {
-                let open = parts::differing(&self.store, &sums);
+            Handover::Sealed { request, ok, digests } => {
+                let open = parts::differing(&self.store, &digests);
                 match self.seat.voters.number {
-                    set if ok && !open.is_empty() => self.ask_rest(link, (request, set, false), &open),
-                    _ => self.sealed(addr, request, ok),
+                    set if ok && !open.is_empty() => self.request_ranges(link, (request, set, false), &open),
+                    _ => self.on_sealed(addr, request, ok),
                 }
             }
-            Handover::Fetch { request, set, next, digests: sums } => {
+            Handover::Fetch { request, set, next, digests } => {
                 if self.seat.is_named(&self.me, set, &next) {
-                    let open = parts::differing(&self.store, &sums);
-                    self.rest(link, addr, (request, set, true), Vec::new(), &open);
+                    let open = parts::differing(&self.store, &digests);
+                    self.on_newer_registers(link, addr, (request, set, true), Vec::new(), &open);
                 }
             }
             Handover::CompareRanges { request, set, is_member, ranges, other_ranges: others } => {
-                self.lacking(link, (request, set, is_member), &ranges, others);
+                self.send_newer_registers(link, (request, set, is_member), &ranges, others);
             }
-            Handover::NewerRegisters { request, set, is_member, registers: cells, remaining_ranges: left } => {
-                self.rest(link, addr, (request, set, is_member), cells, &left);
+            Handover::NewerRegisters { request, set, is_member, registers, remaining_ranges: left } => {
+                self.on_newer_registers(link, addr, (request, set, is_member), registers, &left);
             }
-            Handover::Fetched { request } => self.fetched(addr, request),
+            Handover::Fetched { request } => self.on_fetched(addr, request),
         }
     }
 
-    fn ask_rest(&mut self, link: u64, (request, set, is_member): (u64, u64, bool), open: &[u32]) {
+    fn request_ranges(&mut self, link: u64, (request, set, is_member): (u64, u64, bool), open: &[u32]) {
         let ranges = parts::listed(&self.store, open);
         let is_asked = |range: &u32| ranges.iter().any(|asked| asked.0 == *range);
         let others = open.iter().copied().filter(|range| !is_asked(range)).collect();
@@ -110,8 +111,9 @@
         );
     }
 
-    /// Told is only what is final: by a voter that is sealed, or by the one to which a sealed majority has told all.
-    fn lacking(
+    /// Sends only final registers: a sealed voter does, or the driver to which a sealed majority has sent all of its
+    /// own.
+    fn send_newer_registers(
         &mut self,
         link: u64,
         (request, set, is_member): (u64, u64, bool),
@@ -123,54 +125,48 @@
         if set != self.seat.voters.number || !is_final {
             return;
         }
-        let (cells, is_whole) = parts::part(&self.store, ranges);
+        let (registers, is_whole) = parts::part(&self.store, ranges);
         let again = ranges.iter().map(|range| range.0).filter(|_| !is_whole);
         let left = again.chain(others).collect();
         self.send(
             link,
-            Message::Handover(Handover::NewerRegisters {
-                request,
-                set,
-                is_member,
-                registers: cells,
-                remaining_ranges: left,
-            }),
+            Message::Handover(Handover::NewerRegisters { request, set, is_member, registers, remaining_ranges: left }),
         );
     }
 
-    /// More of what was lacking here; what cannot be kept was not told.
-    fn rest(
+    /// Stores received registers, and requests the remaining ranges. If storing fails, they count as not received.
+    fn on_newer_registers(
         &mut self,
         link: u64,
         addr: &str,
         (request, set, is_member): (u64, u64, bool),
-        cells: Vec<(String, AcceptorState)>,
+        registers: Vec<(String, AcceptorState)>,
         left: &[u32],
     ) {
-        if set != self.seat.voters.number || self.store.adopt(cells).map_err(noted).is_err() {
+        if set != self.seat.voters.number || self.store.adopt(registers).map_err(log_not_stored).is_err() {
             return;
         }
         if !left.is_empty() {
-            return self.ask_rest(link, (request, set, is_member), left);
+            return self.request_ranges(link, (request, set, is_member), left);
         }
         if !is_member {
-            self.sealed(addr, request, true);
-        } else if self.is_whole(set) {
+            self.on_sealed(addr, request, true);
+        } else if self.is_handover_complete(set) {
             self.send(link, Message::Handover(Handover::Fetched { request }));
         }
     }
 
-    fn sealed(&mut self, voter: &str, request: u64, is_ok: bool) {
+    fn on_sealed(&mut self, voter: &str, request: u64, is_ok: bool) {
         let end = self.change.as_mut().and_then(|change| change.sealed(voter, request, is_ok));
-        self.step_change(end);
+        self.advance_change(end);
     }
 
-    fn fetched(&mut self, voter: &str, request: u64) {
+    fn on_fetched(&mut self, voter: &str, request: u64) {
         self.change.iter_mut().for_each(|change| change.fetched(voter, request));
-        self.step_change(None);
+        self.advance_change(None);
     }
 
-    pub(crate) fn change_heard(&mut self, voter: &str, msg: Message) {
+    pub(crate) fn on_successor(&mut self, voter: &str, msg: Message) {
         let end = self.change.as_mut().and_then(|change| match msg {
             Message::SuccessorVote { request, ok, fence, successor: next } => {
                 change.claimed(voter, request, ok, fence, next)
@@ -178,16 +174,16 @@
             Message::SuccessorAccepted { request, ok } => change.settled(voter, request, ok),
             _ => None,
         });
-        self.step_change(end);
+        self.advance_change(end);
     }
 
-    fn step_change(&mut self, end: Option<wv_consensus::End>) {
+    fn advance_change(&mut self, end: Option<wv_consensus::End>) {
         match end {
             Some(end) => self.end_change(end),
-            // Its next step goes out at once.
+            // Sends the next step at once instead of at the next tick.
             None => {
                 let due = self.change.as_mut().map(|change| change.tick(self.now));
-                due.into_iter().flatten().for_each(|msgs| self.send_change(msgs));
+                due.into_iter().flatten().for_each(|msgs| self.send_change_step(msgs));
             }
         }
     }
--- a/crates/wv-control/src/voters.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -1,23 +1,24 @@
-//! The set of voters in change: who plans it, and how it is agreed on.
+//! Changes of the voter set: who plans them, and how a new set is agreed on.
 use crate::core::{Core, FRESH_US};
 use crate::types::Peer;
 use wv_consensus::{Change, End};
 use wv_internal_protocol::{Member, Message, VoterSet};
 
-/// The key of the duty of changing the voters.
-const DUTY: &str = "voters";
-/// Attempts follow each other no sooner.
-const PAUSE_US: u64 = 300_000;
-/// A set grows no sooner after the last change: nothing is lost while it waits.
-const GROW_US: u64 = 1_000_000;
-/// A member that is reachable and does not vote holds up the next change for no longer.
-const LATE_US: u64 = 5_000_000;
-/// Addresses that nobody has reached for this long, and that no set or seed names, are forgotten.
-const FORGOTTEN_US: u64 = 60_000_000;
+/// The name of the duty of changing the voter set.
+const VOTERS_DUTY: &str = "voters";
+/// Minimum interval between attempts.
+const CHANGE_INTERVAL_US: u64 = 300_000;
+/// Minimum time between the last change and one that adds members.
+const GROWTH_DELAY_US: u64 = 1_000_000;
+/// How long a reachable member that does not vote yet can delay the next change.
+const JOIN_TIMEOUT_US: u64 = 5_000_000;
+/// Peers that are unreachable for this long, and are neither voters nor seeds, are removed.
+const PEER_RETENTION_US: u64 = 60_000_000;
 
 impl Core {
     pub(crate) fn peers_msg(&self) -> Message {
-        let is_worth = |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_named(addr);
+        let is_worth =
+            |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_seed_or_voter(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
         let addrs: Vec<String> = self.peers.keys().filter(is_worth).cloned().chain([self.me.clone()]).collect();
         let zones = addrs.iter().map(zone).collect();
@@ -29,7 +30,7 @@
         }
     }
 
-    fn is_named(&self, addr: &str) -> bool {
+    fn is_seed_or_voter(&self, addr: &str) -> bool {
         self.seeds.iter().any(|seed| seed == addr) || self.seat.voters.contains(addr)
     }
 
@@ -38,16 +39,16 @@
         let (seeds, voters) = (&self.seeds, &self.seat.voters);
         self.peers.retain(|addr, peer| {
             peer.is_up
-                || peer.since.max(peer.contact) + FORGOTTEN_US > now
+                || peer.since.max(peer.contact) + PEER_RETENTION_US > now
                 || seeds.contains(addr)
                 || voters.contains(addr)
         });
     }
 
-    /// A settled set was heard of: it counts from now on, here and for whoever is told.
+    /// Adopts an accepted voter set and tells all peers.
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
         let is_news = self.seat.learn(&mut self.store, &self.me, voters, before).unwrap_or_else(|error| {
-            log::error!("the set of voters is not kept: {error}");
+            log::error!("cannot store the voter set: {error}");
             self.is_unlearned = true;
             false
         });
@@ -62,44 +63,44 @@
         self.quorum.set_voters(voters.clone());
         self.change = None;
         self.changed = self.now;
-        self.progress.restart();
+        self.progress.reset();
         let msg = self.peers_msg();
         self.send_peers(&msg);
-        self.take_over();
+        self.run_catch_up();
         self.ping();
     }
 
-    /// The holder of the duty looks whether the set should change, and drives an attempt under way.
-    pub(crate) fn run_voters(&mut self) {
-        // What this disk could not take is told once more to whoever speaks of an older set.
+    /// Checks whether the set should change if the duty is held here, and drives a change in progress.
+    pub(crate) fn run_voter_change(&mut self) {
+        // Announces the set that this disk failed to store, so that peers with the newer set send it again.
         if std::mem::take(&mut self.is_unlearned) {
             let msg = self.peers_msg();
             self.send_peers(&msg);
         }
         let due = self.change.as_mut().map(|change| change.tick(self.now));
         match due {
-            Some(Ok(msgs)) => self.send_change(msgs),
+            Some(Ok(msgs)) => self.send_change_step(msgs),
             Some(Err(end)) => self.end_change(end),
-            None => self.plan_change(),
+            None => self.start_planned_change(),
         }
     }
 
-    /// Whether this node is in fresh contact with a majority of the newest set that has a say on its successor: of those
-    /// that vote, and of those that are sealed for a successor which is not settled yet.
-    fn is_seated(&self) -> bool {
+    /// Whether this node is in contact with a majority of the newest set that can decide on its successor: members that
+    /// vote, and members sealed for a successor that is not accepted yet.
+    fn has_deciding_majority(&self) -> bool {
         let voters = &self.seat.voters;
-        let is_heard = |peer: &&Peer| self.is_heard(peer) && peer.set.max(peer.sealed) == voters.number;
+        let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.set.max(peer.sealed) == voters.number;
         let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
         let own = usize::from(self.seat.sits_in(&self.me) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
 
-    pub(crate) fn is_heard(&self, peer: &Peer) -> bool {
+    pub(crate) fn is_in_contact(&self, peer: &Peer) -> bool {
         peer.is_up && peer.contact + FRESH_US > self.now
     }
 
-    /// Of those that sit in the newest set and stay, one plans its successor: it holds nearly all that will be handed on.
-    fn is_planner(&self) -> bool {
+    /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
+    fn is_change_planner(&self) -> bool {
         let voters = &self.seat.voters;
         let is_meant = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
@@ -109,63 +110,65 @@
             })
         };
         let is_own = self.is_core && self.seat.sits_in(&self.me) > 0 && !self.is_leaving;
-        is_own && self.roster.is_duty_holder_among(DUTY, is_meant)
+        is_own && self.roster.is_duty_holder_among(VOTERS_DUTY, is_meant)
     }
 
-    /// Whether every member that is reachable votes: before that nobody else is changed, so that what the set is meant to
-    /// bear it bears. One that does not come to vote is not waited for without end.
-    fn is_complete(&self) -> bool {
+    /// Whether every reachable member votes. Other members are changed only after that, so that the set keeps its fault
+    /// tolerance; a member that does not start voting is waited for only up to `JOIN_TIMEOUT_US`.
+    fn are_members_voting(&self) -> bool {
         let number = self.seat.voters.number;
-        let is_behind = |addr: &str| self.peers.get(addr).is_some_and(|peer| self.is_heard(peer) && peer.set != number);
-        self.changed + LATE_US <= self.now || !self.seat.voters.addrs().any(is_behind)
+        let is_behind =
+            |addr: &str| self.peers.get(addr).is_some_and(|peer| self.is_in_contact(peer) && peer.set != number);
+        self.changed + JOIN_TIMEOUT_US <= self.now || !self.seat.voters.addrs().any(is_behind)
     }
 
-    fn plan_change(&mut self) {
-        if self.changed + PAUSE_US > self.now || !self.is_planner() || !self.is_seated() {
+    fn start_planned_change(&mut self) {
+        if self.changed + CHANGE_INTERVAL_US > self.now || !self.is_change_planner() || !self.has_deciding_majority() {
             return;
         }
         let voters = &self.seat.voters;
         let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed == voters.number);
-        // A predecessor began what it could not end: the set must not stay sealed without a successor.
+        // A previous planner may have failed midway: the set must not stay sealed without a successor.
         let is_begun = self.seat.votes_in(&self.me) == 0 || voters.addrs().any(is_sealed);
-        if !is_begun && !self.is_complete() {
+        if !is_begun && !self.are_members_voting() {
             return;
         }
         let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
-        let next = self.planned().or_else(|| is_begun.then(same));
+        let next = self.planned_voters().or_else(|| is_begun.then(same));
         let is_larger = |next: &VoterSet| next.members.len() > voters.members.len();
-        let Some(next) = next.filter(|next| is_begun || !is_larger(next) || self.changed + GROW_US <= self.now) else {
+        let Some(next) = next.filter(|next| is_begun || !is_larger(next) || self.changed + GROWTH_DELAY_US <= self.now)
+        else {
             return;
         };
         let own = self.me.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
         let fence = (((self.met.max(self.seat.fence) >> 16) + 1) << 16) | own;
-        log::warn!("set {} is to follow: {}", next.number, next.addrs().collect::<Vec<_>>().join(" "));
+        log::warn!("proposing voter set {}: {}", next.number, next.addrs().collect::<Vec<_>>().join(" "));
         self.changed = self.now;
-        // Answers are known by the number, not by the fence: two lives of one node may come upon the same fence.
+        // Replies are matched by request number, not by fence: two incarnations of a node may choose the same fence.
         let request = self.quorum.next_request();
         self.change = Some(Change::new(request, fence, self.seat.voters.clone(), next, self.now));
-        self.run_voters();
+        self.run_voter_change();
     }
 
-    /// The next set, if this node sees a reason for one.
-    pub(crate) fn planned(&self) -> Option<VoterSet> {
-        wv_consensus::plan(&self.seat.voters, &self.cores(), |addr| self.away_us(addr))
+    /// The next voter set, if a change is needed.
+    pub(crate) fn planned_voters(&self) -> Option<VoterSet> {
+        wv_consensus::plan(&self.seat.voters, &self.voter_candidates(), |addr| self.unreachable_us(addr))
     }
 
-    /// The machines that could vote, as they are known here.
-    fn cores(&self) -> Vec<wv_consensus::Core> {
+    /// All known machines that could vote.
+    fn voter_candidates(&self) -> Vec<wv_consensus::Core> {
         let own = wv_consensus::Core {
             member: Member { addr: self.me.clone(), disk: self.seat.disk },
             zone: self.zone.clone(),
             is_up: true,
-            is_ready: self.is_ready(),
+            is_ready: self.is_ready_to_vote(),
             is_leaving: self.is_leaving,
         };
         let other = |(addr, peer): (&String, &Peer)| {
             Some(wv_consensus::Core {
                 member: Member { addr: addr.clone(), disk: peer.disk? },
                 zone: peer.zone.clone(),
-                is_up: self.is_heard(peer),
+                is_up: self.is_in_contact(peer),
                 is_ready: peer.is_ready,
                 is_leaving: peer.is_leaving,
             })
@@ -173,25 +176,25 @@
         self.is_core.then_some(own).into_iter().chain(self.peers.iter().filter_map(other)).collect()
     }
 
-    /// For how long nobody has answered for a member. A disk that is slow or hangs is not away: its machine answers.
-    fn away_us(&self, addr: &str) -> u64 {
-        // What has no disk forgets with its process: it gives its place to the first that has one.
+    /// How long a member has been unreachable. A slow or hung disk does not count: its machine still answers.
+    fn unreachable_us(&self, addr: &str) -> u64 {
+        // A node without a disk loses its state on exit: it yields its place to the first candidate that has a disk.
         let is_forgetful = |peer: &Peer| peer.contact > 0 && peer.disk.is_none();
         if (addr == self.me && !self.is_core) || self.peers.get(addr).is_some_and(is_forgetful) {
             return wv_consensus::AWAY_US;
         }
-        let peer = self.peers.get(addr).filter(|peer| !self.is_heard(peer));
+        let peer = self.peers.get(addr).filter(|peer| !self.is_in_contact(peer));
         peer.map_or(0, |peer| self.now.saturating_sub(peer.since.max(peer.contact).max(self.born)))
     }
 
-    /// Whether this node is agreeing on the next voters right now.
-    pub fn is_changing(&self) -> bool {
+    /// Whether this node is driving a change of the voter set.
+    pub fn is_changing_voters(&self) -> bool {
         self.change.is_some()
     }
 
-    /// `GET /voters`: the set in force as it is known here, and how each of its members stands.
+    /// `GET /voters`: the set in force as known here, and the state of each member.
     pub(crate) fn list_voters(&mut self, token: u64) {
-        let word = |member: &Member| {
+        let status = |member: &Member| {
             let is_own = member.addr == self.me;
             let peer = self.peers.get(&member.addr);
             let (is_up, set) = if is_own {
@@ -206,10 +209,10 @@
             };
             serde_json::json!({ "address": member.addr, "disk": format!("{:x}", member.disk), "state": state })
         };
-        let members: Vec<serde_json::Value> = self.seat.voters.members.iter().map(word).collect();
+        let members: Vec<serde_json::Value> = self.seat.voters.members.iter().map(status).collect();
         let body = serde_json::json!({
             "number": self.seat.voters.number, "majority": self.seat.voters.majority(), "members": members,
-            "fresh": self.is_fresh(), "changing": self.is_changing(),
+            "fresh": self.has_majority(), "changing": self.is_changing_voters(),
         });
         self.ret(token, 200, body.to_string());
     }
--- a/crates/wv-control/src/words.rs
+++ b/crates/wv-control/src/words.rs
@@ -21,7 +21,7 @@
     pub(crate) fn hear_sights(&mut self, node: &str, mut sights: Vec<HealthReport>) {
         self.date_sights(&mut sights);
         self.hand_over(node, &sights);
-        self.take_sights(node, sights);
+        self.record_health_reports(node, sights);
     }
 
     fn hand_over(&mut self, node: &str, sights: &[HealthReport]) {
--- a/crates/wv-control/tests/asks.rs
+++ b/crates/wv-control/tests/asks.rs
@@ -83,7 +83,7 @@
             busy_connections: 0,
             connections: 1,
         });
-        self.core.row(ask, word, self.now);
+        self.core.on_db_status(ask, word, self.now);
         self.obey();
     }
 
@@ -182,10 +182,10 @@
     expect_that!(second[0].2, not(eq(&first[0].2)), "another attempt has another fence");
     // The first call's refusal is late: the second one is not given up for it.
     asked.clear();
-    node.core.posted(first[0].0, Some(409), node.now);
+    node.core.on_promotion_response(first[0].0, Some(409), node.now);
     node.obey();
     expect_that!(node.take().iter().any(|(_, _, text)| text == "CONTINUE"), eq(false));
-    node.core.posted(second[0].0, Some(409), node.now);
+    node.core.on_promotion_response(second[0].0, Some(409), node.now);
     node.obey();
     expect_that!(node.take().iter().any(|(_, _, text)| text == "CONTINUE"), eq(true));
 }
@@ -214,7 +214,11 @@
     for (ask, id, _) in &looks {
         let (is_primary, term, number) = if id == "d2" { (true, 2, 5) } else { (false, 3, 9) };
         let received = LogPosition { term, number };
-        node.core.row(*ask, Ok(DatabaseStatus { is_primary, term, received, ..DatabaseStatus::default() }), node.now);
+        node.core.on_db_status(
+            *ask,
+            Ok(DatabaseStatus { is_primary, term, received, ..DatabaseStatus::default() }),
+            node.now,
+        );
         node.obey();
     }
     let asked = node.take();
--- a/crates/wv-control/tests/spells.rs
+++ b/crates/wv-control/tests/catch_up.rs
@@ -41,7 +41,7 @@
     let looks = node.take(|msg| is_about(msg, "slots/"));
     assert_that!(looks.len(), ge(1));
     node.run(100 * MS);
-    expect_that!(node.core.is_fresh(), eq(false));
+    expect_that!(node.core.has_majority(), eq(false));
     let (_, pings) = node.pings();
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     for (from, msg) in &looks {
@@ -49,7 +49,7 @@
     }
     // All but the read of the map that was begun since.
     (0..6).for_each(|_| node.answer(|msg| is_about(msg, "conf") || matches!(msg, Message::Resync { .. })));
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     node.answer(|msg| is_about(msg, "slots/"));
     expect_that!(node.core.is_caught_up(), eq(true));
 }
@@ -94,7 +94,7 @@
         }
     };
     run(&mut node, 4 * S);
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     expect_that!((node.take(|msg| is_about(msg, "duty/")).len(), node.asked), eq((0, 0)));
     // They tell it: those duties that are this node's are taken up.
     node.answer(|msg| matches!(msg, Message::Resync { .. }) || is_ping(msg));
@@ -113,11 +113,11 @@
     pings.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
     let (_, late) = node.pings();
     node.run(asked + 1300 * MS - node.now);
-    expect_that!(node.core.is_fresh(), eq(false));
+    expect_that!(node.core.has_majority(), eq(false));
     node.sent.clear();
     late.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
     (0..4).for_each(|_| node.answer(|msg| matches!(msg, Message::Resync { .. })));
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     node.answer(is_ping);
     expect_that!(node.core.is_caught_up(), eq(true));
 }
--- a/crates/wv-control/tests/contact.rs
+++ b/crates/wv-control/tests/contact.rs
@@ -12,7 +12,7 @@
 fn given_answers_that_are_read_long_after_they_were_asked_for_then_they_are_no_contact() {
     let mut node = Node::new();
     node.serve(2 * S);
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, true)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, true)));
     // A last round of pings goes out, and the process stands still; then it reads the answers first of all.
     node.run(500 * MS);
     let late = node.take(is_ping);
@@ -21,7 +21,7 @@
     for (from, msg) in &late {
         node.hear(from, reply(msg).expect("a pong"));
     }
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((false, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((false, false)));
     expect_that!(node.call("PUT", "/configuration", "{\"issue\":7,\"routing\":[],\"services\":[]}"), some(eq(503)));
     expect_that!(node.call("PUT", "/instances/i-1", BEAT), some(eq(503)));
 }
@@ -35,13 +35,13 @@
     for (from, msg) in &late {
         node.hear(from, reply(msg).expect("a pong"));
     }
-    expect_that!(node.core.is_fresh(), eq(true));
+    expect_that!(node.core.has_majority(), eq(true));
     node.now = asked + 1300 * MS - 1;
     node.core.wake(node.now);
-    expect_that!(node.core.is_fresh(), eq(true));
+    expect_that!(node.core.has_majority(), eq(true));
     node.now += 1;
     node.core.wake(node.now);
-    expect_that!(node.core.is_fresh(), eq(false));
+    expect_that!(node.core.has_majority(), eq(false));
 }
 
 #[gtest]
@@ -67,9 +67,9 @@
             },
         );
     }
-    expect_that!(node.core.is_fresh(), eq(false));
+    expect_that!(node.core.has_majority(), eq(false));
     node.serve(500 * MS);
-    expect_that!(node.core.is_fresh(), eq(true));
+    expect_that!(node.core.has_majority(), eq(true));
 }
 
 #[gtest]
@@ -95,16 +95,16 @@
     let looks = node.take(is_look);
     assert_that!(looks.len(), ge(1));
     node.run(100 * MS);
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((false, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((false, false)));
     // Contact comes back, and with it the end of that read.
     let (_, pings) = node.pings();
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
-    expect_that!(node.core.is_fresh(), eq(true));
+    expect_that!(node.core.has_majority(), eq(true));
     node.answer(|msg| matches!(msg, Message::Resync { .. }));
     for (from, msg) in &looks {
         node.hear(from, reply(msg).expect("a vote"));
     }
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     node.serve(300 * MS);
     expect_that!(node.core.is_caught_up(), eq(true));
 }
@@ -116,7 +116,7 @@
         node.run(100 * MS);
         (0..6).for_each(|_| node.answer(|msg| !matches!(msg, Message::Resync { .. })));
     }
-    expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
+    expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     // An answer to an earlier spell's question is none.
     let recap = node.take(|msg| matches!(msg, Message::Resync { .. })).pop();
     let Some((from, Message::Resync { requester: asker, request, .. })) = recap else {
@@ -227,6 +227,6 @@
                 );
             }
         }
-        expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((is_contact, is_contact)));
+        expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((is_contact, is_contact)));
     }
 }
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -172,7 +172,7 @@
                 let epoch = (self.epoch_us + self.now).saturating_add_signed(self.controls[at].clock_us);
                 self.with_control(at, |core, now| {
                     core.tick(now);
-                    core.set_epoch(epoch);
+                    core.set_epoch_us(epoch);
                 });
                 self.put(100 * MS, Ev::ControlTick(at));
             }
@@ -205,10 +205,10 @@
             Ev::Row { control, life, .. } | Ev::Posted { control, life, .. } if self.controls[control].life != life => {
             }
             Ev::Row { control, ask, word, .. } => {
-                self.with_control(control, |core, now| core.row(ask, word, now));
+                self.with_control(control, |core, now| core.on_db_status(ask, word, now));
             }
             Ev::Posted { control, ask, code, .. } => {
-                self.with_control(control, |core, now| core.posted(ask, code, now));
+                self.with_control(control, |core, now| core.on_promotion_response(ask, code, now));
             }
             Ev::Promote { base } => self.promote(base),
             Ev::Free { base, conn } => {
@@ -239,7 +239,7 @@
             Ev::Say { client, line } => self.say(client, &line),
             Ev::Run { control, run, base, conn, texts } => self.run_now(control, run, base, conn, &texts),
             Ev::Ran { control, run, replies } => {
-                self.with_control(control, |core, now| core.ran(run, replies, now));
+                self.with_control(control, |core, now| core.on_texts_run(run, replies, now));
             }
         }
     }
--- a/crates/wv-simulation/src/nemesis/trouble.rs
+++ b/crates/wv-simulation/src/nemesis/trouble.rs
@@ -99,7 +99,7 @@
                 self.world.controls[at].faults.tear(draw);
             }
             Kind::Quit => {
-                self.world.with_control(at, |core, now| core.leave(now));
+                self.world.with_control(at, |core, now| core.begin_shutdown(now));
                 self.later(GRACE.min(event.for_ms * MS / 2), Todo::Kill(name, true));
             }
             Kind::Stall => self.world.controls[at].faults.hang(),
--- a/crates/wv-simulation/src/states.rs
+++ b/crates/wv-simulation/src/states.rs
@@ -56,7 +56,7 @@
 
     /// Whether this control node is agreeing on the next voters.
     pub fn is_changing(&self, at: usize) -> bool {
-        self.controls[at].core.as_ref().is_some_and(|core| core.is_changing())
+        self.controls[at].core.as_ref().is_some_and(|core| core.is_changing_voters())
     }
 
     /// A configuration with one primary route `p` and one bounded route `b` onto service `s`.
--- a/crates/wv-simulation/tests/apart/mod.rs
+++ b/crates/wv-simulation/tests/apart/mod.rs
@@ -61,7 +61,7 @@
 }
 
 pub fn is_fresh(world: &World, at: usize) -> bool {
-    world.controls[at].core.as_ref().is_some_and(|core| core.is_fresh())
+    world.controls[at].core.as_ref().is_some_and(|core| core.has_majority())
 }
 
 pub fn is_caught_up(world: &World, at: usize) -> bool {
--- a/crates/wv-simulation/tests/leaving_voters.rs
+++ b/crates/wv-simulation/tests/leaving_voters.rs
@@ -16,10 +16,10 @@
 /// SIGTERM, and the end as the process has it: after a quarter of six seconds, and up to three while it is needed.
 fn term(world: &mut World, control: usize) -> u64 {
     let start = world.now;
-    let leave = |core: &mut wv_control::Core| core.leave(start);
+    let leave = |core: &mut wv_control::Core| core.begin_shutdown(start);
     world.controls[control].core.iter_mut().for_each(leave);
     let is_over = |world: &World| {
-        let is_relieved = world.controls[control].core.as_ref().is_none_or(|core| core.is_relieved());
+        let is_relieved = world.controls[control].core.as_ref().is_none_or(|core| core.may_exit());
         let left = world.now - start;
         left > 4500 * MS || (left > 1500 * MS && is_relieved)
     };
@@ -82,7 +82,7 @@
         world.load(10, "p");
         world.run(2 * S);
         let now = world.now;
-        world.controls[at].core.iter_mut().for_each(|core| core.leave(now));
+        world.controls[at].core.iter_mut().for_each(|core| core.begin_shutdown(now));
         world.run(1400 * MS);
         world.crash(0);
         // It ends before it could have done anything; that it is gone the others would notice only later.
@@ -115,7 +115,7 @@
             let mut world = World::serving(1, 4);
             world.run(3 * S + wait * 31 * MS);
             let now = world.now;
-            world.controls[gone].core.iter_mut().for_each(|core| core.leave(now));
+            world.controls[gone].core.iter_mut().for_each(|core| core.begin_shutdown(now));
             let token = world.call(gone, "PUT", "/configuration", &World::conf(20));
             world.run(2 * MS);
             // From here on nothing passes between the one that ends and one of the others.
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -213,7 +213,7 @@
     assert_that!(story.moves_within(20 * S), eq(true));
     story.world.cut.clear();
     // The very moment in which contact is back and nothing is read yet.
-    let is_back = |world: &World| world.controls[other].core.as_ref().is_some_and(|core| core.is_fresh());
+    let is_back = |world: &World| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
     let end = story.world.now + 2 * S;
     while !is_back(&story.world) && story.world.now < end {
         story.world.run(MS / 10);
--- a/crates/wv-simulation/tests/takeover.rs
+++ b/crates/wv-simulation/tests/takeover.rs
@@ -24,7 +24,7 @@
 }
 
 fn is_ready(world: &World, control: usize) -> bool {
-    world.controls[control].core.as_ref().is_some_and(|core| core.is_ready())
+    world.controls[control].core.as_ref().is_some_and(|core| core.is_ready_to_vote())
 }
 
 /// Bytes and parts that came to a control node since it was last asked.
