--- a/crates/wv-control/tests/catch_up.rs
+++ b/crates/wv-control/tests/catch_up.rs
@@ -1,28 +1,28 @@
-//! Stories of what a control node does between the return of contact and the end of catching up.
+//! Behaviour of a control node after contact was established and before it has caught up.
 mod alone;
 
 use alone::{is_ping, reply, Node, MS, S};
 use googletest::prelude::*;
 use wv_internal_protocol::{Health, HealthReport, Message};
 
-const NAMES: std::ops::Range<usize> = 0..8;
+const SERVICES: std::ops::Range<usize> = 0..8;
 
-/// Eight services, the first of them planned.
+/// Eight services, the first with a shard plan.
 fn conf(version: u64) -> String {
     let services: Vec<serde_json::Value> =
-        NAMES.map(|at| serde_json::json!({"label": format!("s{at}"), "syncReplicas": 1})).collect();
+        SERVICES.map(|at| serde_json::json!({"label": format!("s{at}"), "syncReplicas": 1})).collect();
     let route = serde_json::json!({"label": "p", "host": "p", "category": "primary", "expiryMs": 1000, "targetMs": 200,
         "destination": "s0"});
     let plan = serde_json::json!({"shard": "s0", "upper": "s1", "rowsMax": 1000, "quiet": "* * 1-4 * * *"});
     serde_json::json!({"issue": version, "routing": [route], "services": services, "shardPlans": [plan]}).to_string()
 }
 
-fn is_about(msg: &Message, part: &str) -> bool {
+fn is_register_request(msg: &Message, part: &str) -> bool {
     matches!(msg, Message::RegisterRequest { key, .. } if key.starts_with(part))
 }
 
-/// A node in contact by one answer to the next pings only, at 1.2 s after them.
-fn nearly_lost() -> Node {
+/// A node 1.2 s after its last answered pings, 0.1 s before contact expires.
+fn node_near_contact_loss() -> Node {
     let mut node = Node::new();
     node.serve(2 * S);
     let (asked, pings) = node.pings();
@@ -33,34 +33,34 @@
 }
 
 #[gtest]
-fn given_a_map_read_that_was_begun_before_contact_was_lost_then_it_is_no_catching_up() {
-    let mut node = nearly_lost();
+fn given_a_slot_map_read_started_before_contact_was_lost_then_it_does_not_complete_catch_up() {
+    let mut node = node_near_contact_loss();
     expect_that!(node.call("PUT", "/configuration", &conf(1)), none());
-    (0..4).for_each(|_| node.answer(|msg| is_about(msg, "conf")));
+    (0..4).for_each(|_| node.answer(|msg| is_register_request(msg, "conf")));
     expect_that!(node.returns.values().last(), some(eq(&200)));
-    let looks = node.take(|msg| is_about(msg, "slots/"));
-    assert_that!(looks.len(), ge(1));
+    let reads = node.take(|msg| is_register_request(msg, "slots/"));
+    assert_that!(reads.len(), ge(1));
     node.run(100 * MS);
     expect_that!(node.core.has_majority(), eq(false));
     let (_, pings) = node.pings();
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
-    for (from, msg) in &looks {
+    for (from, msg) in &reads {
         node.hear(from, reply(msg).expect("a vote"));
     }
-    // All but the read of the map that was begun since.
-    (0..6).for_each(|_| node.answer(|msg| is_about(msg, "conf") || matches!(msg, Message::Resync { .. })));
+    // Answers everything except the new read of the slot map.
+    (0..6).for_each(|_| node.answer(|msg| is_register_request(msg, "conf") || matches!(msg, Message::Resync { .. })));
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
-    node.answer(|msg| is_about(msg, "slots/"));
+    node.answer(|msg| is_register_request(msg, "slots/"));
     expect_that!(node.core.is_caught_up(), eq(true));
 }
 
 #[gtest]
-fn given_a_primary_that_is_down_then_its_duty_is_not_taken_up_before_this_node_has_caught_up() {
+fn given_a_failed_primary_then_its_duty_is_not_claimed_before_this_node_has_caught_up() {
     let mut node = Node::new();
     node.serve(2 * S);
     expect_that!(node.call("PUT", "/configuration", &conf(1)), none());
     node.serve(500 * MS);
-    for at in NAMES {
+    for at in SERVICES {
         let beat = |role: &str, port: u32| {
             serde_json::json!({"destination": format!("s{at}"), "address": format!("10.9.{at}.1:{port}"),
                 "state": "in_service", "dbRole": role, "sequence": 9})
@@ -70,12 +70,12 @@
         node.call("PUT", &format!("/instances/j-{at}"), &beat("replica", 2));
     }
     node.serve(S);
-    // Contact is lost and comes back; the voters do not tell what they hold in memory.
+    // Contact is lost and established again; the voters do not answer the resync.
     node.run(3 * S);
     node.sent.clear();
     node.asked = 0;
     node.follow();
-    let is_answered = |msg: &Message| !matches!(msg, Message::Resync { .. }) && !is_about(msg, "duty/");
+    let is_answered = |msg: &Message| !matches!(msg, Message::Resync { .. }) && !is_register_request(msg, "duty/");
     let run = |node: &mut Node, us: u64| {
         let end = node.now + us;
         while node.now < end {
@@ -89,14 +89,14 @@
                 fenced_age_us: u64::MAX / 2,
             };
             node.hear("a0", Message::AccessHeartbeat { leaving: false });
-            node.hear("a0", Message::HealthReports(NAMES.map(down).collect()));
+            node.hear("a0", Message::HealthReports(SERVICES.map(down).collect()));
             (0..6).for_each(|_| node.answer(is_answered));
         }
     };
     run(&mut node, 4 * S);
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
-    expect_that!((node.take(|msg| is_about(msg, "duty/")).len(), node.asked), eq((0, 0)));
-    // They tell it: those duties that are this node's are taken up.
+    expect_that!((node.take(|msg| is_register_request(msg, "duty/")).len(), node.asked), eq((0, 0)));
+    // Once the resync is answered, this node claims the duties assigned to it.
     node.answer(|msg| matches!(msg, Message::Resync { .. }) || is_ping(msg));
     expect_that!(node.core.is_caught_up(), eq(true));
     run(&mut node, S);
@@ -104,11 +104,11 @@
 }
 
 #[gtest]
-fn given_a_node_without_a_disk_then_versions_told_to_pings_of_before_are_no_catching_up() {
+fn given_a_node_without_a_disk_then_pongs_for_pings_sent_before_contact_was_lost_do_not_complete_catch_up() {
     let mut node = Node::start("10.0.0.9:80", 1, false);
     node.serve(2 * S);
     expect_that!(node.core.is_caught_up(), eq(true));
-    // Two rounds of pings: the first one is answered, the second one only once contact has ended.
+    // The first round of pings is answered at once, the second only after contact expired.
     let (asked, pings) = node.pings();
     pings.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
     let (_, late) = node.pings();
@@ -123,15 +123,15 @@
 }
 
 #[gtest]
-fn given_contact_that_comes_back_then_what_is_in_memory_is_asked_of_one_voter_and_of_the_next_where_it_is_silent() {
+fn given_established_contact_then_a_resync_is_requested_from_one_voter_and_after_a_timeout_from_the_next() {
     let mut node = Node::new();
-    let is_recap = |msg: &Message| matches!(msg, Message::Resync { .. });
+    let is_resync = |msg: &Message| matches!(msg, Message::Resync { .. });
     let mut asked: Vec<(u64, String)> = Vec::new();
     for _ in 0..24 {
         node.run(100 * MS);
-        (0..6).for_each(|_| node.answer(|msg| !is_recap(msg)));
+        (0..6).for_each(|_| node.answer(|msg| !is_resync(msg)));
         let now = node.now;
-        asked.extend(node.take(is_recap).into_iter().map(|(to, _)| (now, to)));
+        asked.extend(node.take(is_resync).into_iter().map(|(to, _)| (now, to)));
     }
     assert_that!(asked.len(), ge(3));
     expect_that!(asked.windows(2).all(|pair| pair[1].0 - pair[0].0 >= 800 * MS && pair[0].1 != pair[1].1), eq(true));
--- a/crates/wv-control/tests/contact.rs
+++ b/crates/wv-control/tests/contact.rs
@@ -1,4 +1,4 @@
-//! Stories of one control node among three, whose peers answer when the story says so.
+//! Contact with a majority, catch-up and leave acknowledgements of one control node among three, with scripted peers.
 mod alone;
 
 use alone::{is_ping, reply, Node, MS, S, WHO};
@@ -9,11 +9,11 @@
 const DRAIN: &str = r#"{"destination":"s","address":"10.9.0.1:1","state":"draining","sequence":10}"#;
 
 #[gtest]
-fn given_answers_that_are_read_long_after_they_were_asked_for_then_they_are_no_contact() {
+fn given_pongs_read_after_a_process_stall_then_they_do_not_establish_contact() {
     let mut node = Node::new();
     node.serve(2 * S);
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, true)));
-    // A last round of pings goes out, and the process stands still; then it reads the answers first of all.
+    // The process stalls after a last round of pings, and then handles the pongs before anything else.
     node.run(500 * MS);
     let late = node.take(is_ping);
     assert_that!(late.len(), ge(2));
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn given_an_answer_on_its_way_for_a_while_then_contact_lasts_from_when_it_was_asked_for() {
+fn given_a_delayed_pong_then_contact_is_timed_from_when_the_ping_was_sent() {
     let mut node = Node::new();
     node.serve(2 * S);
     let (asked, late) = node.pings();
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn given_answers_to_another_life_under_the_same_numbers_then_they_are_no_contact() {
+fn given_pongs_for_another_incarnation_with_the_same_request_numbers_then_they_do_not_establish_contact() {
     let mut node = Node::new();
     node.run(500 * MS);
     for (from, msg) in node.take(is_ping) {
@@ -73,35 +73,35 @@
 }
 
 #[gtest]
-fn given_a_read_begun_before_contact_was_lost_that_ends_after_it_came_back_then_it_is_no_catching_up() {
+fn given_a_read_started_before_contact_was_lost_that_ends_after_it_returned_then_it_does_not_complete_catch_up() {
     let mut node = Node::new();
     node.serve(2 * S);
-    // One voter answers a ping at once, the other one so late that contact is near its end: it holds something newer.
+    // One voter answers at once, the other just before contact expires, reporting a newer configuration.
     let (asked, mut pings) = node.pings();
     let late = pings.pop().expect("two voters");
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     node.run(asked + 1200 * MS - node.now);
-    let Some(Message::Pong { requester: asker, request, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
+    let Some(Message::Pong { requester, request, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
         reply(&late.1)
     else {
         return;
     };
     node.hear(
         &late.0,
-        Message::Pong { requester: asker, request, version: 9, disk, voter_set: set, sealed_set: sealed, ready },
+        Message::Pong { requester, request, version: 9, disk, voter_set: set, sealed_set: sealed, ready },
     );
     expect_that!(node.core.is_caught_up(), eq(true));
-    let is_look = |msg: &Message| matches!(msg, Message::RegisterRequest { key, .. } if key == "conf");
-    let looks = node.take(is_look);
-    assert_that!(looks.len(), ge(1));
+    let is_conf_read = |msg: &Message| matches!(msg, Message::RegisterRequest { key, .. } if key == "conf");
+    let reads = node.take(is_conf_read);
+    assert_that!(reads.len(), ge(1));
     node.run(100 * MS);
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((false, false)));
-    // Contact comes back, and with it the end of that read.
+    // Contact is established again, and the replies to the old read arrive.
     let (_, pings) = node.pings();
     node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     expect_that!(node.core.has_majority(), eq(true));
     node.answer(|msg| matches!(msg, Message::Resync { .. }));
-    for (from, msg) in &looks {
+    for (from, msg) in &reads {
         node.hear(from, reply(msg).expect("a vote"));
     }
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
@@ -110,31 +110,31 @@
 }
 
 #[gtest]
-fn given_voters_that_do_not_tell_what_they_hold_in_memory_then_this_node_has_not_caught_up() {
+fn given_voters_that_do_not_answer_a_resync_then_this_node_has_not_caught_up() {
     let mut node = Node::new();
     for _ in 0..20 {
         node.run(100 * MS);
         (0..6).for_each(|_| node.answer(|msg| !matches!(msg, Message::Resync { .. })));
     }
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
-    // An answer to an earlier spell's question is none.
-    let recap = node.take(|msg| matches!(msg, Message::Resync { .. })).pop();
-    let Some((from, Message::Resync { requester: asker, request, .. })) = recap else {
+    // Replies to another request or another incarnation are ignored.
+    let resync = node.take(|msg| matches!(msg, Message::Resync { .. })).pop();
+    let Some((from, Message::Resync { requester, request, .. })) = resync else {
         return expect_that!(true, eq(false));
     };
-    node.hear(&from, Message::ResyncDone { requester: asker, request: request - 1 });
-    node.hear(&from, Message::ResyncDone { requester: asker + 1, request });
+    node.hear(&from, Message::ResyncDone { requester, request: request - 1 });
+    node.hear(&from, Message::ResyncDone { requester: requester + 1, request });
     expect_that!(node.core.is_caught_up(), eq(false));
-    node.hear(&from, Message::ResyncDone { requester: asker, request });
+    node.hear(&from, Message::ResyncDone { requester, request });
     expect_that!(node.core.is_caught_up(), eq(true));
 }
 
 #[gtest]
-fn given_leaves_then_they_are_acknowledged_once_a_majority_holds_them_each_time() {
+fn given_a_leave_then_it_is_acknowledged_once_a_majority_holds_it() {
     let mut node = Node::new();
     node.serve(2 * S);
     expect_that!(node.call("PUT", "/instances/i-1", BEAT), some(eq(200)));
-    // Nobody answers: not in the second that the database waits, nor when it asks this node again.
+    // No peer acknowledges the leave before the call times out, neither at first nor when the database retries.
     for _ in 0..2 {
         expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
         node.take(|msg| matches!(msg, Message::Instance { .. }));
@@ -145,16 +145,16 @@
         expect_that!(node.returns.values().filter(|status| **status == 503).count(), ge(1));
     }
     expect_that!(node.returns.values().filter(|status| **status == 503).count(), eq(2));
-    // One of the other two holds it: with this node a majority, and as many as may be lost besides.
-    let token_before = node.returns.len();
+    // One other node holds it: a majority together with this node, and as many others as may fail.
+    let returns_before = node.returns.len();
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
-    node.hear(&told[0].0, reply(&told[0].1).expect("held"));
-    expect_that!(node.returns.len(), eq(token_before + 1));
+    let sent = node.take(|msg| matches!(msg, Message::Instance { .. }));
+    node.hear(&sent[0].0, reply(&sent[0].1).expect("held"));
+    expect_that!(node.returns.len(), eq(returns_before + 1));
     expect_that!(node.returns.values().last(), some(eq(&200)));
-    // From then on its beats are ordinary.
+    // Later heartbeats are answered at once.
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), some(eq(200)));
-    // A database that this node never heard of may be known elsewhere.
+    // A leave of an unknown database is forwarded, since other nodes may know it.
     expect_that!(node.call("DELETE", "/instances/i-2", ""), none());
     expect_that!(
         node.take(|msg| matches!(msg, Message::Instance { instance: inst, .. } if inst.gone && inst.id == "i-2")),
@@ -163,67 +163,58 @@
 }
 
 #[gtest]
-fn given_a_set_too_small_for_what_may_be_lost_then_leaves_want_as_many_others_as_there_are() {
+fn given_a_fault_tolerance_of_two_among_three_nodes_then_a_leave_needs_both_other_nodes() {
     let mut node = Node::bearing(2);
     node.serve(2 * S);
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
-    node.hear(&told[0].0, reply(&told[0].1).expect("held"));
+    let sent = node.take(|msg| matches!(msg, Message::Instance { .. }));
+    node.hear(&sent[0].0, reply(&sent[0].1).expect("held"));
     expect_that!(node.returns.values().collect::<Vec<_>>(), is_empty());
-    node.hear(&told[1].0, reply(&told[1].1).expect("held"));
+    node.hear(&sent[1].0, reply(&sent[1].1).expect("held"));
     expect_that!(node.returns.values().collect::<Vec<_>>(), elements_are![eq(&&200)]);
 }
 
 #[gtest]
-fn given_contact_that_ends_then_followers_hear_so_at_the_next_turn_and_nothing_after_it() {
+fn given_lost_contact_then_followers_are_notified_at_the_next_tick_and_receive_no_more_updates() {
     let mut node = Node::new();
     node.serve(2 * S);
     node.follow();
-    let is_to_follower = |node: &mut Node| -> Vec<Message> {
-        let (told, rest) = std::mem::take(&mut node.sent).into_iter().partition(|(to, _)| to == "a0");
+    let sent_to_follower = |node: &mut Node| -> Vec<Message> {
+        let (sent, rest) = std::mem::take(&mut node.sent).into_iter().partition(|(to, _)| to == "a0");
         node.sent = rest;
-        let told: Vec<(String, Message)> = told;
-        told.into_iter().map(|(_, msg)| msg).collect()
+        let sent: Vec<(String, Message)> = sent;
+        sent.into_iter().map(|(_, msg)| msg).collect()
     };
-    expect_that!(is_to_follower(&mut node).iter().any(|msg| matches!(msg, Message::Snapshot { .. })), eq(true));
+    expect_that!(sent_to_follower(&mut node).iter().any(|msg| matches!(msg, Message::Snapshot { .. })), eq(true));
     let (asked, pings) = node.pings();
     for (from, msg) in &pings {
         node.hear(from, reply(msg).expect("a pong"));
     }
     node.run(asked + 1200 * MS - node.now);
-    let before = is_to_follower(&mut node);
+    let before = sent_to_follower(&mut node);
     expect_that!(before.iter().any(|msg| matches!(msg, Message::ControlHeartbeat { has_majority: false })), eq(false));
     node.run(100 * MS);
-    expect_that!(is_to_follower(&mut node), contains(eq(&Message::ControlHeartbeat { has_majority: false })));
-    // What databases say is known here on, and told to no follower.
+    expect_that!(sent_to_follower(&mut node), contains(eq(&Message::ControlHeartbeat { has_majority: false })));
+    // Heartbeats of databases are still recorded, but not published to followers.
     node.call("PUT", "/instances/i-7", BEAT);
-    let after = is_to_follower(&mut node);
+    let after = sent_to_follower(&mut node);
     expect_that!(after.iter().any(|msg| matches!(msg, Message::Update { .. } | Message::Snapshot { .. })), eq(false));
 }
 
 #[gtest]
-fn given_voters_that_are_sealed_for_a_successor_then_they_are_contact_and_those_of_no_set_are_none() {
+fn given_voters_sealed_for_a_successor_then_they_count_as_contact_and_those_of_no_set_do_not() {
     for (sealed, is_contact) in [(1, true), (0, false)] {
         let mut node = Node::new();
         node.serve(2 * S);
         for _ in 0..30 {
             node.run(100 * MS);
             for (from, msg) in node.take(is_ping) {
-                let Some(Message::Pong { requester: asker, request, version: conf, disk, ready, .. }) = reply(&msg)
-                else {
+                let Some(Message::Pong { requester, request, version: conf, disk, ready, .. }) = reply(&msg) else {
                     continue;
                 };
                 node.hear(
                     &from,
-                    Message::Pong {
-                        requester: asker,
-                        request,
-                        version: conf,
-                        disk,
-                        voter_set: 0,
-                        sealed_set: sealed,
-                        ready,
-                    },
+                    Message::Pong { requester, request, version: conf, disk, voter_set: 0, sealed_set: sealed, ready },
                 );
             }
         }
--- a/crates/wv-control/tests/voter_catch_up.rs
+++ b/crates/wv-control/tests/voter_catch_up.rs
@@ -1,4 +1,4 @@
-//! Stories of one control node, message by message: when it leaves a set, and when it votes in the next.
+//! When a control node stops voting in a set, and when it starts to vote in the next one.
 mod common;
 
 use common::Node;
@@ -11,25 +11,25 @@
     VoterSet { number, members: names.chars().map(member).collect() }
 }
 
-/// The set in which it says that it votes.
-fn votes_in(node: &mut Node) -> u64 {
-    let said = node.hear("b", Message::Ping { requester: 7, request: 1 });
-    said.into_iter()
+/// The voter set that it reports in a pong, 0 for none.
+fn reported_set(node: &mut Node) -> u64 {
+    let sent = node.hear("b", Message::Ping { requester: 7, request: 1 });
+    sent.into_iter()
         .find_map(|(_, msg)| if let Message::Pong { voter_set: set, .. } = msg { Some(set) } else { None })
         .unwrap_or(0)
 }
 
-/// Whether it answers a look in `set`.
+/// Whether it answers a register read in `set`.
 fn is_voting(node: &mut Node, set: u64) -> bool {
     let step = RegisterRequest::Read { known: Ballot::default() };
-    let said = node
+    let sent = node
         .hear("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
-    said.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
+    sent.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
 }
 
-/// Whom it asks to compare, and under which request.
-fn asked(node: &Node, said: &[(u64, Message)]) -> Option<(String, u64)> {
-    said.iter().find_map(|(link, msg)| match msg {
+/// The target and request number of its comparison request, if it sent one.
+fn comparison_request(node: &Node, sent: &[(u64, Message)]) -> Option<(String, u64)> {
+    sent.iter().find_map(|(link, msg)| match msg {
         Message::Takeover(CatchUp::Compare { request, .. }) => {
             let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
             Some((addr[..1].to_owned(), *request))
@@ -43,12 +43,12 @@
 }
 
 #[gtest]
-fn given_a_voter_that_is_asked_by_a_member_of_the_next_set_then_it_has_left_its_own_when_it_tells() {
+fn given_a_voter_asked_by_a_member_of_the_next_set_then_it_has_left_its_own_set_when_it_answers() {
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let said = node.hear("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
-    let told = said.iter().find_map(|(_, msg)| match msg {
+    let sent = node.hear("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
+    let told = sent.iter().find_map(|(_, msg)| match msg {
         Message::Takeover(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
@@ -57,57 +57,60 @@
 }
 
 #[gtest]
-fn given_a_member_of_the_next_set_then_it_votes_once_a_majority_of_the_old_one_has_told_and_all_stands_here() {
+fn given_a_member_of_the_next_set_then_it_votes_only_after_storing_all_registers_of_an_old_majority() {
     let mut node = Node::start("d", false);
-    let said = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
-    let (first, request) = asked(&node, &said).expect("it asks at once");
-    // The first says that it holds something else; one register of it comes, and that is all.
-    let mut sums = vec![0; parts::RANGES];
-    let said = node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
-    let is_lacking = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
-    expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true));
+    let sent = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let (first, request) = comparison_request(&node, &sent).expect("a comparison request is sent at once");
+    // The digests of the first source differ; it sends one register in an incomplete reply.
+    let mut digests = vec![0; parts::RANGES];
+    let sent = node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    let is_range_request = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
+    expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
     let copy = AcceptorState { promised: ballot, accepted: ballot, value: cell(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
-    let said = node.hear(&first, Message::Takeover(part));
-    expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true), "not all of it");
-    expect_that!(votes_in(&mut node), eq(0));
-    let said = node
+    let sent = node.hear(&first, Message::Takeover(part));
+    expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true), "the reply was incomplete");
+    expect_that!(reported_set(&mut node), eq(0));
+    let sent = node
         .hear(&first, Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }));
-    // One of three that left is no majority: another is asked.
-    expect_that!(votes_in(&mut node), eq(0));
+    // One source of three is no majority, so another one is asked.
+    expect_that!(reported_set(&mut node), eq(0));
     expect_that!(is_voting(&mut node, 2), eq(false));
-    let (second, request) = asked(&node, &said).expect("another is asked");
+    let (second, request) = comparison_request(&node, &sent).expect("another source is asked");
     expect_that!(second, not(eq(&first)));
-    // A late word of the first counts for nothing.
-    sums.clear();
-    node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
-    expect_that!(votes_in(&mut node), eq(0));
-    node.hear(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums }));
-    expect_that!(votes_in(&mut node), eq(2));
+    // A late reply of the first source is ignored.
+    digests.clear();
+    node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    expect_that!(reported_set(&mut node), eq(0));
+    node.hear(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests }));
+    expect_that!(reported_set(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
 
 #[gtest]
-fn given_a_voter_of_the_next_set_then_its_word_alone_is_enough_and_one_of_an_older_set_never() {
-    for (told, voting) in [(3, 3), (1, 0)] {
+fn given_a_voter_of_the_next_set_then_it_suffices_as_the_only_source_and_one_of_an_older_set_never_does() {
+    for (source_set, voting) in [(3, 3), (1, 0)] {
         let mut node = Node::start("d", false);
-        let mut said = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
+        let mut sent = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
-            if let Some((asked, request)) = asked(&node, &said) {
-                node.hear(&asked, Message::Takeover(CatchUp::Digests { request, set: told, digests: Vec::new() }));
+            if let Some((asked, request)) = comparison_request(&node, &sent) {
+                node.hear(
+                    &asked,
+                    Message::Takeover(CatchUp::Digests { request, set: source_set, digests: Vec::new() }),
+                );
             }
-            said = node.tick();
+            sent = node.tick();
         }
-        expect_that!(votes_in(&mut node), eq(voting));
+        expect_that!(reported_set(&mut node), eq(voting));
     }
-    // One that is silent is passed over for another.
+    // After a timeout another source is asked.
     let mut node = Node::start("d", false);
-    let said = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
-    let (first, _) = asked(&node, &said).expect("it asks at once");
+    let sent = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let (first, _) = comparison_request(&node, &sent).expect("a comparison request is sent at once");
     let next = (0..20).find_map(|_| {
-        let said = node.tick();
-        asked(&node, &said)
+        let sent = node.tick();
+        comparison_request(&node, &sent)
     });
     expect_that!(next.map(|(addr, _)| addr), some(not(eq(&first))));
 }
