--- a/crates/wv-control/src/voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -1,47 +1,51 @@
-//! The voter's side of the registers, and the quorum's traffic.
+//! The voter side of register operations, and transport for the quorum.
 use crate::core::Core;
 use wv_internal_protocol::{Ballot, Message, RegisterReply, RegisterRequest};
 
 impl Core {
-    /// What a voter of `set` here says to a step; nobody else says anything. Nor does a disk that fails: that is no
-    /// vote at all, neither for nor against. A refusal would only make the proposer try again, and never end while
-    /// the disk is full.
-    pub(crate) fn vote(&mut self, set: u64, key: &str, step: &RegisterRequest) -> Option<RegisterReply> {
+    /// Answers a register step if this node votes in `set`. A disk error yields no answer: a rejection would make the
+    /// proposer retry for as long as the disk is full.
+    pub(crate) fn answer_register_step(
+        &mut self,
+        set: u64,
+        key: &str,
+        step: &RegisterRequest,
+    ) -> Option<RegisterReply> {
         (set > 0 && self.seat.voting_set(&self.me) == set && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
             .then_some(())?;
-        let noted = |error: wv_consensus::RegisterError| log::error!("register {key} not kept: {error}");
+        let log_not_stored = |error: wv_consensus::RegisterError| log::error!("cannot store register {key}: {error}");
         match step {
-            RegisterRequest::Read { known } => Some(self.told(key, *known)),
+            RegisterRequest::Read { known } => Some(self.current_value(key, *known)),
             RegisterRequest::Prepare { ballot, known } => {
                 self.quorum.observe_ballot(*ballot);
-                let is_promised = self.store.promise(key, *ballot).map_err(noted).ok()?;
-                Some(if is_promised { self.told(key, *known) } else { self.refused(key) })
+                let is_promised = self.store.promise(key, *ballot).map_err(log_not_stored).ok()?;
+                Some(if is_promised { self.current_value(key, *known) } else { self.rejection(key) })
             }
             RegisterRequest::Accept { ballot, value: cell } => {
                 self.quorum.observe_ballot(*ballot);
-                let is_kept = self.store.accept(key, *ballot, cell).map_err(noted).ok()?;
-                Some(if is_kept { RegisterReply::Accepted } else { self.refused(key) })
+                let is_kept = self.store.accept(key, *ballot, cell).map_err(log_not_stored).ok()?;
+                Some(if is_kept { RegisterReply::Accepted } else { self.rejection(key) })
             }
         }
     }
 
-    /// What is held here, without the cell where the asker has it. Copies of disks from before there were ballots are
-    /// told whole: under the lowest ballot they may differ.
-    fn told(&self, key: &str, known: Ballot) -> RegisterReply {
+    /// The current value, omitted if the requester has it. Under the lowest ballot it is always sent: copies that
+    /// predate ballots may differ.
+    fn current_value(&self, key: &str, known: Ballot) -> RegisterReply {
         let held = self.store.get(key).cloned().unwrap_or_default();
         let is_known = held.accepted == known && known != Ballot::default();
         RegisterReply::Current { accepted: held.accepted, value: (!is_known).then_some(held.value) }
     }
 
-    fn refused(&self, key: &str) -> RegisterReply {
+    fn rejection(&self, key: &str) -> RegisterReply {
         let promised = self.store.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted));
         RegisterReply::Rejected { promised }
     }
 
-    /// Carries the quorum's messages and takes up what is done.
+    /// Sends the quorum's messages, and handles completed operations.
     pub(crate) fn run_quorum(&mut self) {
         loop {
-            // Whatever moved on sends its next step at once, not at the next turn.
+            // An operation that has advanced sends its next step at once instead of at the next tick.
             self.quorum.tick(self.now);
             let out = self.quorum.take_messages();
             if out.is_empty() {
@@ -52,21 +56,21 @@
                     self.send_peer(&voter, msg);
                     continue;
                 }
-                let Message::RegisterRequest { requester: asker, request, voter_set: set, key, step } = msg else {
+                let Message::RegisterRequest { requester, request, voter_set: set, key, step } = msg else {
                     continue;
                 };
-                let vote = self.vote(set, &key, &step);
+                let vote = self.answer_register_step(set, &key, &step);
                 let me = self.me.clone();
-                vote.into_iter().for_each(|vote| self.quorum.on_reply(&me, (asker, request), &key, vote, self.now));
+                vote.into_iter().for_each(|vote| self.quorum.on_reply(&me, (requester, request), &key, vote, self.now));
             }
         }
         let done = self.quorum.take_completions();
         done.into_iter().for_each(|done| self.quorum_done(done));
-        self.arm();
+        self.schedule_wake();
     }
 
-    /// Pauses between proposals are shorter than this node's turns.
-    fn arm(&mut self) {
+    /// Schedules a wake-up for pauses between proposals that end before the next tick.
+    fn schedule_wake(&mut self) {
         let due = self.quorum.next_due_us().filter(|due| *due < self.now + crate::core::TURN_US);
         let is_armed = |due: &u64| self.armed > self.now && self.armed <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
@@ -75,9 +79,9 @@
         }
     }
 
-    /// The time that was asked for is over.
+    /// Called when a scheduled wake-up is due.
     pub fn wake(&mut self, now: u64) {
-        self.at(now);
+        self.advance_clock(now);
         self.run_calls();
         self.run_quorum();
     }
