--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -45,16 +45,16 @@
 fn control() -> wv_control::Core {
     let me = "10.0.0.1:80".to_owned();
     let start = wv_control::Start {
-        me: me.clone(),
+        address: me.clone(),
         node: "c".to_owned(),
         zone: "z".to_owned(),
-        life: 1,
+        incarnation: 1,
         seeds: vec![me],
-        is_first: true,
-        is_core: true,
-        tolerate: 1,
-        disk: 1,
-        who: 1,
+        is_initial_start: true,
+        has_disk: true,
+        tolerated_machines: 1,
+        disk_id: 1,
+        requester_id: 1,
     };
     let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty store");
     let mut core = wv_control::Core::new(start, store).expect("a control node");
@@ -65,7 +65,7 @@
 fn run((routes, services): (usize, usize)) -> serde_json::Value {
     let bodies: Vec<Vec<u8>> = (1..=CHANGES + 1).map(|version| conf(version, (routes, services))).collect();
     let (mut control, mut access) = (control(), wv_access::Core::new("z", 6_000_000));
-    let link = control.link_in(2);
+    let link = control.accept_link(2);
     let hello = wv_internal_protocol::Message::Hello {
         node: "a".to_owned(),
         control_address: String::new(),
@@ -73,16 +73,16 @@
         handover_address: String::new(),
         incarnation: 1,
     };
-    control.msg(link, hello, 3);
-    control.msg(link, wv_internal_protocol::Message::Subscribe { incarnation: 0, position: 0 }, 4);
+    control.handle_message(link, hello, 3);
+    control.handle_message(link, wv_internal_protocol::Message::Subscribe { incarnation: 0, position: 0 }, 4);
     control.tick(200_000);
     let (mut puts, mut takes, mut bytes, mut now) = (Vec::new(), Vec::new(), 0, 300_000);
     for (at, body) in bodies.iter().enumerate() {
         now += 1_000_000;
-        let put = timed(|| control.call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
+        let put = timed(|| control.handle_call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
         control.tick(now + 1);
-        let sent = control.take_acts().into_iter().filter_map(|act| match act {
-            wv_control::Act::Send {
+        let sent = control.take_actions().into_iter().filter_map(|act| match act {
+            wv_control::Action::Send {
                 msg: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
                 ..
             } => Some(msg),
--- /dev/null
+++ b/crates/wv-control/src/admission.rs
@@ -0,0 +1,127 @@
+//! Admission of proposed configurations. Checks against existing state use values read from a majority, never only this
+//! node's view.
+use crate::conf::error_body;
+use crate::core::Core;
+use crate::proposal::{accept, digest, Proposal};
+use crate::types::Operation;
+use std::collections::BTreeSet;
+use wv_consensus::Outcome;
+use wv_internal_protocol::SlotMap;
+
+/// Pending proposals are refused after this, before callers time out.
+const PENDING_TIMEOUT_US: u64 = 800_000;
+/// Limit of proposals that wait at once.
+const PENDING_MAX: usize = 32;
+
+const NO_MAJORITY_REPLY: &str = "{\"cause\":\"no majority of the voters replied\"}";
+
+/// A proposal that waits for registers to be read.
+pub(crate) struct PendingProposal {
+    token: u64,
+    body: Vec<u8>,
+    /// Shards whose plan it removes and whose slot maps are still being read; `None` until this node has caught up.
+    shards: Option<BTreeSet<String>>,
+    deadline: u64,
+}
+
+impl Core {
+    /// Proposes a valid configuration, after reading the slot maps of shards whose plan it removes.
+    pub(crate) fn admit_configuration(&mut self, token: u64, conf: &wv_configuration::Conf, body: &[u8]) {
+        if self.pending_proposals.len() >= PENDING_MAX {
+            return self.respond(token, 503, NO_MAJORITY_REPLY);
+        }
+        let limit = self.now + PENDING_TIMEOUT_US;
+        let pending = |shards| PendingProposal { token, body: body.to_vec(), shards, deadline: limit };
+        if !self.is_caught_up() {
+            return self.pending_proposals.push(pending(None));
+        }
+        let dropped = self.dropped_plans(conf);
+        if dropped.is_empty() {
+            return self.propose(token, conf.version, body);
+        }
+        self.pending_proposals.push(pending(Some(dropped.clone())));
+        for shard in dropped {
+            let read = self.allocate_id();
+            self.operations.insert(read, Operation::CheckShardMap(token, shard.clone()));
+            self.quorum.start(read, &crate::shards::key("slots", &shard), None, self.now);
+        }
+        self.run_quorum();
+    }
+
+    /// Shards with a plan or moved slots that the configuration has no plan for.
+    fn dropped_plans(&self, conf: &wv_configuration::Conf) -> BTreeSet<String> {
+        let is_kept = |shard: &&String| conf.plans.iter().any(|plan| plan.shard == **shard);
+        let planned = self.conf.iter().flat_map(|held| held.plans.iter().map(|plan| &plan.shard));
+        let moved = self.feed.slots().values().filter(|map| !map.moved.is_empty()).map(|map| &map.shard);
+        let is_newer = conf.version > self.committed_version;
+        planned.chain(moved).filter(|shard| is_newer && !is_kept(shard)).cloned().collect()
+    }
+
+    /// The slot map of a shard whose plan is removed was read from a majority.
+    pub(crate) fn shard_map_read(&mut self, token: u64, shard: &str, outcome: Outcome) {
+        let Some(at) = self.pending_proposals.iter().position(|pending| pending.token == token) else { return };
+        let map = match outcome {
+            Outcome::Read(cell) if cell.bytes.is_empty() => Some(SlotMap::default()),
+            Outcome::Read(cell) => nanoserde::DeBin::deserialize_bin(&cell.bytes).ok(),
+            _ => None,
+        };
+        let Some(map) = map else {
+            self.pending_proposals.swap_remove(at);
+            return self.respond(token, 503, NO_MAJORITY_REPLY);
+        };
+        // Moved slots can only be located through the plan.
+        if !map.moved.is_empty() {
+            self.pending_proposals.swap_remove(at);
+            let text = format!("shardPlans: slots of {shard} have moved, so its plan cannot be removed");
+            return self.respond(token, 400, error_body(&text));
+        }
+        let left = self.pending_proposals[at].shards.get_or_insert_default();
+        left.remove(shard);
+        if left.is_empty() {
+            let pending = self.pending_proposals.swap_remove(at);
+            match self.parse_configuration(&pending.body) {
+                Ok(conf) => self.propose(token, conf.version, &pending.body),
+                Err(error) => self.respond(token, 400, error_body(&error.to_string())),
+            }
+        }
+    }
+
+    /// Responds while no configuration is known here. Only a node that has caught up can tell that there is none.
+    pub(crate) fn respond_no_configuration(&mut self, token: u64) {
+        if self.is_caught_up() {
+            return self.respond(token, 404, error_body("no configuration has been accepted yet"));
+        }
+        self.respond(token, 503, NO_MAJORITY_REPLY)
+    }
+
+    fn propose(&mut self, token: u64, number: u64, body: &[u8]) {
+        let proposal = Proposal { number, digest: digest(body) };
+        self.operations.insert(token, Operation::Propose(proposal));
+        self.quorum.start(token, crate::core::CONF_KEY, Some(accept(proposal, self.packs.pack(body))), self.now);
+        self.run_quorum();
+    }
+
+    /// Continues the proposals that waited for this node to catch up.
+    pub(crate) fn resume_pending(&mut self) {
+        let is_waiting = |pending: &PendingProposal| pending.shards.is_none();
+        let (due, rest) = std::mem::take(&mut self.pending_proposals).into_iter().partition(is_waiting);
+        self.pending_proposals = rest;
+        let due: Vec<PendingProposal> = due;
+        due.into_iter().for_each(|pending| self.put_configuration(pending.token, Some(&pending.body)));
+    }
+
+    /// Refuses all pending proposals after contact was lost, so that callers try another node.
+    pub(crate) fn refuse_pending(&mut self) {
+        let over = std::mem::take(&mut self.pending_proposals);
+        over.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
+    }
+
+    pub(crate) fn expire_pending(&mut self) {
+        let now = self.now;
+        let (over, rest) =
+            std::mem::take(&mut self.pending_proposals).into_iter().partition(|pending| pending.deadline <= now);
+        self.pending_proposals = rest;
+        let over: Vec<PendingProposal> = over;
+        over.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
+    }
+}
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -1,31 +1,31 @@
-//! The operator's calls: configurations go onto a majority of disks before anyone hears of them.
-use crate::core::{Core, CONF};
-use crate::order::{Decided, Order, Verdict};
-use crate::types::Waiting;
+//! HTTP calls of operators and databases. A configuration is stored by a majority before it is published.
+use crate::core::{Core, CONF_KEY};
+use crate::proposal::{DecidedConfiguration, Proposal, ProposalStatus};
+use crate::types::Operation;
 use wv_consensus::{Done, Outcome};
 
 impl Core {
-    /// A call of the operator or of a database; the return comes as an act under `token`.
-    pub fn call(&mut self, token: u64, method: &str, path: &str, body: Option<&[u8]>, now: u64) {
-        if let Some((status, body)) = self.head(method, path, now) {
-            return self.ret(token, status, body);
+    /// Handles a call of an operator or a database; the response follows as an action under `token`.
+    pub fn handle_call(&mut self, token: u64, method: &str, path: &str, body: Option<&[u8]>, now: u64) {
+        if let Some((status, body)) = self.handle_head(method, path, now) {
+            return self.respond(token, status, body);
         }
-        // Nothing is sent where it cannot come to an end: the caller goes elsewhere at once, and nothing is in doubt.
+        // Without a majority the outcome of a proposal would be unknown, so the call is refused before it is started.
         let is_conf = path.split('?').next().is_some_and(|path| path.trim_matches('/') == "configuration");
         if is_conf && matches!(method, "PUT" | "GET") && !self.is_fresh() && !self.is_young() {
-            return self.ret(token, 503, "{\"cause\":\"no majority of the voters is in contact\"}");
+            return self.respond(token, 503, "{\"cause\":\"no majority of the voters is in contact\"}");
         }
-        let steps: Vec<&str> = path.split('?').next().unwrap_or(path).trim_matches('/').split('/').collect();
-        match (method, &steps[..]) {
-            ("PUT", ["configuration"]) => self.put_conf(token, body),
+        let segments: Vec<&str> = path.split('?').next().unwrap_or(path).trim_matches('/').split('/').collect();
+        match (method, &segments[..]) {
+            ("PUT", ["configuration"]) => self.put_configuration(token, body),
             ("GET", ["configuration"]) => {
-                self.waiting.insert(token, Waiting::Get);
-                self.quorum.start(token, CONF, None, self.now);
+                self.operations.insert(token, Operation::ReadConfiguration);
+                self.quorum.start(token, CONF_KEY, None, self.now);
                 self.run_quorum();
             }
-            ("PUT", ["instances", id]) if !id.is_empty() => self.put_inst(token, id, body),
-            ("DELETE", ["instances", id]) if !id.is_empty() => self.delete_inst(token, id),
-            ("GET", ["instances"]) => self.list_insts(token),
+            ("PUT", ["instances", id]) if !id.is_empty() => self.put_instance(token, id, body),
+            ("DELETE", ["instances", id]) if !id.is_empty() => self.delete_instance(token, id),
+            ("GET", ["instances"]) => self.list_instances(token),
             ("GET", ["voters"]) => self.list_voters(token),
             ("GET", ["shards"]) => self.list_shards(token),
             ("GET", ["forecast" | "splits"]) => self.list_outlooks(token),
@@ -35,105 +35,111 @@
             (
                 _,
                 ["forecast" | "splits" | "shards"] | ["voters"] | ["configuration"] | ["instances"] | ["instances", _],
-            ) => self.ret(token, 405, "{\"cause\":\"this method is not served here\"}"),
-            _ => self.ret(token, 404, "{\"cause\":\"no such path\"}"),
+            ) => self.respond(token, 405, "{\"cause\":\"this method is not served here\"}"),
+            _ => self.respond(token, 404, "{\"cause\":\"no such path\"}"),
         }
     }
 
-    pub(crate) fn put_conf(&mut self, token: u64, body: Option<&[u8]>) {
-        let Some(body) = body.filter(|body| body.len() <= crate::core::BODY_MAX) else {
-            return self.ret(token, 413, "{\"cause\":\"the configuration is over the bound\"}");
+    pub(crate) fn put_configuration(&mut self, token: u64, body: Option<&[u8]>) {
+        let Some(body) = body.filter(|body| body.len() <= crate::core::BODY_MAX_BYTES) else {
+            return self.respond(token, 413, "{\"cause\":\"the configuration body is too large\"}");
         };
-        // Checked also when its version is old: an invalid one is never acknowledged.
-        let conf = match self.read_conf(body) {
+        // An invalid configuration is rejected even if its version is old.
+        let conf = match self.parse_configuration(body) {
             Ok(conf) => conf,
-            Err(error) => return self.ret(token, 400, cause(&error.to_string())),
+            Err(error) => return self.respond(token, 400, error_body(&error.to_string())),
         };
-        self.judge(token, &conf, body);
+        self.admit_configuration(token, &conf, body);
     }
 
     pub(crate) fn quorum_done(&mut self, done: Done) {
-        let Some(waiting) = self.waiting.remove(&done.token) else { return };
-        let waiting = match waiting {
-            Waiting::Claim(service, turn) => return self.duty_claimed(service, turn, done.outcome, &done.before),
-            Waiting::Call(call) => return self.call_confirmed(*call, done.outcome),
-            Waiting::Confirm(service, turn) => return self.duty_confirmed(service, turn, done.outcome),
-            Waiting::Swept => return,
-            Waiting::Judge(token, shard) => return self.judged(token, &shard, done.outcome),
-            Waiting::Own(service) => return self.own_kept(&service, done.outcome),
-            Waiting::Keep(shard, keep) => return self.kept(shard, keep, done.outcome),
-            waiting => waiting,
+        let Some(operation) = self.operations.remove(&done.token) else { return };
+        let operation = match operation {
+            Operation::ClaimDuty(service, step) => return self.duty_claimed(service, step, done.outcome, &done.before),
+            Operation::ConfirmPlatformCall(call) => return self.call_confirmed(*call, done.outcome),
+            Operation::ConfirmDuty(service, step) => return self.duty_confirmed(service, step, done.outcome),
+            Operation::SweepRegister => return,
+            Operation::CheckShardMap(token, shard) => return self.shard_map_read(token, &shard, done.outcome),
+            Operation::WriteOwner(service) => return self.own_kept(&service, done.outcome),
+            Operation::ShardRegister(shard, op) => return self.register_op_done(shard, op, done.outcome),
+            operation => operation,
         };
-        if done.key == CONF {
+        if done.key == CONF_KEY {
             if let Outcome::Read(cell) | Outcome::Written(cell) | Outcome::Held(cell) = &done.outcome {
-                let is_news = cell.version > self.published;
-                self.in_force(cell);
-                if is_news && matches!(waiting, Waiting::Put(_)) {
-                    self.tell_committed(CONF, done.accepted);
+                let is_new = cell.version > self.committed_version;
+                self.apply_committed(cell);
+                if is_new && matches!(operation, Operation::Propose(_)) {
+                    self.notify_committed(CONF_KEY, done.accepted);
                 }
             }
         }
-        match (waiting, done.outcome) {
-            (Waiting::Put(order), Outcome::Written(cell) | Outcome::Held(cell)) => {
-                self.ordered(done.token, &order, &cell)
+        match (operation, done.outcome) {
+            (Operation::Propose(proposal), Outcome::Written(cell) | Outcome::Held(cell)) => {
+                self.proposal_decided(done.token, &proposal, &cell)
             }
-            (Waiting::Get, Outcome::Read(cell)) if cell.version == 0 && cell.bytes.is_empty() => {
-                self.ret(done.token, 404, "{\"cause\":\"no configuration has been taken yet\"}")
+            (Operation::ReadConfiguration, Outcome::Read(cell)) if cell.version == 0 && cell.bytes.is_empty() => {
+                self.respond(done.token, 404, "{\"cause\":\"no configuration has been accepted yet\"}")
             }
-            (Waiting::Get, Outcome::Read(cell)) => {
-                match self.packs.unpack(&Decided::read(&cell).body, crate::core::BODY_MAX) {
-                    Ok(body) => self.ret(done.token, 200, body),
-                    Err(error) => self.ret(done.token, 500, cause(&error.to_string())),
+            (Operation::ReadConfiguration, Outcome::Read(cell)) => {
+                match self.packs.unpack(&DecidedConfiguration::read(&cell).body, crate::core::BODY_MAX_BYTES) {
+                    Ok(body) => self.respond(done.token, 200, body),
+                    Err(error) => self.respond(done.token, 500, error_body(&error.to_string())),
                 }
             }
-            (Waiting::Sync(spell), outcome) => self.conf_synced(spell, matches!(outcome, Outcome::Read(_))),
-            (_, _) => self.ret(done.token, 503, "{\"cause\":\"no majority of the voters answers\"}"),
+            (Operation::SyncConfiguration(period), outcome) => {
+                self.conf_synced(period, matches!(outcome, Outcome::Read(_)))
+            }
+            (_, _) => self.respond(done.token, 503, "{\"cause\":\"no majority of the voters replied\"}"),
         }
     }
 
-    /// What came of an order, by what stands in the register now.
-    fn ordered(&mut self, token: u64, order: &Order, cell: &wv_internal_protocol::RegisterValue) {
-        match Decided::read(cell).verdict(order) {
-            // An older number that was never taken is acknowledged and changes nothing.
-            Verdict::Taken | Verdict::Overtaken => self.ret(token, 200, "{}"),
-            Verdict::Lost => {
-                let text = format!("another configuration was taken under number {}", order.number);
-                let body = serde_json::json!({ "cause": text, "issue": order.number, "newest": cell.version });
-                self.ret(token, 409, body.to_string());
+    /// Responds to a proposal by the current value of the register.
+    fn proposal_decided(&mut self, token: u64, proposal: &Proposal, cell: &wv_internal_protocol::RegisterValue) {
+        match DecidedConfiguration::read(cell).status(proposal) {
+            // A proposal below the current version is acknowledged and has no effect.
+            ProposalStatus::Accepted | ProposalStatus::Superseded => self.respond(token, 200, "{}"),
+            ProposalStatus::Conflict => {
+                let text = format!("another configuration was accepted under number {}", proposal.number);
+                let body = serde_json::json!({ "cause": text, "issue": proposal.number, "newest": cell.version });
+                self.respond(token, 409, body.to_string());
             }
-            Verdict::Unknown => self.ret(token, 400, cause("issue: numbers begin at 1")),
+            ProposalStatus::Unknown => self.respond(token, 400, error_body("issue: numbers begin at 1")),
         }
     }
 
-    /// Another node says under which ballot what stands was accepted: a voter has it, or reads it.
-    pub(crate) fn committed(&mut self, accepted: wv_internal_protocol::Ballot) {
-        let held = self.store.get(CONF).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
+    /// A configuration was committed under this ballot: apply it if it is stored here, else read the register.
+    pub(crate) fn handle_committed(&mut self, accepted: wv_internal_protocol::Ballot) {
+        let held = self.store.get(CONF_KEY).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
         match held {
-            Some(cell) => self.in_force(&cell),
+            Some(cell) => self.apply_committed(&cell),
             None => self.sync_conf(),
         }
     }
 
-    /// A configuration that is known to stand on a majority enters the feed, never an older one.
-    pub(crate) fn in_force(&mut self, cell: &wv_internal_protocol::RegisterValue) {
-        let decided = Decided::read(cell);
-        let digest = decided.taken.last().map_or(0, |order| order.digest);
-        if cell.version == self.published && digest != self.published_digest {
-            // Cannot be while registers are decided once: a fault to be looked into, not passed over.
-            log::error!("number {} stands with two contents: {digest:x}, {:x}", cell.version, self.published_digest);
+    /// Applies a configuration that a majority has stored, unless it is older than the current one.
+    pub(crate) fn apply_committed(&mut self, cell: &wv_internal_protocol::RegisterValue) {
+        let decided = DecidedConfiguration::read(cell);
+        let digest = decided.accepted.last().map_or(0, |proposal| proposal.digest);
+        if cell.version == self.committed_version && digest != self.committed_digest {
+            // Violates the agreement of the register.
+            log::error!(
+                "configuration {} was committed with two contents: {digest:x}, {:x}",
+                cell.version,
+                self.committed_digest
+            );
         }
-        if cell.version > self.published && !cell.bytes.is_empty() {
-            match self.packs.unpack(&decided.body, crate::core::BODY_MAX) {
-                Ok(body) => self.enter_conf(cell.version, decided.body, &body),
+        if cell.version > self.committed_version && !cell.bytes.is_empty() {
+            match self.packs.unpack(&decided.body, crate::core::BODY_MAX_BYTES) {
+                Ok(body) => self.apply_configuration(cell.version, decided.body, &body),
                 Err(error) => {
-                    (self.published, self.published_digest) = (cell.version, digest);
-                    log::error!("the configuration in force: {error}");
+                    (self.committed_version, self.committed_digest) = (cell.version, digest);
+                    log::error!("cannot decompress the committed configuration: {error}");
                 }
             }
         }
     }
 }
 
-pub(crate) fn cause(text: &str) -> Vec<u8> {
+pub(crate) fn error_body(text: &str) -> Vec<u8> {
     serde_json::json!({ "cause": text }).to_string().into_bytes()
 }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -1,5 +1,5 @@
 //! Contact with a majority of the voters, dated by what was asked, and catching up after it was lost.
-use crate::core::{Core, FRESH_US};
+use crate::core::{Core, CONTACT_TTL_US};
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
@@ -63,13 +63,13 @@
 
     /// Whether this node is one of those that a majority is made of.
     pub(crate) fn sits(&self) -> bool {
-        self.seat.sits_in(&self.me) > 0
+        self.seat.sits_in(&self.address) > 0
     }
 
     pub(crate) fn ping_msg(&mut self) -> Message {
         let (asker, request, now) = (self.quorum.who(), self.quorum.next_request(), self.now);
         let pings = &mut self.contact.pings;
-        pings.retain(|(_, sent)| sent + FRESH_US > now);
+        pings.retain(|(_, sent)| sent + CONTACT_TTL_US > now);
         if pings.len() == PINGS_MAX {
             pings.pop_front();
         }
@@ -80,7 +80,7 @@
     /// When the ping was sent that is answered here: `None` for one of another life or of a forgotten age, whose answer
     /// says nothing of now.
     pub(crate) fn ping_sent(&self, asker: u64, request: u64) -> Option<u64> {
-        let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + FRESH_US > self.now;
+        let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + CONTACT_TTL_US > self.now;
         let sent = self.contact.pings.iter().find(is_sent).map(|(_, sent)| *sent);
         sent.filter(|_| asker == self.quorum.who())
     }
@@ -91,12 +91,13 @@
         let voters = self.quorum.voters();
         // Also those that are sealed for a successor: nothing newer is decided without them.
         let own = self.sits().then_some(self.now);
-        let is_voting = |peer: &&crate::types::Peer| peer.set.max(peer.sealed) == voters.number && peer.contact > 0;
+        let is_voting =
+            |peer: &&crate::types::Peer| peer.voter_set.max(peer.sealed_set) == voters.number && peer.last_contact > 0;
         let others = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_voting);
-        let mut dates: Vec<u64> = others.map(|peer| peer.contact).chain(own).collect();
+        let mut dates: Vec<u64> = others.map(|peer| peer.last_contact).chain(own).collect();
         dates.sort_unstable_by(|one, other| other.cmp(one));
         let newest = dates.get(self.quorum.majority() - 1).filter(|_| !voters.members.is_empty());
-        self.contact.until = newest.map_or(self.contact.until, |date| self.contact.until.max(date + FRESH_US));
+        self.contact.until = newest.map_or(self.contact.until, |date| self.contact.until.max(date + CONTACT_TTL_US));
         if !self.contact.is_held && self.is_fresh() {
             self.gain_contact();
         }
@@ -113,7 +114,7 @@
         self.is_caught_up = false;
         self.refuse_pending();
         // Followers go elsewhere at once, and hear nothing more: what is published from here on may be old.
-        self.beat_followers();
+        self.send_heartbeats();
         self.links.values_mut().for_each(|link| link.is_follower = false);
     }
 
@@ -129,7 +130,7 @@
     /// Reads that failed are begun again.
     pub(crate) fn keep_contact(&mut self) {
         if self.contact.is_held && !self.is_caught_up {
-            if !self.is_thin() && !self.contact.has_conf {
+            if !self.is_diskless() && !self.contact.has_conf {
                 self.sync_conf();
             }
             self.ask_recap();
@@ -149,7 +150,7 @@
         let times = |addr: &str| self.contact.asked.iter().filter(|asked| *asked == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
-            *addr != self.me && is_up && !self.contact.told.contains(*addr)
+            *addr != self.address && is_up && !self.contact.told.contains(*addr)
         };
         let next = self.quorum.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
@@ -170,7 +171,7 @@
     /// Another node was out of contact: the databases that it knows otherwise, who leads, who owns, and last that this
     /// was all.
     pub(crate) fn give_recap(&mut self, link: u64, (asker, request): (u64, u64), ranges: &[u64]) {
-        self.compare(link, ranges);
+        self.send_differing_ranges(link, ranges);
         self.tell_leaves(link);
         let leads: Vec<Message> = self.feed.leads().cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
@@ -191,9 +192,9 @@
     /// Reads the register to learn what stands in force.
     pub(crate) fn sync_conf(&mut self) {
         if !std::mem::replace(&mut self.contact.is_reading, true) {
-            let token = self.fresh_id();
-            self.waiting.insert(token, crate::types::Waiting::Sync(self.contact.spell));
-            self.quorum.start(token, crate::core::CONF, None, self.now);
+            let token = self.allocate_id();
+            self.operations.insert(token, crate::types::Operation::SyncConfiguration(self.contact.spell));
+            self.quorum.start(token, crate::core::CONF_KEY, None, self.now);
             self.run_quorum();
         }
     }
@@ -209,23 +210,23 @@
 
     /// Whether everything was read since contact came back.
     pub(crate) fn catch_up(&mut self) {
-        let has_conf = if self.is_thin() { self.has_newest() } else { self.contact.has_conf };
+        let has_conf = if self.is_diskless() { self.has_newest() } else { self.contact.has_conf };
         let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced.contains(&plan.shard);
         let has_slots = self.conf.as_ref().is_none_or(|conf| conf.plans.iter().all(is_synced));
         let is_whole = has_conf && has_slots && self.has_recap();
         if is_whole && self.contact.is_held && self.is_fresh() && !self.is_caught_up {
             self.is_caught_up = true;
-            self.take_pending();
+            self.resume_pending();
         }
-        self.serve_follows();
+        self.serve_subscriptions();
     }
 
     /// Whether a majority of voters, asked in this spell, holds no newer configuration.
     fn has_newest(&self) -> bool {
         let voters = self.quorum.voters();
         let is_heard = |peer: &&crate::types::Peer| {
-            let is_asked = peer.contact >= self.contact.since && peer.contact + FRESH_US > self.now;
-            is_asked && peer.set == voters.number && peer.conf <= self.published
+            let is_asked = peer.last_contact >= self.contact.since && peer.last_contact + CONTACT_TTL_US > self.now;
+            is_asked && peer.voter_set == voters.number && peer.conf_version <= self.committed_version
         };
         let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
         !voters.members.is_empty() && heard.count() >= self.quorum.majority()
@@ -238,6 +239,6 @@
 
     /// A node that has just started: all others may be no further.
     pub(crate) fn is_young(&self) -> bool {
-        self.now < self.born + crate::core::AWAIT_US
+        self.now < self.started_at + crate::core::STARTUP_GRACE_US
     }
 }
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -1,24 +1,24 @@
-pub use crate::types::{Act, Start};
-use crate::types::{Fall, Link, Peer, Waiting};
+pub use crate::types::{Action, Start};
+use crate::types::{Link, Operation, Outages, Peer};
 use std::collections::BTreeMap;
 use wv_change_feed::{Feed, Table};
 use wv_consensus::{Change, Quorum, Seat, Store};
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_membership::Membership;
 
-pub const CONF: &str = "conf";
+pub const CONF_KEY: &str = "conf";
 pub use wv_consensus::LOCAL;
-/// The configuration's body is read up to this bound.
-pub const BODY_MAX: usize = wv_configuration::BODY_MAX;
-/// How often a node has its regular turn.
-pub const TURN_US: u64 = 100_000;
-/// A majority that answered what was asked within this is fresh contact.
-pub const FRESH_US: u64 = 1_300_000;
-/// How long a node that has just started lets followers wait for it, and databases stay with it.
-pub const AWAIT_US: u64 = 900_000;
+/// Maximum length of a configuration body.
+pub const BODY_MAX_BYTES: usize = wv_configuration::BODY_MAX;
+/// Interval between calls of `tick`.
+pub const TICK_US: u64 = 100_000;
+/// Contact with a majority expires this long after the answered requests were sent.
+pub const CONTACT_TTL_US: u64 = 1_300_000;
+/// After its start a node holds subscriptions, and accepts database heartbeats, for this long without a majority.
+pub const STARTUP_GRACE_US: u64 = 900_000;
 
-/// Machines that start together may read one time: the place in one node's feed must never pass for another's.
-fn own_life(life: u64, me: &str) -> u64 {
+/// Mixes the address into the incarnation: machines that start together may read the same clock.
+fn node_incarnation(life: u64, me: &str) -> u64 {
     let own =
         me.bytes().fold(0xcbf2_9ce4_8422_2325u64, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
     (life << 16) | (own >> 48)
@@ -27,200 +27,200 @@
 /// All state of a control node.
 pub struct Core {
     pub(crate) now: u64,
-    pub(crate) me: String,
+    pub(crate) address: String,
     pub(crate) node: String,
     pub(crate) zone: String,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) seeds: Vec<String>,
     pub(crate) store: Store,
-    pub(crate) is_core: bool,
+    pub(crate) has_disk: bool,
     pub(crate) seat: Seat,
-    /// How far this disk is with what voters hold, while it does not vote.
+    /// Progress of copying the voters' registers while this node has no vote.
     pub(crate) progress: crate::takeover::Progress,
     pub(crate) change: Option<Change>,
-    /// The highest fence met over the next set.
-    pub(crate) met: u64,
-    pub(crate) changed: u64,
-    /// A settled set was told that this disk did not take.
-    pub(crate) is_unlearned: bool,
+    /// The highest fence seen for the next voter set.
+    pub(crate) max_successor_fence: u64,
+    pub(crate) voters_changed_at: u64,
+    /// The disk failed to store a voter set that has been decided.
+    pub(crate) is_voter_update_unsaved: bool,
     pub(crate) quorum: Quorum,
-    /// When this node is to be woken next.
-    pub(crate) armed: u64,
+    /// When the last requested wake-up is due.
+    pub(crate) next_wake: u64,
     pub(crate) feed: Feed,
     pub(crate) table: Table,
-    pub(crate) roster: Membership,
+    pub(crate) membership: Membership,
     pub(crate) links: BTreeMap<u64, Link>,
     pub(crate) peers: BTreeMap<String, Peer>,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
+    pub(crate) operations: BTreeMap<u64, Operation>,
     pub(crate) leave_acks: crate::leave_acks::LeaveAcks,
-    pub(crate) acts: Vec<Act>,
+    pub(crate) actions: Vec<Action>,
     pub(crate) next_id: u64,
-    /// The newest configuration version known to stand on a majority.
-    pub(crate) published: u64,
-    /// The digest of its bytes: one number never stands for two contents.
-    pub(crate) published_digest: u64,
-    /// Its text and its packed form.
+    /// The newest configuration version known to be stored by a majority.
+    pub(crate) committed_version: u64,
+    /// The digest of its body, to detect two bodies under one version.
+    pub(crate) committed_digest: u64,
+    /// Its body, plain and compressed.
     pub(crate) packs: wv_compression::Packs,
-    /// When followers were last told of one, of which they were told before that, and whether there is a newer one.
-    pub(crate) conf_told: u64,
-    pub(crate) conf_base: u64,
-    pub(crate) is_conf_due: bool,
-    /// Control nodes without a vote are to hear of that one from this node.
-    pub(crate) is_teller: bool,
-    /// How many callers this node has sent on.
-    pub(crate) sent_on: usize,
-    /// When this node last asked another one for a newer one.
-    pub(crate) lacked: u64,
+    /// When a configuration was last published, the version published before it, and whether a newer one is waiting.
+    pub(crate) conf_published_at: u64,
+    pub(crate) conf_delta_base: u64,
+    pub(crate) is_conf_unpublished: bool,
+    /// This node forwards the waiting configuration to the control nodes without a vote.
+    pub(crate) is_relay_due: bool,
+    /// Number of redirected calls, to rotate through the voters.
+    pub(crate) redirects: usize,
+    /// When this node last requested a newer configuration.
+    pub(crate) conf_requested_at: u64,
     pub(crate) is_caught_up: bool,
     pub(crate) contact: crate::contact::Contact,
-    /// Orders that wait for a read.
-    pub(crate) pending: Vec<crate::judge::Pending>,
-    pub(crate) tolerate: usize,
-    pub(crate) nodes_told: u32,
-    /// Since when there are fewer of them.
-    pub(crate) fewer_since: u64,
-    /// How many access nodes there were before this life.
-    pub(crate) nodes_recalled: u32,
+    /// Proposals that wait for a register to be read.
+    pub(crate) pending_proposals: Vec<crate::admission::PendingProposal>,
+    pub(crate) tolerated_machines: usize,
+    pub(crate) published_node_count: u32,
+    /// Since when there have been fewer access nodes than published.
+    pub(crate) node_count_low_since: u64,
+    /// The number of access nodes stored by the previous process.
+    pub(crate) stored_node_count: u32,
     pub(crate) conf: Option<wv_configuration::Conf>,
     pub(crate) duties: BTreeMap<String, wv_promotion::Duty>,
     pub(crate) fences: BTreeMap<String, u64>,
-    pub(crate) calls: crate::post::Calls,
-    pub(crate) counts: crate::metrics::Counts,
-    /// What each node last said of each database, and when.
-    pub(crate) sights: BTreeMap<String, BTreeMap<String, (u64, wv_internal_protocol::HealthReport)>>,
-    /// The live control nodes when words were last handed over.
-    pub(crate) holders: Vec<String>,
-    /// When databases left, and when each service last came to be led by another.
-    pub(crate) left: BTreeMap<String, crate::departed::Departure>,
-    pub(crate) led: BTreeMap<String, u64>,
-    pub(crate) claims: crate::beats::Claims,
+    pub(crate) calls: crate::platform_calls::PlatformCalls,
+    pub(crate) counters: crate::metrics::Counters,
+    /// The latest report on each database from each access node, with its time of receipt.
+    pub(crate) health_reports: BTreeMap<String, BTreeMap<String, (u64, wv_internal_protocol::HealthReport)>>,
+    /// The control nodes eligible for duties when health reports were last forwarded.
+    pub(crate) duty_peers: Vec<String>,
+    /// When databases departed, and when the leader of each service last changed.
+    pub(crate) departures: BTreeMap<String, crate::departed::Departure>,
+    pub(crate) leader_changed_at: BTreeMap<String, u64>,
+    pub(crate) leadership: crate::heartbeats::Leadership,
     pub(crate) drains: crate::drain::Drains,
-    /// Shards whose change of hands is being written, and when one was last moved without need.
-    pub(crate) owning: Vec<String>,
-    pub(crate) moved: u64,
-    pub(crate) born: u64,
-    /// Databases that fell: how often lately, when last, and whether they are still down.
-    pub(crate) fallen: BTreeMap<String, Fall>,
-    /// The table changed since it was last put on this disk.
-    pub(crate) is_table_due: bool,
-    pub(crate) pinged: u64,
-    pub(crate) repaired: u64,
-    pub(crate) forgot: u64,
-    /// When registers were last swept, and since when which of them belong to nothing.
-    pub(crate) swept: u64,
-    pub(crate) unnamed: BTreeMap<String, u64>,
+    /// Shards whose new owner is being written, and when a shard was last moved only to even out the load.
+    pub(crate) owner_writes: Vec<String>,
+    pub(crate) last_rebalance: u64,
+    pub(crate) started_at: u64,
+    /// Recent outages of databases.
+    pub(crate) outages: BTreeMap<String, Outages>,
+    /// The table changed since it was last stored.
+    pub(crate) is_table_unsaved: bool,
+    pub(crate) last_ping: u64,
+    pub(crate) last_repair: u64,
+    pub(crate) last_expiry: u64,
+    /// When registers were last swept, and since when each orphaned register has been without an owner.
+    pub(crate) last_sweep: u64,
+    pub(crate) orphaned_since: BTreeMap<String, u64>,
     pub(crate) is_leaving: bool,
-    pub(crate) is_leave_told: bool,
-    pub(crate) sessions_told: Vec<wv_internal_protocol::Session>,
-    pub(crate) sessions_age: u32,
-    pub(crate) is_window_open: bool,
-    /// The time of day, less this process's own.
-    pub(crate) epoch: u64,
-    /// Planned shards that are held here; those whose maps are known or being read; what holders show of theirs.
+    pub(crate) is_leaving_announced: bool,
+    pub(crate) sent_sessions: Vec<wv_internal_protocol::Session>,
+    pub(crate) pings_since_sessions: u32,
+    pub(crate) is_maintenance_window: bool,
+    /// Wall-clock time minus the process's monotonic time, in microseconds.
+    pub(crate) epoch_offset: u64,
+    /// Planned shards managed by this node, and the latest status text of every planned shard.
     pub(crate) shards: BTreeMap<String, crate::shards::Shard>,
-    pub(crate) outlooks: BTreeMap<String, String>,
+    pub(crate) shard_status: BTreeMap<String, String>,
 }
 
 impl Core {
     pub fn new(start: Start, mut store: Store) -> Result<Core, wv_consensus::RegError> {
-        let seat = Seat::open(&mut store, &start.me, &start.seeds, start.is_first, start.disk)?;
-        let mut quorum = Quorum::new(start.who);
+        let seat = Seat::open(&mut store, &start.address, &start.seeds, start.is_initial_start, start.disk_id)?;
+        let mut quorum = Quorum::new(start.requester_id);
         quorum.set_voters(seat.voters.clone());
         store.iter().for_each(|(_, held)| quorum.see(held.promised.max(held.accepted)));
         let mut peers = BTreeMap::new();
         let known = seat.voters.addrs().chain(seat.before.addrs());
-        for addr in start.seeds.iter().map(String::as_str).chain(known).filter(|addr| *addr != start.me) {
+        for addr in start.seeds.iter().map(String::as_str).chain(known).filter(|addr| *addr != start.address) {
             peers.insert(addr.to_owned(), Peer::default());
         }
         let mut core = Core {
             now: 0,
-            roster: Membership::new(&start.me),
-            feed: Feed::new(own_life(start.life, &start.me)),
-            me: start.me,
+            membership: Membership::new(&start.address),
+            feed: Feed::new(node_incarnation(start.incarnation, &start.address)),
+            address: start.address,
             node: start.node,
             zone: start.zone,
-            life: start.life,
+            incarnation: start.incarnation,
             seeds: start.seeds,
             store,
-            is_core: start.is_core,
+            has_disk: start.has_disk,
             seat,
             progress: Default::default(),
             change: None,
-            met: 0,
-            changed: 0,
-            is_unlearned: false,
+            max_successor_fence: 0,
+            voters_changed_at: 0,
+            is_voter_update_unsaved: false,
             quorum,
             table: Table::default(),
             links: BTreeMap::new(),
             peers,
-            waiting: BTreeMap::new(),
+            operations: BTreeMap::new(),
             leave_acks: Default::default(),
-            acts: Vec::new(),
+            actions: Vec::new(),
             next_id: 0,
-            published: 0,
-            published_digest: 0,
-            armed: 0,
+            committed_version: 0,
+            committed_digest: 0,
+            next_wake: 0,
             packs: Default::default(),
-            conf_told: 0,
-            conf_base: 0,
-            is_conf_due: false,
-            is_teller: false,
-            sent_on: 0,
-            lacked: 0,
+            conf_published_at: 0,
+            conf_delta_base: 0,
+            is_conf_unpublished: false,
+            is_relay_due: false,
+            redirects: 0,
+            conf_requested_at: 0,
             is_caught_up: false,
             contact: Default::default(),
-            pending: Vec::new(),
-            tolerate: start.tolerate,
-            nodes_told: 0,
-            fewer_since: 0,
-            nodes_recalled: 0,
+            pending_proposals: Vec::new(),
+            tolerated_machines: start.tolerated_machines,
+            published_node_count: 0,
+            node_count_low_since: 0,
+            stored_node_count: 0,
             conf: None,
             duties: BTreeMap::new(),
             fences: BTreeMap::new(),
             calls: Default::default(),
-            counts: Default::default(),
-            sights: BTreeMap::new(),
-            holders: Vec::new(),
-            left: BTreeMap::new(),
-            led: BTreeMap::new(),
-            claims: Default::default(),
+            counters: Default::default(),
+            health_reports: BTreeMap::new(),
+            duty_peers: Vec::new(),
+            departures: BTreeMap::new(),
+            leader_changed_at: BTreeMap::new(),
+            leadership: Default::default(),
             drains: Default::default(),
-            owning: Vec::new(),
-            moved: 0,
-            born: 0,
-            fallen: BTreeMap::new(),
-            is_table_due: false,
-            pinged: 0,
-            repaired: 0,
-            forgot: 0,
-            swept: 0,
-            unnamed: BTreeMap::new(),
+            owner_writes: Vec::new(),
+            last_rebalance: 0,
+            started_at: 0,
+            outages: BTreeMap::new(),
+            is_table_unsaved: false,
+            last_ping: 0,
+            last_repair: 0,
+            last_expiry: 0,
+            last_sweep: 0,
+            orphaned_since: BTreeMap::new(),
             is_leaving: false,
-            is_leave_told: false,
-            sessions_told: Vec::new(),
-            sessions_age: 0,
-            is_window_open: true,
-            epoch: 0,
+            is_leaving_announced: false,
+            sent_sessions: Vec::new(),
+            pings_since_sessions: 0,
+            is_maintenance_window: true,
+            epoch_offset: 0,
             shards: BTreeMap::new(),
-            outlooks: BTreeMap::new(),
+            shard_status: BTreeMap::new(),
         };
-        core.roster.set_has_disk(core.is_core);
+        core.membership.set_has_disk(core.has_disk);
         core.recall_table();
         Ok(core)
     }
 
-    pub fn take_acts(&mut self) -> Vec<Act> {
-        std::mem::take(&mut self.acts)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
-    pub fn fresh_id(&mut self) -> u64 {
+    pub fn allocate_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
     pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
         self.drains.stamp(&mut msg, self.now);
-        self.acts.push(Act::Send { link, msg });
+        self.actions.push(Action::Send { link, msg });
     }
 
     pub(crate) fn send_peer(&mut self, addr: &str, msg: Message) -> bool {
@@ -234,17 +234,17 @@
         addrs.iter().filter(|addr| self.send_peer(addr, msg.clone())).count()
     }
 
-    pub(crate) fn publish(&mut self, news: FeedUpdate) {
-        let msg = self.feed.publish(news);
-        self.tell_followers(&msg);
+    pub(crate) fn publish(&mut self, update: FeedUpdate) {
+        let msg = self.feed.publish(update);
+        self.send_followers(&msg);
     }
 
-    pub(crate) fn tell_followers(&mut self, msg: &Message) {
+    pub(crate) fn send_followers(&mut self, msg: &Message) {
         let followers: Vec<u64> = self.links.iter().filter(|(_, link)| link.is_follower).map(|(id, _)| *id).collect();
         followers.into_iter().for_each(|link| self.send(link, msg.clone()));
     }
 
-    pub(crate) fn ret(&mut self, token: u64, status: u16, body: impl Into<Vec<u8>>) {
-        self.acts.push(Act::Return { token, status, body: body.into() });
+    pub(crate) fn respond(&mut self, token: u64, status: u16, body: impl Into<Vec<u8>>) {
+        self.actions.push(Action::Respond { token, status, body: body.into() });
     }
 }
--- /dev/null
+++ b/crates/wv-control/src/database_calls.rs
@@ -0,0 +1,103 @@
+//! Outgoing calls: control statements to databases and promotion calls to the platform.
+use crate::exec::Node;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use wv_promotion::{Silent, StatusReply};
+use wv_wire_protocol::{parse_status, split_line, DatabaseLine, DatabaseStatus};
+
+const QUERY_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(400);
+/// A machine that does not accept a connection within this counts as unreachable.
+const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
+const PROMOTION_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1200);
+const REPLY_MAX_BYTES: usize = 16 << 10;
+
+/// Reads lines until `IDLE` and returns the row before it, if any. `None` on an error or a malformed reply.
+async fn read_row(stream: &mut tokio::net::TcpStream, buf: &mut Vec<u8>) -> Option<Option<DatabaseStatus>> {
+    let mut row = None;
+    loop {
+        while let Some((line, len)) = split_line(buf) {
+            let parsed = DatabaseLine::parse(line);
+            let is_complete = match parsed {
+                DatabaseLine::Row(text) => {
+                    row = parse_status(text);
+                    Some(false)
+                }
+                DatabaseLine::Complete(_) => Some(false),
+                DatabaseLine::Idle(..) => Some(true),
+                DatabaseLine::Error(..) | DatabaseLine::Unknown => None,
+            };
+            buf.drain(..len);
+            if is_complete? {
+                return Some(row);
+            }
+        }
+        let len = stream.read_buf(buf).await.ok()?;
+        if len == 0 || buf.len() > REPLY_MAX_BYTES {
+            return None;
+        }
+    }
+}
+
+async fn query_status(addr: SocketAddr, service: &str, id: &str, statement: &str) -> StatusReply {
+    let stream = wv_http::connect(addr, CONNECT_TIMEOUT).await.map_err(|error| match error.kind() {
+        std::io::ErrorKind::ConnectionRefused => Silent::Refused,
+        _ => Silent::Dark,
+    })?;
+    exchange(stream, service, id, statement).await.ok_or(Silent::Dark)
+}
+
+async fn exchange(
+    mut stream: tokio::net::TcpStream,
+    service: &str,
+    id: &str,
+    statement: &str,
+) -> Option<DatabaseStatus> {
+    let mut out = Vec::new();
+    // The expected id is sent because another database may use the address by now.
+    wv_wire_protocol::write_line(&mut out, &[b"SETUP", service.as_bytes(), b"windvalve", id.as_bytes()]);
+    wv_wire_protocol::write_query(&mut out, b"-", &[statement.as_bytes()]);
+    stream.write_all(&out).await.ok()?;
+    let mut buf = Vec::new();
+    read_row(&mut stream, &mut buf).await?;
+    let row = read_row(&mut stream, &mut buf).await?;
+    let _ = stream.write_all(b"RELEASE\r\n").await;
+    row
+}
+
+impl Node {
+    pub(crate) async fn query_database(
+        self,
+        request: u64,
+        service: String,
+        id: String,
+        (addr, statement): (String, String),
+    ) {
+        let reply = match addr.parse() {
+            Ok(addr) => tokio::time::timeout(QUERY_TIMEOUT, query_status(addr, &service, &id, &statement))
+                .await
+                .unwrap_or(Err(Silent::Dark)),
+            Err(_) => Err(Silent::Dark),
+        };
+        self.with_core(|core, now| core.row(request, reply, now));
+    }
+
+    pub(crate) async fn promote_database(
+        self,
+        request: u64,
+        service: String,
+        id: String,
+        (fence, deadline_us): (u64, u64),
+    ) {
+        let Some(platform) = self.platform.clone() else {
+            return self.with_core(|core, now| core.posted(request, None, now));
+        };
+        // After a process stall another duty holder may have called the platform already.
+        if self.now() > deadline_us {
+            return self.with_core(|core, now| core.promotion_expired(request, now));
+        }
+        let headers = [("X-Duty-Holder", self.name.clone()), ("X-Fence-Number", fence.to_string())];
+        let body = serde_json::json!({ "destination": service, "id": id }).to_string().into_bytes();
+        let code = wv_http::call(platform.addr, "POST", "/promotion", &headers, body, PROMOTION_TIMEOUT).await.ok();
+        self.with_core(|core, now| core.posted(request, code, now));
+    }
+}
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -33,7 +33,7 @@
     pub(crate) fn departed(&self, inst: &Instance) -> Left {
         let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
         let heir = self.table.of(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
-        let held = self.left.get(&inst.id);
+        let held = self.departures.get(&inst.id);
         let dark = held.and_then(|held| held.dark).map(|dark| dark + DARK_US).filter(|end| *end <= self.now);
         let ended = held.and_then(|held| held.ended).or(dark);
         Left { ended_us: ended.map(|ended| self.now.saturating_sub(ended)), heir }
@@ -45,16 +45,16 @@
         let is_due = |(id, held): &(&String, &Departure)| {
             let service = self.table.get(id).map(|inst| inst.service.as_str());
             let is_counted = service.is_some_and(|service| {
-                let is_later = self.led.get(service).is_none_or(|led| held.at >= *led);
-                is_later && self.roster.is_duty_holder(service)
+                let is_later = self.leader_changed_at.get(service).is_none_or(|led| held.at >= *led);
+                is_later && self.membership.is_duty_holder(service)
             });
             let gap = if held.at + FIRST_US > now { WATCH_FIRST_US } else { WATCH_US };
             held.ended.is_none() && held.looked + gap <= now && is_counted
         };
-        let due: Vec<String> = self.left.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
+        let due: Vec<String> = self.departures.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
             let Some(service) = self.table.get(&id).map(|inst| inst.service.clone()) else { continue };
-            self.left.entry(id.clone()).or_default().looked = now;
+            self.departures.entry(id.clone()).or_default().looked = now;
             self.ask_db(&service, id, "ENQUIRY".to_owned(), 0);
         }
     }
@@ -64,9 +64,9 @@
     pub(crate) fn needed(&self) -> BTreeSet<String> {
         let mut last: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
         let mut needed = BTreeSet::new();
-        for (id, held) in &self.left {
+        for (id, held) in &self.departures {
             let Some(inst) = self.table.get(id).filter(|inst| inst.gone) else { continue };
-            if self.led.get(&inst.service).is_some_and(|led| held.at < *led) {
+            if self.leader_changed_at.get(&inst.service).is_some_and(|led| held.at < *led) {
                 continue;
             }
             match self.departed(inst).ended_us {
@@ -86,7 +86,7 @@
     pub(crate) fn note_ended(&mut self, id: &str, word: StatusReply) {
         let is_replaced = self.table.get(id).is_some_and(|inst| inst.gone && self.departed(inst).heir.is_some());
         let now = self.now;
-        let Some(held) = self.left.get_mut(id) else { return };
+        let Some(held) = self.departures.get_mut(id) else { return };
         match word {
             Ok(_) => (held.ended, held.dark) = (None, None),
             Err(Silent::Refused) => held.ended = held.ended.or(Some(now)),
--- /dev/null
+++ b/crates/wv-control/src/diskless.rs
@@ -0,0 +1,80 @@
+//! Control nodes without durable storage, which may be on slow links: they receive the committed configuration as deltas,
+//! like access nodes. A register read would transfer the copy of every voter, on each attempt.
+use crate::core::Core;
+use wv_internal_protocol::{FeedUpdate, Message};
+
+/// A requested configuration that has not arrived after this is requested again.
+const REQUEST_RETRY_US: u64 = 800_000;
+
+impl Core {
+    /// Whether this node has neither a disk nor a vote.
+    pub(crate) fn is_diskless(&self) -> bool {
+        !self.has_disk && self.seat.votes_in(&self.address) == 0
+    }
+
+    /// A peer reported the configuration version that it has stored.
+    pub(crate) fn handle_peer_version(&mut self, addr: &str, version: u64) {
+        self.peers.get_mut(addr).into_iter().for_each(|peer| peer.conf_version = version);
+        if !self.is_diskless() {
+            // After startup, or if a peer has a newer version: a register read completes and learns it.
+            if (!self.is_caught_up || version > self.committed_version) && self.is_fresh() {
+                self.sync_conf();
+            }
+            return;
+        }
+        if version > self.committed_version {
+            self.request_configuration(addr, self.committed_version);
+        }
+        // An acknowledged configuration is stored by a majority, so this node is current if a majority has nothing newer.
+        self.catch_up();
+    }
+
+    /// The version of the configuration applied here, 0 for none.
+    pub fn conf_version(&self) -> u64 {
+        self.committed_version
+    }
+
+    /// Requests configurations newer than `version`, unless a reply may still be on its way.
+    fn request_configuration(&mut self, addr: &str, version: u64) {
+        if self.conf_requested_at == 0 || self.conf_requested_at + REQUEST_RETRY_US <= self.now {
+            self.conf_requested_at = self.now;
+            self.send_peer(addr, Message::ConfigurationRequest { version });
+        }
+    }
+
+    /// Sends a peer the configurations newer than its own.
+    pub(crate) fn handle_configuration_request(&mut self, link: u64, version: u64) {
+        if version < self.feed.conf_version() {
+            let updates = self.feed.conf_since(version);
+            self.send(link, Message::CommittedConfigurations(updates));
+        }
+    }
+
+    /// Applies configurations that a majority has stored.
+    pub(crate) fn handle_committed_configurations(&mut self, addr: &str, updates: Vec<FeedUpdate>) {
+        for update in updates {
+            let read = match update {
+                FeedUpdate::Configuration { version, body } if version > self.committed_version => {
+                    self.packs.unpack(&body, crate::core::BODY_MAX_BYTES).map(|text| (version, body, text))
+                }
+                FeedUpdate::ConfigurationDelta { base, version, delta } if version > self.committed_version => {
+                    if base != self.committed_version {
+                        return self.request_configuration(addr, self.committed_version);
+                    }
+                    let (held, _) = self.packs.held();
+                    let made = wv_compression::apply(&held, &delta, crate::core::BODY_MAX_BYTES);
+                    made.map(|text| (version, self.packs.pack(&text), text))
+                }
+                _ => continue,
+            };
+            match read {
+                Ok((version, packed, text)) => self.apply_configuration(version, packed, &text),
+                // The delta does not apply to the body held here, so the full configuration is requested.
+                Err(error) => {
+                    log::error!("cannot decode the committed configuration: {error}");
+                    return self.request_configuration(addr, 0);
+                }
+            }
+        }
+    }
+}
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -1,5 +1,5 @@
-//! The executor of a control node: links, calls and time go into the core, its acts come out.
-use crate::core::{Act, Core};
+//! The executor of a control node: passes messages, calls and time to the core and performs its actions.
+use crate::core::{Action, Core};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use tokio::sync::{mpsc, oneshot};
 use wv_internal_protocol::Message;
 
-const CONNECT: std::time::Duration = std::time::Duration::from_millis(300);
-const SILENT: std::time::Duration = std::time::Duration::from_millis(1500);
-/// A link whose far end takes nothing is cut when this many messages wait.
-const QUEUE_MAX: usize = 4096;
-const LINKS_MAX: usize = 1024;
+const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
+const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1500);
+/// A link is closed when this many messages are queued for a peer that does not read.
+const QUEUE_MAX_MESSAGES: usize = 4096;
+const MAX_LINKS: usize = 1024;
 
 type Queues = HashMap<u64, mpsc::Sender<Message>>;
 
@@ -20,8 +20,8 @@
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
     links: Rc<RefCell<Queues>>,
-    returns: Rc<RefCell<HashMap<u64, oneshot::Sender<wv_http::Return>>>>,
-    inner_port: u16,
+    responses: Rc<RefCell<HashMap<u64, oneshot::Sender<wv_http::Return>>>>,
+    internal_port: u16,
     pub(crate) name: String,
     pub(crate) platform: Option<wv_settings::Platform>,
     epoch: std::time::Instant,
@@ -30,15 +30,15 @@
 impl Node {
     pub fn new(mut core: Core, settings: &wv_settings::Settings) -> Node {
         let rate = settings.platform.as_ref().map_or(1.0, |platform| platform.duty_rate).max(0.1);
-        // Each node keeps well within the rate that all of them share.
-        core.set_pace((8e6 / rate) as u64);
+        // The rate limit is shared by all control nodes, so each uses only a fraction of it.
+        core.set_call_interval((8e6 / rate) as u64);
         Node {
             name: settings.node.clone(),
             platform: settings.platform.clone(),
             core: Rc::new(RefCell::new(core)),
             links: Default::default(),
-            returns: Default::default(),
-            inner_port: settings.inner_port,
+            responses: Default::default(),
+            internal_port: settings.inner_port,
             epoch: std::time::Instant::now(),
         }
     }
@@ -47,48 +47,48 @@
         self.epoch.elapsed().as_micros() as u64 + 1
     }
 
-    pub fn with<T>(&self, event: impl FnOnce(&mut Core, u64) -> T) -> T {
-        let (ret, acts) = {
+    pub fn with_core<T>(&self, event: impl FnOnce(&mut Core, u64) -> T) -> T {
+        let (ret, actions) = {
             let mut core = self.core.borrow_mut();
             let ret = event(&mut core, self.now());
-            (ret, core.take_acts())
+            (ret, core.take_actions())
         };
-        acts.into_iter().for_each(|act| self.act(act));
+        actions.into_iter().for_each(|action| self.execute(action));
         ret
     }
 
-    fn act(&self, act: Act) {
-        match act {
-            Act::Send { link, msg } => {
-                let is_stuck = self.links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
-                if is_stuck {
+    fn execute(&self, action: Action) {
+        match action {
+            Action::Send { link, msg } => {
+                let is_queue_full = self.links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
+                if is_queue_full {
                     self.links.borrow_mut().remove(&link);
                 }
             }
-            Act::Close { link } => {
+            Action::Close { link } => {
                 self.links.borrow_mut().remove(&link);
             }
-            Act::Dial { link, addr } => {
+            Action::Dial { link, addr } => {
                 tokio::task::spawn_local(self.clone().dial(link, addr));
             }
-            Act::Request { ask, service, id, addr, text } => {
-                tokio::task::spawn_local(self.clone().ask_db(ask, service, id, (addr, text)));
+            Action::QueryDatabase { request, service, id, addr, statement } => {
+                tokio::task::spawn_local(self.clone().query_database(request, service, id, (addr, statement)));
             }
-            Act::Run { run, service, id, addr, texts } => {
-                tokio::task::spawn_local(self.clone().run_texts(run, service, (id, addr), texts));
+            Action::RunStatements { request, service, id, addr, statements } => {
+                tokio::task::spawn_local(self.clone().run_statements(request, service, (id, addr), statements));
             }
-            Act::Post { ask, service, id, fence, until } => {
-                tokio::task::spawn_local(self.clone().post(ask, service, id, (fence, until)));
+            Action::PromoteDatabase { request, service, id, fence, deadline_us } => {
+                tokio::task::spawn_local(self.clone().promote_database(request, service, id, (fence, deadline_us)));
             }
-            Act::Wake { us } => {
+            Action::Wake { delay_us } => {
                 let node = self.clone();
                 tokio::task::spawn_local(async move {
-                    tokio::time::sleep(std::time::Duration::from_micros(us)).await;
-                    node.with(|core, now| core.wake(now));
+                    tokio::time::sleep(std::time::Duration::from_micros(delay_us)).await;
+                    node.with_core(|core, now| core.wake(now));
                 });
             }
-            Act::Return { token, status, body } => {
-                let ret = self.returns.borrow_mut().remove(&token);
+            Action::Respond { token, status, body } => {
+                let ret = self.responses.borrow_mut().remove(&token);
                 ret.into_iter().for_each(|sender| {
                     let _ = sender.send(wv_http::Return::new(status, body.clone()));
                 });
@@ -97,66 +97,66 @@
     }
 
     async fn dial(self, link: u64, addr: String) {
-        let inner = addr.parse::<SocketAddr>().map(|addr| SocketAddr::new(addr.ip(), self.inner_port));
-        if let Ok(inner) = inner {
-            if let Ok(stream) = wv_http::connect(inner, CONNECT).await {
-                let receiver = self.enter(link);
-                self.with(|core, now| core.link_up(link, now));
-                self.carry(link, stream, receiver).await;
+        let internal = addr.parse::<SocketAddr>().map(|addr| SocketAddr::new(addr.ip(), self.internal_port));
+        if let Ok(internal) = internal {
+            if let Ok(stream) = wv_http::connect(internal, CONNECT_TIMEOUT).await {
+                let receiver = self.register_link(link);
+                self.with_core(|core, now| core.link_up(link, now));
+                self.serve_link(link, stream, receiver).await;
             }
         }
-        self.with(|core, now| core.link_down(link, now));
+        self.with_core(|core, now| core.link_down(link, now));
     }
 
-    fn enter(&self, link: u64) -> mpsc::Receiver<Message> {
-        let (sender, receiver) = mpsc::channel(QUEUE_MAX);
+    fn register_link(&self, link: u64) -> mpsc::Receiver<Message> {
+        let (sender, receiver) = mpsc::channel(QUEUE_MAX_MESSAGES);
         self.links.borrow_mut().insert(link, sender);
         receiver
     }
 
-    /// Takes in links for ever.
+    /// Accepts links from other nodes; never returns.
     pub async fn accept(self, listener: tokio::net::TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 continue;
             };
-            if self.links.borrow().len() >= LINKS_MAX {
+            if self.links.borrow().len() >= MAX_LINKS {
                 continue;
             }
-            let link = self.core.borrow_mut().link_in(self.now());
-            let receiver = self.enter(link);
+            let link = self.core.borrow_mut().accept_link(self.now());
+            let receiver = self.register_link(link);
             let node = self.clone();
             tokio::task::spawn_local(async move {
-                node.carry(link, stream, receiver).await;
-                node.with(|core, now| core.link_down(link, now));
+                node.serve_link(link, stream, receiver).await;
+                node.with_core(|core, now| core.link_down(link, now));
             });
         }
     }
 
-    /// Carries one link until either side ends it or it falls silent.
-    async fn carry(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Message>) {
-        wv_http::tune(&stream, SILENT);
-        let hear = |msg| self.with(|core, now| core.msg(link, msg, now));
-        wv_process::carry(stream, receiver, SILENT, Some(SILENT), hear).await;
+    /// Serves one link until either side closes it or nothing is received for `IDLE_TIMEOUT`.
+    async fn serve_link(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Message>) {
+        wv_http::tune(&stream, IDLE_TIMEOUT);
+        let on_message = |msg| self.with_core(|core, now| core.handle_message(link, msg, now));
+        wv_process::carry(stream, receiver, IDLE_TIMEOUT, Some(IDLE_TIMEOUT), on_message).await;
         self.links.borrow_mut().remove(&link);
     }
 
-    /// What a call is told before its body has come, if that is all it is told.
-    pub fn head(&self, method: &str, path: &str) -> Option<wv_http::Return> {
-        let told = self.with(|core, now| core.head(method, path, now));
-        told.map(|(status, body)| wv_http::Return::new(status, body))
+    /// The response to a call that needs no body, if there is one.
+    pub fn handle_head(&self, method: &str, path: &str) -> Option<wv_http::Return> {
+        let response = self.with_core(|core, now| core.handle_head(method, path, now));
+        response.map(|(status, body)| wv_http::Return::new(status, body))
     }
 
-    pub async fn call(self, call: wv_http::Call) -> wv_http::Return {
+    pub async fn handle_call(self, call: wv_http::Call) -> wv_http::Return {
         if (call.method.as_str(), call.path.as_str()) == ("GET", "/metrics") {
             return metrics(self.core.borrow().metrics());
         }
         let (sender, receiver) = oneshot::channel();
-        self.with(|core, now| {
-            let token = core.fresh_id();
-            self.returns.borrow_mut().insert(token, sender);
-            core.call(token, &call.method, &call.path, call.body.as_deref(), now);
+        self.with_core(|core, now| {
+            let token = core.allocate_id();
+            self.responses.borrow_mut().insert(token, sender);
+            core.handle_call(token, &call.method, &call.path, call.body.as_deref(), now);
         });
         receiver.await.unwrap_or_else(|_| wv_http::Return::new(503, "{}"))
     }
@@ -164,7 +164,7 @@
 
 fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Return {
     page.map_or_else(
-        |error| wv_http::Return::new(500, crate::conf::cause(&error.to_string())),
+        |error| wv_http::Return::new(500, crate::conf::error_body(&error.to_string())),
         |text| wv_http::Return::text(200, text),
     )
 }
--- a/crates/wv-control/src/fills.rs
+++ b/crates/wv-control/src/fills.rs
@@ -1,5 +1,5 @@
 //! How full planned shards are, what their forecasts say, and the operators' calls on them.
-use crate::conf::cause;
+use crate::conf::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
@@ -123,7 +123,7 @@
         self.put_due(shard, &mut held);
         let is_kept = !held.fill.is_due && !held.fill.is_putting && held.split.names.is_kept();
         let calls = if is_kept { std::mem::take(&mut held.fill.calls) } else { Vec::new() };
-        calls.into_iter().for_each(|token| self.ret(token, 200, "{}"));
+        calls.into_iter().for_each(|token| self.respond(token, 200, "{}"));
         if is_kept {
             // Whoever named only what was known already waits for nothing.
             let acks = std::mem::take(&mut held.fill.acks);
@@ -132,9 +132,9 @@
         if held.fill.told_at + TELL_US <= now {
             held.fill.told_at = now;
             let text = self.describe(shard, &held).to_string();
-            if self.outlooks.get(shard) != Some(&text) {
+            if self.shard_status.get(shard) != Some(&text) {
                 self.send_peers(&Message::ShardStatus { shard: shard.to_owned(), text: text.clone() });
-                self.outlooks.insert(shard.to_owned(), text);
+                self.shard_status.insert(shard.to_owned(), text);
             }
         }
         self.shards.insert(shard.to_owned(), held);
@@ -172,33 +172,33 @@
         held.fill.is_putting = true;
         if let Some(text) = held.split.names.take_fresh() {
             held.fill.acked = std::mem::take(&mut held.fill.acks);
-            self.put_fresh(shard, held.next_version(), &text);
+            self.write_new_keys(shard, held.next_version(), &text);
         } else if is_fill_due {
             (held.fill.is_due, held.fill.put_at) = (false, self.now);
-            self.put_fill(shard, held.next_version(), SerBin::serialize_bin(&held.fill.kept()));
+            self.write_fill(shard, held.next_version(), SerBin::serialize_bin(&held.fill.kept()));
         } else if let Some((at, text)) = held.split.names.take_dirty() {
-            self.put_things(shard, held.next_version(), (at, &text));
+            self.write_keys(shard, held.next_version(), (at, &text));
         } else {
             held.fill.is_putting = false;
         }
     }
 
     /// A write of one part came to its end.
-    pub(crate) fn part_kept(&mut self, shard: &str, part: &crate::keep::Keep, is_ours: bool) {
+    pub(crate) fn part_kept(&mut self, shard: &str, part: &crate::shard_registers::ShardRegisterOp, is_ours: bool) {
         let Some(held) = self.shards.get_mut(shard) else { return };
         held.fill.is_putting = false;
         let acked = std::mem::take(&mut held.fill.acked);
         match (part, is_ours) {
-            (crate::keep::Keep::ThingsPut(_), true) => held.split.names.written(),
-            (crate::keep::Keep::ThingsPut(at), false) => held.split.names.put_back(*at),
-            (crate::keep::Keep::FreshPut, false) => held.split.names.renew(),
-            (crate::keep::Keep::FillPut, false) => held.fill.is_due = true,
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => held.split.names.written(),
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => held.split.names.put_back(*at),
+            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => held.split.names.renew(),
+            (crate::shard_registers::ShardRegisterOp::WriteFill, false) => held.fill.is_due = true,
             _ => {}
         }
         if !is_ours {
             // Nodes tell it again; operators hear that it is not kept.
             let calls = std::mem::take(&mut held.fill.calls);
-            return calls.into_iter().for_each(|token| self.ret(token, 503, cause("not kept, call again")));
+            return calls.into_iter().for_each(|token| self.respond(token, 503, error_body("not kept, call again")));
         }
         acked.into_iter().for_each(|ack| self.tell_filled(shard, ack));
         self.run_fill(shard);
@@ -213,7 +213,7 @@
     /// A node's report: to the holder, or into what is held here.
     pub(crate) fn take_fill(&mut self, node: &str, fill: wv_internal_protocol::ShardReport) {
         let holder = self.shard_holder(&fill.shard);
-        if holder != self.me {
+        if holder != self.address {
             self.send_peer(&holder, Message::PeerKeySamples { node: node.to_owned(), samples: fill });
             return;
         }
--- a/crates/wv-control/src/handover.rs
+++ b/crates/wv-control/src/handover.rs
@@ -11,7 +11,7 @@
     /// Sends a step of a change. This node's own part in it comes last: it may already lead to the next step.
     pub(crate) fn send_change(&mut self, msgs: Vec<(String, Message)>) {
         let sums = parts::sums(&self.store);
-        let me = self.me.clone();
+        let me = self.address.clone();
         let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
         for (voter, mut msg) in others {
             match &mut msg {
@@ -45,7 +45,7 @@
     pub(crate) fn change_word(&mut self, msg: Message) -> Option<Message> {
         match msg {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
-                let claimed = self.seat.claim(&mut self.store, &self.me, set, fence)?.map_err(noted).ok()?;
+                let claimed = self.seat.claim(&mut self.store, &self.address, set, fence)?.map_err(noted).ok()?;
                 Some(Message::SuccessorVote {
                     request,
                     ok: claimed.is_ok,
@@ -54,7 +54,7 @@
                 })
             }
             Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
-                let ok = self.seat.settle(&mut self.store, &self.me, (set, fence), &next)?.map_err(noted).ok()?;
+                let ok = self.seat.settle(&mut self.store, &self.address, (set, fence), &next)?.map_err(noted).ok()?;
                 Some(Message::SuccessorAccepted { request, ok })
             }
             _ => None,
@@ -62,7 +62,7 @@
     }
 
     fn seal(&mut self, set: u64, fence: u64) -> Option<bool> {
-        self.seat.seal(&mut self.store, &self.me, (set, fence))?.map_err(noted).ok()
+        self.seat.seal(&mut self.store, &self.address, (set, fence))?.map_err(noted).ok()
     }
 
     fn is_whole(&mut self, set: u64) -> bool {
@@ -85,7 +85,7 @@
                 }
             }
             Handover::Fetch { request, set, next, digests: sums } => {
-                if self.seat.is_named(&self.me, set, &next) {
+                if self.seat.is_named(&self.address, set, &next) {
                     let open = parts::differing(&self.store, &sums);
                     self.rest(link, addr, (request, set, true), Vec::new(), &open);
                 }
--- /dev/null
+++ b/crates/wv-control/src/heartbeats.rs
@@ -0,0 +1,167 @@
+//! Heartbeats of databases: ordered by their sequence, replicated to the other control nodes and published.
+use crate::conf::error_body;
+use crate::core::Core;
+use crate::drain::Teller;
+use wv_internal_protocol::{FeedUpdate, Instance, Leader, Message};
+
+/// Time within which a promoted database is expected to report itself as primary.
+const LEADER_REPORT_US: u64 = 4_000_000;
+const HEARTBEAT_MAX_BYTES: usize = 16 << 10;
+
+pub(crate) const NO_MAJORITY: &str = "{\"cause\":\"no majority of the voters hears this node\"}";
+
+/// Role information from heartbeats and from the control nodes.
+#[derive(Default)]
+pub(crate) struct Leadership {
+    /// Databases whose last heartbeat reported the replica role.
+    pub replicas: std::collections::BTreeSet<String>,
+    /// The database of each service that was promoted last, with its term.
+    pub promoted: std::collections::BTreeMap<String, Leader>,
+}
+
+fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, String> {
+    let value: serde_json::Value = serde_json::from_slice(body).map_err(|error| error.to_string())?;
+    let reader = wv_configuration::Reader::new(&value);
+    let inst = || -> Result<Instance, wv_configuration::PathError> {
+        Ok(Instance {
+            id: id.to_owned(),
+            service: reader.text("destination")?.to_owned(),
+            address: reader.text("address")?.to_owned(),
+            zone: reader.text("zone").unwrap_or_default().to_owned(),
+            capacity: reader.whole_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
+            draining: reader.text("state")? == "draining",
+            cold_left_us: if reader.has("coldLeftMs") { (reader.number("coldLeftMs")? * 1000.0) as u64 } else { 0 },
+            primary: reader.has("dbRole") && reader.text("dbRole")? == "primary",
+            sequence: reader.whole("sequence")?,
+            gone: false,
+            leaving_age_us: 0,
+        })
+    };
+    let inst = inst().map_err(|error| error.to_string())?;
+    let is_address = inst.address.parse::<std::net::SocketAddr>().is_ok();
+    is_address.then_some(inst).ok_or_else(|| "address is not IP:PORT".to_owned())
+}
+
+impl Core {
+    pub(crate) fn put_instance(&mut self, token: u64, id: &str, body: Option<&[u8]>) {
+        let Some(body) = body.filter(|body| body.len() <= HEARTBEAT_MAX_BYTES) else {
+            return self.respond(token, 413, "{\"cause\":\"the heartbeat body is too large\"}");
+        };
+        match parse_heartbeat(id, body) {
+            Ok(inst) => {
+                let is_leave = inst.draining && !self.leave_acks.is_acknowledged(id);
+                self.apply_heartbeat(token, inst, is_leave);
+            }
+            Err(text) => self.respond(token, 400, error_body(&text)),
+        }
+    }
+
+    /// An instance that is unknown here may be known elsewhere, so its departure is replicated as well.
+    pub(crate) fn delete_instance(&mut self, token: u64, id: &str) {
+        let held = self.table.get(id).cloned().unwrap_or_else(|| Instance { id: id.to_owned(), ..Instance::default() });
+        self.apply_heartbeat(token, Instance { gone: true, ..held }, true);
+    }
+
+    /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at once if the database
+    /// stays, and after enough other nodes stored it if the database leaves.
+    fn apply_heartbeat(&mut self, token: u64, inst: Instance, is_leave: bool) {
+        let changed = self.table.offer(inst.clone());
+        self.date_leave(&inst, Teller::Database);
+        self.publish_instances(&changed, true);
+        // An unchanged heartbeat also names the leader if none is known.
+        self.update_leader(&inst, false);
+        if !is_leave && !changed.is_empty() {
+            self.broadcast_instances(&changed);
+        }
+        // During startup no node has contact, so sending the database to another one would not help.
+        if !self.is_fresh() && (is_leave || !self.is_young()) {
+            if is_leave {
+                self.broadcast_instances(&[inst]);
+            }
+            return self.respond(token, 503, NO_MAJORITY);
+        }
+        if !is_leave {
+            return self.respond(token, 200, "{}");
+        }
+        let (requester, request, id) = (self.quorum.who(), self.quorum.next_request(), inst.id.clone());
+        self.send_peers(&Message::Instance { requester, request, instance: inst });
+        self.leave_acks.begin(token, request, id, self.now);
+        self.settle_leaves();
+    }
+
+    fn broadcast_instances(&mut self, insts: &[Instance]) {
+        for inst in insts {
+            self.send_peers(&Message::Instance { requester: 0, request: 0, instance: inst.clone() });
+        }
+    }
+
+    /// Publishes changed instances and derives the leader from them. Only direct reports can show that a replica became
+    /// primary.
+    pub(crate) fn publish_instances(&mut self, insts: &[Instance], is_direct: bool) {
+        self.is_table_unsaved |= !insts.is_empty();
+        for inst in insts {
+            if inst.gone {
+                self.departures.insert(inst.id.clone(), crate::departed::Departure::new(self.now));
+            }
+            let was_replica = self.leadership.replicas.remove(&inst.id);
+            if !inst.primary && !inst.gone {
+                self.leadership.replicas.insert(inst.id.clone());
+            }
+            self.publish(FeedUpdate::Instance(inst.clone()));
+            self.update_leader(inst, is_direct && was_replica);
+        }
+        self.watch_places(insts);
+    }
+
+    /// Derives the leader of a service from a heartbeat that reports the primary role.
+    ///
+    /// Guards against a deposed primary that keeps reporting its old role: a known leader is replaced only by the promoted
+    /// database, by a replica that became primary, or after the leader departed or failed to report itself in time.
+    fn update_leader(&mut self, reported: &Instance, is_new_primary: bool) {
+        // Use the table entry, since the heartbeat may be out of order.
+        let Some(inst) = self.table.get(&reported.id).filter(|inst| inst.primary && !inst.gone) else { return };
+        let lead = self.feed.lead(&inst.service);
+        let is_replaceable = lead.is_none_or(|lead| {
+            let held = self.table.get(&lead.id);
+            let promoted = self.leadership.promoted.get(&inst.service).filter(|held| held.term == lead.term);
+            let led = self.leader_changed_at.get(&inst.service).map_or(0, |at| at + LEADER_REPORT_US);
+            held.is_some_and(|held| held.gone)
+                || (held.is_none_or(|held| !held.primary) && (lead.term == 0 || led <= self.now))
+                || promoted.is_some_and(|held| held.id == inst.id)
+        });
+        if lead.is_none_or(|lead| lead.id != inst.id) && (is_new_primary || is_replaceable) {
+            let term = lead.map_or(0, |lead| lead.term);
+            let lead = Leader { service: inst.service.clone(), id: inst.id.clone(), term };
+            self.note_led(&lead);
+            self.publish(FeedUpdate::Leader(lead));
+            self.is_table_unsaved = true;
+        }
+    }
+
+    /// The leader of a service as published by this node.
+    pub fn leader(&self, service: &str) -> Option<&Leader> {
+        self.feed.lead(service)
+    }
+
+    pub(crate) fn merge_peer_instance(&mut self, inst: Instance) {
+        let changed = self.table.offer(inst.clone());
+        self.date_leave(&inst, Teller::Peer);
+        self.publish_instances(&changed, true);
+    }
+
+    pub(crate) fn list_instances(&mut self, token: u64) {
+        let list: Vec<serde_json::Value> = self
+            .table
+            .iter()
+            .filter(|inst| !inst.gone)
+            .map(|inst| {
+                serde_json::json!({
+                    "id": inst.id, "destination": inst.service, "address": inst.address, "zone": inst.zone,
+                    "state": if inst.draining { "draining" } else { "in_service" },
+                    "dbRole": if inst.primary { "primary" } else { "replica" }, "sequence": inst.sequence,
+                })
+            })
+            .collect();
+        self.respond(token, 200, serde_json::json!({ "instances": list, "fresh": self.is_caught_up() }).to_string());
+    }
+}
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -97,17 +97,17 @@
             is_own_vote: self.sits(),
             is_voter: &|addr| voters.contains(addr),
             majority: self.quorum.majority(),
-            others: self.tolerate.min(others_up),
+            others: self.tolerated_machines.min(others_up),
         };
         for (token, id) in self.leave_acks.take_settled(&quota) {
             self.count_leave(&id);
-            self.ret(token, 200, "{}");
+            self.respond(token, 200, "{}");
         }
     }
 
     /// Leaves that too few nodes hold are not acknowledged: the database calls another node.
     pub(crate) fn end_leaves(&mut self) {
         let expired = self.leave_acks.take_expired(self.now);
-        expired.into_iter().for_each(|token| self.ret(token, 503, crate::beats::UNHEARD));
+        expired.into_iter().for_each(|token| self.respond(token, 503, crate::heartbeats::NO_MAJORITY));
     }
 }
--- a/crates/wv-control/src/leaving.rs
+++ b/crates/wv-control/src/leaving.rs
@@ -11,7 +11,7 @@
     pub fn leave(&mut self, now: u64) {
         self.at(now);
         self.is_leaving = true;
-        self.beat_followers();
+        self.send_heartbeats();
         self.run_leaving();
     }
 
@@ -20,31 +20,31 @@
     pub(crate) fn run_leaving(&mut self) {
         let is_under_way = |duty: &wv_promotion::Duty| duty.is_engaged() && !duty.is_resting();
         let is_busy = self.duties.values().any(is_under_way)
-            || (self.calls.made_at > 0 && self.calls.made_at + TURNS_US > self.now);
-        if !self.is_leaving || self.is_leave_told || is_busy {
+            || (self.calls.last_call > 0 && self.calls.last_call + TURNS_US > self.now);
+        if !self.is_leaving || self.is_leaving_announced || is_busy {
             return;
         }
-        self.is_leave_told = true;
+        self.is_leaving_announced = true;
         // Where all others have no disk, they hold what there is to hold from now on.
-        self.roster.set_has_disk(false);
+        self.membership.set_has_disk(false);
         self.send_peers(&Message::Leaving);
         self.run_duties();
     }
 
     pub(crate) fn peer_leaves(&mut self, addr: &str) {
         self.peers.get_mut(addr).into_iter().for_each(|peer| peer.is_leaving = true);
-        self.roster.set_peer_has_disk(addr, false);
+        self.membership.set_peer_has_disk(addr, false);
     }
 
     /// Whether a node that leaves may end before its time is over. A voter may not while it is about to be replaced, or
     /// while its set is sealed and not settled yet; nor may the one that drives a change.
     pub fn is_relieved(&self) -> bool {
-        if !self.seat.is_member(&self.me) {
+        if !self.seat.is_member(&self.address) {
             return self.is_fresh();
         }
-        let own = Member { addr: self.me.clone(), disk: self.seat.disk };
+        let own = Member { addr: self.address.clone(), disk: self.seat.disk };
         let is_kept = |next: wv_internal_protocol::VoterSet| next.members.contains(&own);
-        let is_sealed = self.seat.votes_in(&self.me) == 0;
+        let is_sealed = self.seat.votes_in(&self.address) == 0;
         !is_sealed && !self.is_changing() && self.planned().is_none_or(is_kept)
     }
 }
--- a/crates/wv-control/src/lib.rs
+++ b/crates/wv-control/src/lib.rs
@@ -1,49 +1,51 @@
-//! The control role: register, configuration, beats, feed and duties. Logic without sockets; `run` executes.
-mod beats;
+//! The control role: registers, configuration, database heartbeats, change feed and failover duties.
+//!
+//! `Core` is free of I/O; `run` executes the actions that it requests.
+mod admission;
+mod committed;
 mod conf;
 mod contact;
 mod core;
+mod database_calls;
 mod departed;
+mod diskless;
 mod drain;
 mod duties;
 mod exec;
 mod falls;
 mod fills;
-mod force;
 mod handover;
-mod head;
-mod judge;
-mod keep;
+mod health_reports;
+mod heartbeats;
 mod leave_acks;
 mod leaving;
 mod metrics;
 mod operate;
-pub mod order;
 mod outlook;
 mod own;
 mod peers;
-mod post;
+mod platform_calls;
+pub mod proposal;
 mod recall;
-mod request;
+mod redirect;
 mod run;
-mod run_texts;
+mod shard_registers;
 mod shards;
+mod statements;
 mod sweep;
 mod takeover;
-mod thin;
 mod tick;
 mod types;
 mod voter;
 mod voters;
-mod words;
 
-pub use crate::core::{Act, Core, Start};
+pub use crate::core::{Action, Core, Start};
 pub use run::run;
-pub use run_texts::run_texts;
+pub use statements::run_statements;
 
 #[derive(thiserror::Error, Debug)]
 pub enum ControlError {
-    #[error("the settings file gives this role no control address")]
+    #[error("the settings file has no listen address for the control role")]
     NoAddress,
     #[error("cannot listen on {0}: {1}")]
     Listen(std::net::SocketAddr, std::io::Error),
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -1,17 +1,15 @@
-//! What operators see of departures and promotions on this node: log lines, and the figures of `GET /metrics`.
-//!
-//! Nothing is decided by what is kept here.
+//! Log lines on departures and promotions, and the metrics of `GET /metrics`. No decision depends on these counters.
 use crate::core::Core;
 use std::collections::BTreeMap;
 use wv_metrics::{MetricsError, Page};
 use wv_promotion::Obstacle;
 
-/// Of one service's attempts at a promotion that lead nowhere, no more than one a span is written to the log.
-const STALL_LOG_US: u64 = 2_000_000;
+/// Minimum interval between log lines on stalled promotions of one service.
+const STALL_LOG_INTERVAL_US: u64 = 2_000_000;
 
-/// Counts since the start of this process.
+/// Counters since the start of this process.
 #[derive(Default)]
-pub(crate) struct Counts {
+pub(crate) struct Counters {
     services: BTreeMap<String, Promotions>,
     leaves_acknowledged: u64,
 }
@@ -24,40 +22,39 @@
 }
 
 impl Core {
-    /// The platform is called to promote a database.
     pub(crate) fn count_promotion_call(&mut self, service: &str) {
-        self.counts.services.entry(service.to_owned()).or_default().calls += 1;
+        self.counters.services.entry(service.to_owned()).or_default().calls += 1;
     }
 
-    /// An attempt at a promotion led nowhere.
+    /// A promotion attempt could not proceed.
     pub(crate) fn count_stall(&mut self, service: &str, obstacle: &Obstacle) {
-        let promotions = self.counts.services.entry(service.to_owned()).or_default();
+        let promotions = self.counters.services.entry(service.to_owned()).or_default();
         promotions.stalls += 1;
-        if promotions.logged_at.is_none_or(|at| at + STALL_LOG_US <= self.now) {
+        if promotions.logged_at.is_none_or(|at| at + STALL_LOG_INTERVAL_US <= self.now) {
             promotions.logged_at = Some(self.now);
-            log::warn!("no promotion of {service}, attempt {}: {obstacle}", promotions.stalls);
+            log::warn!("promotion of {service} stalled, attempt {}: {obstacle}", promotions.stalls);
         }
     }
 
     pub(crate) fn count_leave(&mut self, id: &str) {
-        self.counts.leaves_acknowledged += 1;
-        log::warn!("the leave of {id} is acknowledged");
+        self.counters.leaves_acknowledged += 1;
+        log::warn!("departure of {id} acknowledged");
     }
 
-    /// This process's figures, as monitoring fetches them.
+    /// The metrics page in text format.
     pub fn metrics(&self) -> Result<Vec<u8>, MetricsError> {
         let mut page = Page::default();
         page.figure(
             ("windvalve_in_contact", "Whether a majority of the voters is in contact"),
             self.is_fresh().into(),
         )?;
-        page.figure(("windvalve_configuration_version", "The configuration in force"), self.published)?;
+        page.figure(("windvalve_configuration_version", "The configuration in force"), self.committed_version)?;
         page.figure(
             ("windvalve_leaves_acknowledged", "Departures of databases that were acknowledged here"),
-            self.counts.leaves_acknowledged,
+            self.counters.leaves_acknowledged,
         )?;
         let of = |figure: fn(&Promotions) -> u64| {
-            self.counts.services.iter().map(move |(service, held)| (vec![service.clone()], figure(held)))
+            self.counters.services.iter().map(move |(service, held)| (vec![service.clone()], figure(held)))
         };
         let calls = ("windvalve_promotion_calls", "Calls to the platform to promote a database");
         page.figures(calls, &["service"], of(|held| held.calls))?;
--- a/crates/wv-control/src/operate.rs
+++ b/crates/wv-control/src/operate.rs
@@ -1,5 +1,5 @@
 //! What operators ask of planned shards: a split now, names of things, histories.
-use crate::conf::cause;
+use crate::conf::error_body;
 use crate::core::Core;
 use crate::fills::{Fill, REQUEST_US};
 use wv_shard_forecast::History;
@@ -52,14 +52,14 @@
         change: impl FnOnce(&mut Fill, &mut wv_shard_split::Split) -> Result<(), String>,
     ) {
         let Some(held) = self.shards.get_mut(shard).filter(|held| held.split.has_ballot()) else {
-            return self.ret(token, 503, cause("the holder of this shard is not ready, call again"));
+            return self.respond(token, 503, error_body("the holder of this shard is not ready, call again"));
         };
         match change(&mut held.fill, &mut held.split) {
             Ok(()) => {
                 held.fill.is_due = true;
                 held.fill.calls.push(token);
             }
-            Err(text) => self.ret(token, 400, cause(&text)),
+            Err(text) => self.respond(token, 400, error_body(&text)),
         }
     }
 }
--- a/crates/wv-control/src/outlook.rs
+++ b/crates/wv-control/src/outlook.rs
@@ -1,5 +1,5 @@
 //! What operators are shown of planned shards, and where their calls on them go.
-use crate::conf::cause;
+use crate::conf::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use wv_shard_forecast::{Crossing, Forecast, Outlook};
@@ -69,16 +69,16 @@
     /// `GET /forecast` and `GET /splits`: all planned shards, as their holders last told of them.
     pub(crate) fn list_outlooks(&mut self, token: u64) {
         let Some(conf) = self.conf.as_ref() else {
-            return self.ret_none(token);
+            return self.respond_no_configuration(token);
         };
         let told = |plan: &wv_configuration::ShardPlan| {
-            let text = self.outlooks.get(&plan.shard)?;
+            let text = self.shard_status.get(&plan.shard)?;
             serde_json::from_str::<serde_json::Value>(text).ok()
         };
         let unknown = |shard: &str| serde_json::json!({ "shard": shard, "forecast": forecast_json(None) });
         let list: Vec<serde_json::Value> =
             conf.plans.iter().map(|plan| told(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
-        self.ret(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
+        self.respond(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
     }
 
     /// Calls that change something of a planned shard are its holder's: others send the caller there.
@@ -86,23 +86,23 @@
         let (part, shard) = path;
         // Also that there is no such plan is said only by a node that knows the newest configuration.
         if self.conf.is_none() || !self.is_caught_up() {
-            return self.ret(token, 503, cause("no majority of the voters is in contact, call again"));
+            return self.respond(token, 503, error_body("no majority of the voters is in contact, call again"));
         }
         if self.shard_plan(shard).is_none() {
-            return self.ret(token, 404, cause("no such planned shard"));
+            return self.respond(token, 404, error_body("no such planned shard"));
         }
         let holder = self.shard_holder(shard);
-        if holder != self.me {
-            return self.ret(token, 307, format!("http://{holder}/{part}/{shard}"));
+        if holder != self.address {
+            return self.respond(token, 307, format!("http://{holder}/{part}/{shard}"));
         }
         let text = body.and_then(|body| std::str::from_utf8(body).ok());
         match (method, part, text) {
-            (_, _, None) => self.ret(token, 413, cause("the body is over the bound, or no text")),
+            (_, _, None) => self.respond(token, 413, error_body("the body is over the bound, or no text")),
             ("PUT", "splits", _) => self.want_split(shard, true, token),
             ("DELETE", "splits", _) => self.want_split(shard, false, token),
             ("PUT", "things", Some(text)) => self.list_things(shard, text, token),
             ("PUT", "forecast", Some(text)) => self.bring_history(shard, text, token),
-            _ => self.ret(token, 405, cause("this method is not served here")),
+            _ => self.respond(token, 405, error_body("this method is not served here")),
         }
     }
 }
--- a/crates/wv-control/src/own.rs
+++ b/crates/wv-control/src/own.rs
@@ -1,6 +1,6 @@
 //! Shards among partners: who is to own what, and how a shard changes hands.
 use crate::core::Core;
-use crate::types::Waiting;
+use crate::types::Operation;
 use std::collections::{BTreeMap, BTreeSet};
 use wv_consensus::Outcome;
 use wv_internal_protocol::{FeedUpdate, Message, Owner};
@@ -21,7 +21,7 @@
         if !self.is_settled(SETTLE_US) || self.is_leaving {
             return;
         }
-        let members = self.roster.access_nodes(self.now);
+        let members = self.membership.access_nodes(self.now);
         let owners: BTreeMap<String, String> =
             self.feed.owners().values().map(|owner| (owner.service.clone(), owner.node.clone())).collect();
         let owned: BTreeSet<&str> = owners.values().map(String::as_str).collect();
@@ -36,30 +36,30 @@
             let owner = owners.get(service);
             let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|told| told.is_leaving));
             let is_moved = owner != Some(node) || self.is_replaced(service, &members);
-            let is_held = self.roster.is_duty_holder(&key(service)) && !self.owning.contains(service);
-            is_held && is_moved && (is_lost || self.moved + PACE_US <= self.now)
+            let is_held = self.membership.is_duty_holder(&key(service)) && !self.owner_writes.contains(service);
+            is_held && is_moved && (is_lost || self.last_rebalance + PACE_US <= self.now)
         };
         let due: Vec<(String, String)> = wanted.into_iter().filter(is_due).collect();
         let is_lost = |service: &str| owners.get(service).is_none_or(|owner| !nodes.contains(owner.as_str()));
         // What has no owner goes at once, all of it; what is only uneven one by one.
         let (lost, uneven): (Vec<_>, Vec<_>) = due.into_iter().partition(|(service, _)| is_lost(service));
         if !uneven.is_empty() {
-            self.moved = self.now;
+            self.last_rebalance = self.now;
         }
         for (service, node) in lost.into_iter().chain(uneven.into_iter().take(1)) {
-            self.owning.push(service.clone());
+            self.owner_writes.push(service.clone());
             self.give_shard(service, node);
         }
     }
 
     /// Writes the new owner under the next number.
     fn give_shard(&mut self, service: String, node: String) {
-        let Some(place) = self.roster.access_nodes(self.now).get(&node).map(|told| told.handover_address.clone())
+        let Some(place) = self.membership.access_nodes(self.now).get(&node).map(|told| told.handover_address.clone())
         else {
-            return self.owning.retain(|held| *held != service);
+            return self.owner_writes.retain(|held| *held != service);
         };
-        let (token, key) = (self.fresh_id(), key(&service));
-        self.waiting.insert(token, Waiting::Own(service.clone()));
+        let (token, key) = (self.allocate_id(), key(&service));
+        self.operations.insert(token, Operation::WriteOwner(service.clone()));
         let owner = Owner { service, node, handover_address: place, epoch: 0 };
         let edit: wv_consensus::Edit = Box::new(move |held| {
             let number = held.version + 1;
@@ -83,7 +83,7 @@
 
     /// Only what stands on a majority is told.
     pub(crate) fn own_kept(&mut self, service: &str, outcome: Outcome) {
-        self.owning.retain(|held| held != service);
+        self.owner_writes.retain(|held| held != service);
         let (Outcome::Written(cell) | Outcome::Held(cell)) = outcome else { return };
         let Ok(told) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
         self.send_peers(&Message::Owner(told.clone()));
@@ -118,9 +118,9 @@
     /// `GET /shards`: who owns what, under which number, and how the portions stand.
     pub(crate) fn list_shards(&mut self, token: u64) {
         let Some(conf) = self.conf.as_ref() else {
-            return self.ret_none(token);
+            return self.respond_no_configuration(token);
         };
-        let members = self.roster.access_nodes(self.now);
+        let members = self.membership.access_nodes(self.now);
         let nodes: BTreeSet<&str> = members.keys().map(String::as_str).collect();
         let seats = wv_shard_assignment::seats(&conf.partners, &nodes);
         let quotas = wv_shard_assignment::quotas(&conf.partners, &seats, conf.shards.len());
@@ -134,7 +134,7 @@
                 serde_json::json!({
                     "shard": service, "owner": held.map(|held| held.node.as_str()),
                     "place": held.map(|held| held.handover_address.as_str()),
-                    "number": held.map_or(0, |held| held.epoch), "moving": self.owning.contains(service),
+                    "number": held.map_or(0, |held| held.epoch), "moving": self.owner_writes.contains(service),
                     "partner": held.and_then(|held| partner_of(&held.node)).map(|at| conf.partners[at].label.as_str()),
                     "live": held.is_some_and(|held| nodes.contains(held.node.as_str())),
                 })
@@ -155,7 +155,7 @@
                 })
             })
             .collect();
-        self.ret(
+        self.respond(
             token,
             200,
             serde_json::json!({ "shards": shards, "partners": partners, "fresh": self.is_caught_up() }).to_string(),
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -1,18 +1,17 @@
-//! Messages on the links: from access nodes and from other control nodes.
+//! Links and their messages, from access nodes and from other control nodes.
 use crate::core::Core;
 use crate::types::Link;
 use wv_internal_protocol::{Instance, Message};
 
 impl Core {
-    /// A link came in.
-    pub fn link_in(&mut self, now: u64) -> u64 {
+    pub fn accept_link(&mut self, now: u64) -> u64 {
         self.at(now);
-        let link = self.fresh_id();
-        self.links.insert(link, Link { peer: None, node: None, is_follower: false, awaited: None });
+        let link = self.allocate_id();
+        self.links.insert(link, Link { peer: None, node: None, is_follower: false, pending_position: None });
         link
     }
 
-    /// A link this side dialled stands.
+    /// An outgoing link is established.
     pub fn link_up(&mut self, link: u64, now: u64) {
         self.at(now);
         let Some(addr) = self.links.get(&link).and_then(|held| held.peer.clone()) else { return };
@@ -21,25 +20,25 @@
             link,
             Message::Hello {
                 node: self.node.clone(),
-                control_address: self.me.clone(),
+                control_address: self.address.clone(),
                 zone: self.zone.clone(),
                 handover_address: String::new(),
-                incarnation: self.life,
+                incarnation: self.incarnation,
             },
         );
         self.send(link, self.peers_msg());
-        if self.is_leave_told {
+        if self.is_leaving_announced {
             self.send(link, Message::Leaving);
         }
         let ping = self.ping_msg();
         self.send(link, ping);
         self.tell_leaves(link);
-        // Before there is contact nothing is compared: then all of it is asked for.
+        // Without contact a full resync follows, so digests are not compared.
         if self.contact.is_held {
             self.send(link, Message::InstanceDigests { digests: self.table.digests() });
         }
-        self.send(link, Message::Sessions { sessions: self.roster.sessions(self.now) });
-        // Whoever was away hears who was promoted meanwhile, and which shards changed hands.
+        self.send(link, Message::Sessions { sessions: self.membership.sessions(self.now) });
+        // A peer that was disconnected may have missed promotions and changes of shard owners.
         let leads: Vec<_> = self.feed.leads().filter(|lead| lead.term > 0).cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
@@ -58,120 +57,121 @@
         }
         let is_elsewhere = |node: &str| self.links.values().any(|link| link.node.as_deref() == Some(node));
         if let Some(node) = held.node.filter(|node| !is_elsewhere(node)) {
-            self.roster.end_session(&node);
+            self.membership.end_session(&node);
         }
     }
 
-    pub fn msg(&mut self, link: u64, msg: Message, now: u64) {
+    pub fn handle_message(&mut self, link: u64, msg: Message, now: u64) {
         self.at(now);
         let Some(held) = self.links.get(&link) else { return };
         let (peer, node) = (held.peer.clone(), held.node.clone());
         if let Some(addr) = &peer {
-            self.roster.record_peer(addr, self.now);
+            self.membership.record_peer(addr, self.now);
         }
         match (msg, peer, node) {
             (Message::Hello { node, control_address, zone, handover_address, .. }, _, _) => {
-                self.hello(link, node, (control_address, zone), &handover_address)
+                self.handle_hello(link, node, (control_address, zone), &handover_address)
             }
-            (msg, Some(addr), _) => self.peer_msg(link, &addr, msg),
-            (msg, None, Some(node)) => self.node_msg(link, &node, msg),
-            (_, None, None) => self.acts.push(crate::Act::Close { link }),
+            (msg, Some(addr), _) => self.handle_peer_message(link, &addr, msg),
+            (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
+            (_, None, None) => self.actions.push(crate::Action::Close { link }),
         }
         self.run_quorum();
     }
 
-    fn hello(&mut self, link: u64, node: String, (control, zone): (String, String), place: &str) {
+    fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), handover: &str) {
         let is_control = !control.is_empty();
         if is_control {
-            self.know_peer(control.clone());
-            // Another life of its machine, perhaps: one that stays.
+            self.add_peer(control.clone());
+            // The peer may have restarted, so it is not leaving any more.
             self.peers
                 .get_mut(&control)
                 .into_iter()
                 .for_each(|peer| (peer.zone, peer.is_leaving) = (zone.clone(), false));
-            self.links.insert(link, Link { peer: Some(control), node: None, is_follower: false, awaited: None });
+            self.links
+                .insert(link, Link { peer: Some(control), node: None, is_follower: false, pending_position: None });
         } else {
-            self.roster.start_session(&node, place, self.now);
-            self.links.insert(link, Link { peer: None, node: Some(node), is_follower: false, awaited: None });
+            self.membership.start_session(&node, handover, self.now);
+            self.links.insert(link, Link { peer: None, node: Some(node), is_follower: false, pending_position: None });
         }
         self.send(link, self.peers_msg());
     }
 
-    pub(crate) fn know_peer(&mut self, addr: String) {
+    pub(crate) fn add_peer(&mut self, addr: String) {
         let since = self.now;
-        if addr != self.me {
-            self.peers.entry(addr).or_insert_with(|| crate::types::Peer { since, ..Default::default() });
+        if addr != self.address {
+            self.peers.entry(addr).or_insert_with(|| crate::types::Peer { known_since: since, ..Default::default() });
         }
     }
 
-    fn node_msg(&mut self, link: u64, node: &str, msg: Message) {
+    fn handle_node_message(&mut self, link: u64, node: &str, msg: Message) {
         match msg {
-            Message::AccessHeartbeat { leaving } => self.roster.heartbeat(node, leaving, self.now),
+            Message::AccessHeartbeat { leaving } => self.membership.heartbeat(node, leaving, self.now),
             Message::Subscribe { incarnation, position } => {
                 if let Some(held) = self.links.get_mut(&link) {
-                    (held.is_follower, held.awaited) = (false, Some((incarnation, position)));
+                    (held.is_follower, held.pending_position) = (false, Some((incarnation, position)));
                 }
-                self.serve_follows();
+                self.serve_subscriptions();
             }
-            Message::HealthReports(sights) => self.hear_sights(node, sights),
-            Message::DirtyKeys(marks) => self.take_marks(node, marks),
-            Message::KeySamples(fill) => self.take_fill(node, fill),
-            _ => self.acts.push(crate::Act::Close { link }),
+            Message::HealthReports(reports) => self.handle_node_reports(node, reports),
+            Message::DirtyKeys(dirty_keys) => self.take_marks(node, dirty_keys),
+            Message::KeySamples(samples) => self.take_fill(node, samples),
+            _ => self.actions.push(crate::Action::Close { link }),
         }
     }
 
-    /// Followers are served once a majority is in fresh contact. Without one what is known here may be old: they ask
-    /// elsewhere, unless this node has only just started, when all others may be no further.
-    pub(crate) fn serve_follows(&mut self) {
+    /// Serves subscriptions while a majority is in contact. Without one the state here may be stale and subscribers are
+    /// turned away, except during startup, when the other nodes may not be ready either.
+    pub(crate) fn serve_subscriptions(&mut self) {
         let is_ready = self.is_caught_up() && self.contact.syncing.is_empty() && !self.is_leaving;
-        let is_young = self.is_young() && !self.is_leaving;
-        if !is_ready && is_young {
+        let is_starting = self.is_young() && !self.is_leaving;
+        if !is_ready && is_starting {
             return;
         }
-        let awaiting = self.links.iter_mut().filter_map(|(id, link)| link.awaited.take().map(|from| (*id, from)));
-        for (link, (life, place)) in awaiting.collect::<Vec<_>>() {
+        let awaiting =
+            self.links.iter_mut().filter_map(|(id, link)| link.pending_position.take().map(|from| (*id, from)));
+        for (link, (incarnation, position)) in awaiting.collect::<Vec<_>>() {
             if !is_ready {
                 self.send(link, Message::ControlHeartbeat { has_majority: false });
                 continue;
             }
             self.links.get_mut(&link).into_iter().for_each(|held| held.is_follower = true);
-            let msgs = self.feed.since(life, place, &self.table);
+            let msgs = self.feed.since(incarnation, position, &self.table);
             msgs.into_iter().for_each(|msg| self.send(link, msg));
         }
     }
 
-    fn peer_msg(&mut self, link: u64, addr: &str, msg: Message) {
+    fn handle_peer_message(&mut self, link: u64, addr: &str, msg: Message) {
         match msg {
             Message::Peers { addresses, voters, previous_voters, .. } => {
-                addresses.into_iter().for_each(|addr| self.know_peer(addr));
+                addresses.into_iter().for_each(|addr| self.add_peer(addr));
                 self.learn_voters(&voters, &previous_voters);
-                // Who speaks of an older set is told of the newest.
                 if voters.number < self.seat.voters.number {
                     let msg = self.peers_msg();
                     self.send(link, msg);
                 }
             }
             Message::Sessions { sessions } => {
-                self.roster.set_peer_sessions(addr, sessions, self.now);
+                self.membership.set_peer_sessions(addr, sessions, self.now);
             }
             Message::Ping { requester, request } => {
-                let version = self.store.get(crate::core::CONF).map_or(0, |held| held.value.version);
-                let disk = self.is_core.then_some(self.seat.disk);
-                let voter_set = self.seat.votes_in(&self.me);
+                let version = self.store.get(crate::core::CONF_KEY).map_or(0, |held| held.value.version);
+                let disk = self.has_disk.then_some(self.seat.disk);
+                let voter_set = self.seat.votes_in(&self.address);
                 let ready = self.is_ready();
-                let sealed_set = if voter_set == 0 { self.seat.sits_in(&self.me) } else { 0 };
+                let sealed_set = if voter_set == 0 { self.seat.sits_in(&self.address) } else { 0 };
                 self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
             Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
                 let Some(sent) = self.ping_sent(requester, request) else { return };
                 let is_leaving = self.peers.get(addr).is_some_and(|peer| peer.is_leaving);
-                self.roster.set_peer_has_disk(addr, disk.is_some() && !is_leaving);
-                if let Some(peer) = self.peers.get_mut(addr).filter(|peer| peer.contact <= sent) {
-                    (peer.contact, peer.disk, peer.set) = (sent, disk, voter_set);
-                    (peer.sealed, peer.is_ready) = (sealed_set, ready);
+                self.membership.set_peer_has_disk(addr, disk.is_some() && !is_leaving);
+                if let Some(peer) = self.peers.get_mut(addr).filter(|peer| peer.last_contact <= sent) {
+                    (peer.last_contact, peer.disk_id, peer.voter_set) = (sent, disk, voter_set);
+                    (peer.sealed_set, peer.is_ready) = (sealed_set, ready);
                 }
                 self.reckon_contact();
-                self.hear_version(addr, version);
+                self.handle_peer_version(addr, version);
             }
             Message::Resync { requester, request, digests } => self.give_recap(link, (requester, request), &digests),
             Message::ResyncDone { requester, request } => self.recapped(addr, requester, request),
@@ -188,32 +188,32 @@
             Message::Leaving => self.peer_leaves(addr),
             Message::Handover(msg) => self.hear_handover(link, addr, msg),
             msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
-                let word = self.change_word(msg);
-                word.into_iter().for_each(|word| self.send(link, word));
+                let reply = self.change_word(msg);
+                reply.into_iter().for_each(|reply| self.send(link, reply));
             }
             msg @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => self.change_heard(addr, msg),
-            Message::Committed { key, accepted } if key == crate::core::CONF => self.committed(accepted),
-            Message::ConfigurationRequest { version } => self.take_lack(link, version),
-            Message::CommittedConfigurations(news) => self.take_in_force(addr, news),
+            Message::Committed { key, accepted } if key == crate::core::CONF_KEY => self.handle_committed(accepted),
+            Message::ConfigurationRequest { version } => self.handle_configuration_request(link, version),
+            Message::CommittedConfigurations(updates) => self.handle_committed_configurations(addr, updates),
             Message::Instance { requester, request, instance } => {
                 let id = instance.id.clone();
-                self.inst_from_peer(instance);
+                self.merge_peer_instance(instance);
                 if request > 0 {
                     self.send(link, Message::InstanceAck { requester, request, id });
                 }
             }
             Message::InstanceAck { requester, request, id } => self.inst_held(addr, (requester, request), &id),
             Message::PeerHealthReports { node, mut reports } => {
-                self.date_sights(&mut reports);
+                self.age_reports(&mut reports);
                 self.take_sights(&node, reports)
             }
             Message::Leader(lead) => self.lead_told(lead),
             Message::Owner(owner) => self.owner_told(owner),
-            Message::Slots(map) => self.slots_told(map),
+            Message::Slots(map) => self.publish_slots(map),
             Message::PeerDirtyKeys { node, dirty_keys } => self.take_marks(&node, dirty_keys),
             Message::PeerKeySamples { node, samples } => self.take_fill(&node, samples),
             Message::ShardStatus { shard, text } => {
-                self.outlooks.insert(shard, text);
+                self.shard_status.insert(shard, text);
             }
             Message::DirtyKeysAck { ref node, .. } | Message::KeySamplesAck { ref node, .. } => {
                 let node = node.clone();
@@ -223,14 +223,14 @@
                 self.publish(wv_internal_protocol::FeedUpdate::Promoting { service, id, max_wait_us });
             }
             Message::Recovered { id, outages } => self.eased(id, outages),
-            Message::InstanceDigests { digests } => self.compare(link, &digests),
-            Message::InstanceRange { instances, .. } => self.mend_range(instances),
+            Message::InstanceDigests { digests } => self.send_differing_ranges(link, &digests),
+            Message::InstanceRange { instances, .. } => self.merge_instances(instances),
             _ => {}
         }
     }
 
-    /// Sends what stands here in the ranges whose digests differ.
-    pub(crate) fn compare(&mut self, link: u64, theirs: &[u64]) {
+    /// Sends the instances of all ranges whose digests differ.
+    pub(crate) fn send_differing_ranges(&mut self, link: u64, theirs: &[u64]) {
         let ours = self.table.digests();
         for (range, sum) in ours.iter().enumerate() {
             if theirs.get(range).is_some_and(|their| their != sum) {
@@ -240,11 +240,11 @@
         }
     }
 
-    fn mend_range(&mut self, instances: Vec<Instance>) {
+    fn merge_instances(&mut self, instances: Vec<Instance>) {
         for instance in instances {
             let changed = self.table.offer(instance.clone());
             self.date_leave(&instance, crate::drain::Teller::Peer);
-            self.announce(&changed, false);
+            self.publish_instances(&changed, false);
         }
     }
 }
--- /dev/null
+++ b/crates/wv-control/src/platform_calls.rs
@@ -0,0 +1,119 @@
+//! Calls to the platform: rate limited, and sent only while the fence is confirmed by a majority. If the platform does
+//! not check fences, this alone keeps a call of an old duty holder from arriving after one of the new holder.
+use crate::core::{Action, Core};
+use crate::types::Operation;
+use std::collections::BTreeMap;
+use wv_consensus::Outcome;
+use wv_internal_protocol::{FeedUpdate, Message};
+use wv_promotion::Event;
+
+/// How long access nodes may hold writes for the promoted database after the platform was called.
+const PROMOTION_WAIT_US: u64 = 1_500_000;
+/// A call is sent within this after its confirmation began, or not at all. A new holder usually takes longer from its
+/// claim to its first call; otherwise the next confirmation fails on the higher fence.
+const CONFIRMATION_VALIDITY_US: u64 = 250_000;
+
+/// Spaces the calls to the platform so that all nodes together stay within its rate limit.
+#[derive(Default)]
+struct RateLimiter {
+    gap_us: u64,
+    next: u64,
+}
+
+impl RateLimiter {
+    /// Reserves the next slot and returns the delay until it.
+    fn reserve(&mut self, now: u64) -> u64 {
+        let at = self.next.max(now);
+        self.next = at + self.gap_us;
+        at - now
+    }
+}
+
+/// State of the calls to databases and the platform.
+#[derive(Default)]
+pub(crate) struct PlatformCalls {
+    /// When the last confirmation of each service's fence began.
+    pub confirm_started: BTreeMap<String, u64>,
+    /// Unanswered requests of duties, to databases too.
+    pub requests: BTreeMap<u64, crate::types::PendingRequest>,
+    queue: Vec<PlatformCall>,
+    limiter: RateLimiter,
+    /// When the platform was last called for any service.
+    pub last_call: u64,
+}
+
+/// A queued call; its fence is confirmed again when it is due.
+pub(crate) struct PlatformCall {
+    request: u64,
+    due: u64,
+    service: String,
+    id: String,
+    fence: u64,
+}
+
+impl Core {
+    /// Sets the minimum interval between platform calls of this node.
+    pub fn set_call_interval(&mut self, gap_us: u64) {
+        self.calls.limiter.gap_us = gap_us;
+    }
+
+    pub(crate) fn request_promotion(&mut self, service: &str, id: String, fence: u64) {
+        if self.feed.lead(service).is_none_or(|lead| lead.id != id) {
+            let (service, id, us) = (service.to_owned(), id.clone(), PROMOTION_WAIT_US);
+            self.send_peers(&Message::Promoting { service: service.clone(), id: id.clone(), max_wait_us: us });
+            self.publish(FeedUpdate::Promoting { service, id, max_wait_us: us });
+        }
+        let step = self.turn(service);
+        let request = self.ask(service, &id, step);
+        let wait = self.calls.limiter.reserve(self.now);
+        let began = self.calls.confirm_started.get(service).copied().unwrap_or(0);
+        if wait == 0 && began + CONFIRMATION_VALIDITY_US > self.now {
+            return self.call_platform(request, service, id, (fence, began));
+        }
+        self.calls.queue.push(PlatformCall { request, due: self.now + wait, service: service.to_owned(), id, fence });
+        self.actions.push(Action::Wake { delay_us: wait.max(1) });
+    }
+
+    fn call_platform(&mut self, request: u64, service: &str, id: String, (fence, began): (u64, u64)) {
+        self.calls.last_call = self.now;
+        self.count_promotion_call(service);
+        let deadline_us = began + CONFIRMATION_VALIDITY_US;
+        self.actions.push(Action::PromoteDatabase { request, service: service.to_owned(), id, fence, deadline_us });
+    }
+
+    /// Starts the confirmation of calls that are due.
+    pub(crate) fn run_platform_calls(&mut self) {
+        let now = self.now;
+        let (due, rest) = std::mem::take(&mut self.calls.queue).into_iter().partition(|call| call.due <= now);
+        self.calls.queue = rest;
+        let due: Vec<PlatformCall> = due;
+        for call in due {
+            self.calls.confirm_started.insert(call.service.clone(), now);
+            let service = call.service.clone();
+            self.ask_register(&service, Operation::ConfirmPlatformCall(Box::new(call)), None);
+        }
+    }
+
+    pub(crate) fn call_confirmed(&mut self, call: PlatformCall, outcome: Outcome) {
+        let began = self.calls.confirm_started.get(&call.service).copied().unwrap_or(0);
+        let is_ours = self.is_ours(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
+        if is_ours && began + CONFIRMATION_VALIDITY_US > self.now {
+            return self.call_platform(call.request, &call.service, call.id, (call.fence, began));
+        }
+        self.call_not_sent(call.request);
+    }
+
+    /// The call was not sent: its confirmation has expired, or another holder has a higher fence.
+    fn call_not_sent(&mut self, request: u64) {
+        let Some(pending) = self.calls.requests.remove(&request) else { return };
+        log::warn!("duty {}: platform call not sent, its fence is no longer confirmed", pending.service);
+        self.duty_event(&pending.service, pending.step, Event::Confirmed(false));
+    }
+
+    /// The executor did not send the call because its confirmation had expired.
+    pub fn promotion_expired(&mut self, request: u64, now: u64) {
+        self.at(now);
+        self.call_not_sent(request);
+        self.run_quorum();
+    }
+}
--- a/crates/wv-control/src/recall.rs
+++ b/crates/wv-control/src/recall.rs
@@ -69,7 +69,7 @@
 impl Core {
     /// Puts the table on this disk when it changed.
     pub(crate) fn keep_table(&mut self) {
-        if !std::mem::take(&mut self.is_table_due) {
+        if !std::mem::take(&mut self.is_table_unsaved) {
             return;
         }
         let needed = self.needed();
@@ -81,7 +81,7 @@
                 .map(KeptInst::from)
                 .collect(),
             leads: self.feed.leads().cloned().collect(),
-            nodes: self.nodes_told,
+            nodes: self.published_node_count,
         };
         let value = nanoserde::SerBin::serialize_bin(&kept);
         if value.len() <= KEPT_MAX {
@@ -99,18 +99,18 @@
         let Some(kept) = kept else { return };
         // Until all had time to come back the nodes share the connections as before: all returning at once,
         // each with a share counted over the few that are already here, would overrun the databases.
-        self.nodes_recalled = kept.nodes;
+        self.stored_node_count = kept.nodes;
         // One that left may have held what nobody else does, also if this node has only just come back.
         let (gone, here): (Vec<Instance>, Vec<Instance>) =
             kept.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
         for inst in gone {
-            self.left.insert(inst.id.clone(), Default::default());
+            self.departures.insert(inst.id.clone(), Default::default());
             self.table.offer(Instance { gone: false, ..inst.clone() });
             self.table.offer(inst);
         }
         for inst in here {
             if !inst.primary {
-                self.claims.replicas.insert(inst.id.clone());
+                self.leadership.replicas.insert(inst.id.clone());
             }
             let changed = self.table.offer(inst);
             changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -1,33 +1,33 @@
-//! The control process: the actor that owns the node, its listeners and its signals.
+//! The control process: its actor, listeners and signal handling.
 use crate::exec::Node;
 use crate::{ControlError, Core, Start};
 use actix::prelude::*;
 use wv_process::{watch_signals, SettingsFile, Signal};
 
-const TICK: std::time::Duration = std::time::Duration::from_micros(crate::core::TURN_US);
-const BOOT_EVERY: u32 = 10;
-/// Well above what a slow disk takes for one sync, well under what peers and followers take for silence.
-const DISK_LIMIT: std::time::Duration = std::time::Duration::from_millis(200);
+const TICK_INTERVAL: std::time::Duration = std::time::Duration::from_micros(crate::core::TICK_US);
+const SETTINGS_CHECK_TICKS: u32 = 10;
+/// Limit for one disk sync. Below the idle timeout of links, so that a slow disk does not look like a dead node.
+const DISK_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// A node that leaves stays for a quarter of its grace, so that callers learn of it, and for at most so many quarters
-/// while its place among the voters is being filled.
-const LEAVE_MAX: u64 = 3;
+/// A node that shuts down keeps serving for one leave period (a quarter of the grace period) so that callers learn of
+/// it, and for at most this many periods while a voter is being replaced.
+const MAX_LEAVE_PERIODS: u64 = 3;
 
 struct Control {
     node: Node,
     file: SettingsFile,
-    rounds: u32,
-    leave_us: u64,
+    ticks: u32,
+    leave_period_us: u64,
     leaving_since: Option<u64>,
     calendar: wv_calendar::Calendar,
 }
 
 impl Control {
-    fn reread(&mut self) {
+    fn reload_settings(&mut self) {
         if let Some(settings) = self.file.reread() {
             let seeds = settings.seeds.iter().map(|seed| seed.to_string()).collect();
             self.node.core.borrow_mut().set_seeds(seeds);
-            self.leave_us = settings.grace_us / 4;
+            self.leave_period_us = settings.grace_us / 4;
             self.node.core.borrow_mut().set_drain(settings.drain_us, settings.contact_us);
         }
     }
@@ -37,25 +37,27 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        // The first turn comes at once: after an outage others wait for this node.
-        self.node.with(|core, now| core.tick(now));
-        ctx.run_interval(TICK, |control, _| {
-            control.rounds += 1;
-            if control.rounds % BOOT_EVERY == 0 && control.file.is_changed() {
-                control.reread();
+        // Tick at once: after an outage other nodes wait for this one.
+        self.node.with_core(|core, now| core.tick(now));
+        ctx.run_interval(TICK_INTERVAL, |control, _| {
+            control.ticks += 1;
+            if control.ticks % SETTINGS_CHECK_TICKS == 0 && control.file.is_changed() {
+                control.reload_settings();
             }
-            if control.rounds % BOOT_EVERY == 1 {
+            if control.ticks % SETTINGS_CHECK_TICKS == 1 {
                 let is_open = control.calendar.is_open_now();
-                control.node.core.borrow_mut().set_window(is_open);
+                control.node.core.borrow_mut().set_maintenance_window(is_open);
             }
             let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-            control.node.with(|core, now| {
+            control.node.with_core(|core, now| {
                 core.tick(now);
                 core.set_epoch(epoch.map_or(0, |since| since.as_micros() as u64));
             });
             let left_us = control.leaving_since.map_or(0, |since| control.node.now().saturating_sub(since));
             let is_relieved = || control.node.core.borrow().is_relieved();
-            if left_us > LEAVE_MAX * control.leave_us || (left_us > control.leave_us && is_relieved()) {
+            if left_us > MAX_LEAVE_PERIODS * control.leave_period_us
+                || (left_us > control.leave_period_us && is_relieved())
+            {
                 System::current().stop();
             }
         });
@@ -69,9 +71,9 @@
         match signal {
             Signal::Leave => {
                 self.leaving_since.get_or_insert(self.node.now());
-                self.node.with(|core, now| core.leave(now));
+                self.node.with_core(|core, now| core.leave(now));
             }
-            Signal::Reread => self.reread(),
+            Signal::Reread => self.reload_settings(),
         }
     }
 }
@@ -81,15 +83,15 @@
         Some(dir) => Box::new(wv_consensus::ThreadFiles::start(
             Box::new(wv_consensus::DirFiles::open(dir)?),
             Box::new(wv_consensus::DirFiles::open(dir)?),
-            DISK_LIMIT,
+            DISK_TIMEOUT,
         )?),
-        // Without a disk nothing outlives the process; such a node only serves.
+        // Without a data directory nothing survives a restart, so the node does not vote.
         None => Box::new(wv_consensus::MemFiles::default()),
     };
     wv_consensus::Store::open(files)
 }
 
-/// Runs until the platform ends the process; `calendar` says when sweeps of repair prefer to run.
+/// Runs until the process is stopped; `calendar` gives the maintenance windows for anti-entropy repair.
 pub fn run(
     settings: wv_settings::Settings,
     settings_path: &str,
@@ -98,44 +100,44 @@
     let addr = settings.control.ok_or(ControlError::NoAddress)?;
     let seeds: Vec<String> = settings.seeds.iter().map(|seed| seed.to_string()).collect();
     if settings.initial_start && settings.tolerate_machines as usize > seeds.len().saturating_sub(1) / 2 {
-        log::error!("{} voters do not bear the loss of {} machines", seeds.len(), settings.tolerate_machines);
+        log::error!("{} voters cannot tolerate the loss of {} machines", seeds.len(), settings.tolerate_machines);
     }
     let store = open_store(&settings)?;
     let start = Start {
-        me: addr.to_string(),
+        address: addr.to_string(),
         node: settings.node.clone(),
         zone: settings.zone.clone(),
-        life: wv_process::life(),
+        incarnation: wv_process::life(),
         seeds,
-        is_first: settings.initial_start,
-        is_core: settings.data_dir.is_some(),
-        tolerate: settings.tolerate_machines as usize,
-        disk: wv_process::draw(),
-        who: wv_process::draw(),
+        is_initial_start: settings.initial_start,
+        has_disk: settings.data_dir.is_some(),
+        tolerated_machines: settings.tolerate_machines as usize,
+        disk_id: wv_process::draw(),
+        requester_id: wv_process::draw(),
     };
     let mut core = Core::new(start, store)?;
     let system = System::new();
     system.block_on(async {
         let listener = wv_http::listen(addr).map_err(|error| ControlError::Listen(addr, error))?;
-        let inner = settings.inner_addr(addr);
-        let inner_listener = wv_http::listen(inner).map_err(|error| ControlError::Listen(inner, error))?;
+        let internal = settings.inner_addr(addr);
+        let internal_listener = wv_http::listen(internal).map_err(|error| ControlError::Listen(internal, error))?;
         core.set_drain(settings.drain_us, settings.contact_us);
         let node = Node::new(core, &settings);
-        let (asked, called) = (node.clone(), node.clone());
-        let head = move |method: &str, path: &str| asked.head(method, path);
-        let call = move |call| called.clone().call(call);
-        tokio::task::spawn_local(wv_http::serve(listener, crate::core::BODY_MAX, head, call));
-        tokio::task::spawn_local(node.clone().accept(inner_listener));
+        let (head_node, call_node) = (node.clone(), node.clone());
+        let head = move |method: &str, path: &str| head_node.handle_head(method, path);
+        let call = move |call| call_node.clone().handle_call(call);
+        tokio::task::spawn_local(wv_http::serve(listener, crate::core::BODY_MAX_BYTES, head, call));
+        tokio::task::spawn_local(node.clone().accept(internal_listener));
         let control = Control {
             node,
             file: SettingsFile::new(settings_path),
-            rounds: 0,
-            leave_us: settings.grace_us / 4,
+            ticks: 0,
+            leave_period_us: settings.grace_us / 4,
             leaving_since: None,
             calendar,
         };
         tokio::task::spawn_local(watch_signals(control.start()));
-        log::info!("control node {} serves {addr}", settings.node);
+        log::info!("control node {} listens on {addr}", settings.node);
         Ok::<(), ControlError>(())
     })?;
     system.run().map_err(|error| ControlError::Listen(addr, error))
--- /dev/null
+++ b/crates/wv-control/src/shard_registers.rs
@@ -0,0 +1,184 @@
+//! The registers of a planned shard. A new holder raises the version of each register above all versions of its
+//! predecessor and reads the value in the same step, so that the register rejects later writes under a lower ballot.
+use crate::core::Core;
+use crate::shards::key;
+use crate::types::Operation;
+use wv_consensus::{Edit, Outcome};
+use wv_internal_protocol::{FeedUpdate, Message, RegisterValue, SlotMap};
+
+/// Operations on a shard's registers.
+#[derive(Clone, Debug)]
+pub(crate) enum ShardRegisterOp {
+    /// Reads the slot map after contact was regained or for a new plan; carries the number of the contact period.
+    SyncSlots(u64),
+    /// Claims the slot map under a new ballot; the other registers are raised and read next.
+    ClaimSlots,
+    ReadFill,
+    ReadKeys,
+    ReadNewKeys,
+    WriteSlots(SlotMap),
+    WriteFill,
+    WriteKeys(usize),
+    WriteNewKeys,
+}
+
+/// A map under which no work may start, used while its writer may have lost the ballot.
+fn blocked(map: &SlotMap) -> SlotMap {
+    SlotMap { shard: map.shard.clone(), version: 1, term: u64::MAX, ..SlotMap::default() }
+}
+
+/// Decodes a list of keys, one per line.
+fn decode_keys(cell: &RegisterValue) -> String {
+    let text = wv_compression::unpack(&cell.bytes, wv_configuration::BODY_MAX * 16).map(|text| text.into_owned());
+    String::from_utf8(text.unwrap_or_default()).unwrap_or_default()
+}
+
+/// Raises a register to the next ballot and keeps its value.
+fn raise_ballot() -> Edit {
+    Box::new(|held| Some(RegisterValue { version: ((held.version >> 16) + 1) << 16, ..held.clone() }))
+}
+
+/// Raises a register to the given ballot and keeps its value, unless a higher ballot is present.
+fn raise_to(ballot: u64) -> Edit {
+    Box::new(move |held| {
+        let raised = RegisterValue { version: held.version.max(ballot << 16), ..held.clone() };
+        (held.version >> 16 <= ballot).then_some(raised)
+    })
+}
+
+impl Core {
+    fn start_register_op(&mut self, shard: &str, part: &str, op: ShardRegisterOp, edit: Option<Edit>) {
+        let token = self.allocate_id();
+        self.operations.insert(token, Operation::ShardRegister(shard.to_owned(), op));
+        self.quorum.start(token, &key(part, shard), edit, self.now);
+    }
+
+    fn write_register(&mut self, shard: &str, part: &str, op: ShardRegisterOp, (version, value): (u64, Vec<u8>)) {
+        self.start_register_op(shard, part, op, Some(wv_consensus::raise(wv_consensus::cell(version, value))));
+    }
+
+    /// Reads the slot maps that are not known here yet; subscriptions wait for them.
+    pub(crate) fn sync_slots(&mut self) {
+        let Some(conf) = self.conf.as_ref().filter(|_| self.contact.is_held) else { return };
+        let is_new = |shard: &String| !self.contact.synced.contains(shard) && !self.contact.syncing.contains(shard);
+        let new: Vec<String> = conf.plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
+        for shard in new {
+            self.contact.syncing.insert(shard.clone());
+            self.start_register_op(&shard, "slots", ShardRegisterOp::SyncSlots(self.contact.spell), None);
+        }
+    }
+
+    pub(crate) fn claim_slots(&mut self, shard: &str) {
+        self.start_register_op(shard, "slots", ShardRegisterOp::ClaimSlots, Some(raise_ballot()));
+    }
+
+    pub(crate) fn write_slots(&mut self, shard: &str, version: u64, map: SlotMap) {
+        let map = SlotMap { version, ..map };
+        let value = nanoserde::SerBin::serialize_bin(&map);
+        self.write_register(shard, "slots", ShardRegisterOp::WriteSlots(map), (version, value));
+    }
+
+    pub(crate) fn write_fill(&mut self, shard: &str, version: u64, value: Vec<u8>) {
+        self.write_register(shard, "fill", ShardRegisterOp::WriteFill, (version, value));
+    }
+
+    pub(crate) fn write_keys(&mut self, shard: &str, version: u64, (at, text): (usize, &str)) {
+        let value = wv_compression::pack(text.as_bytes());
+        self.write_register(shard, &format!("things-{at}"), ShardRegisterOp::WriteKeys(at), (version, value));
+    }
+
+    pub(crate) fn write_new_keys(&mut self, shard: &str, version: u64, text: &str) {
+        let value = wv_compression::pack(text.as_bytes());
+        self.write_register(shard, "fresh", ShardRegisterOp::WriteNewKeys, (version, value));
+    }
+
+    pub(crate) fn register_op_done(&mut self, shard: String, op: ShardRegisterOp, outcome: Outcome) {
+        match (op, outcome) {
+            (ShardRegisterOp::SyncSlots(period), Outcome::Read(cell)) if cell.bytes.is_empty() => {
+                self.slots_synced(&shard, period)
+            }
+            (ShardRegisterOp::SyncSlots(period), Outcome::Read(cell)) => {
+                match <SlotMap as nanoserde::DeBin>::deserialize_bin(&cell.bytes) {
+                    Ok(map) => {
+                        let is_current = map.version >> 16 == cell.version >> 16;
+                        self.publish_slots(if is_current { map } else { blocked(&map) });
+                        self.slots_synced(&shard, period);
+                    }
+                    Err(error) => log::error!("cannot decode the slot map of {shard}: {error}"),
+                }
+            }
+            (ShardRegisterOp::SyncSlots(period), _) if period == self.contact.spell => {
+                self.contact.syncing.remove(&shard);
+            }
+            (ShardRegisterOp::SyncSlots(_), _) => {}
+            (ShardRegisterOp::ClaimSlots, Outcome::Written(cell)) => self.slots_claimed(&shard, &cell),
+            (ShardRegisterOp::ReadFill, Outcome::Written(cell)) => {
+                let fill = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
+                self.shard_read(&shard, |read| read.fill = fill);
+            }
+            (ShardRegisterOp::ReadKeys, Outcome::Written(cell)) => {
+                self.shard_read(&shard, |read| read.names.load(&decode_keys(&cell)));
+            }
+            (ShardRegisterOp::ReadNewKeys, Outcome::Written(cell)) => {
+                self.shard_read(&shard, |read| read.names.load_fresh(&decode_keys(&cell)));
+            }
+            (
+                op @ (ShardRegisterOp::WriteSlots(_)
+                | ShardRegisterOp::WriteFill
+                | ShardRegisterOp::WriteKeys(_)
+                | ShardRegisterOp::WriteNewKeys),
+                outcome,
+            ) => {
+                self.register_written(&shard, op, matches!(outcome, Outcome::Written(_)));
+            }
+            (_, _) => {
+                // Another node holds a higher ballot, or no majority replied: outstanding reads are ignored.
+                self.shards.get_mut(&shard).into_iter().for_each(|held| held.reading = 0);
+                self.shard_event(&shard, wv_shard_split::Event::Claimed(None));
+            }
+        }
+    }
+
+    /// The slot map was claimed: raises the other registers to the same ballot and reads them.
+    fn slots_claimed(&mut self, shard: &str, cell: &RegisterValue) {
+        let ballot = cell.version >> 16;
+        let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
+        let held = self.shards.entry(shard.to_owned()).or_default();
+        (held.ballot, held.step, held.reading) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
+        held.read = crate::shards::Read { map, ..Default::default() };
+        self.start_register_op(shard, "fill", ShardRegisterOp::ReadFill, Some(raise_to(ballot)));
+        self.start_register_op(shard, "fresh", ShardRegisterOp::ReadNewKeys, Some(raise_to(ballot)));
+        let parts = (0..wv_shard_split::CHUNKS).map(|at| format!("things-{at}"));
+        parts.for_each(|part| self.start_register_op(shard, &part, ShardRegisterOp::ReadKeys, Some(raise_to(ballot))));
+    }
+
+    /// Reads that started before contact was lost are ignored.
+    fn slots_synced(&mut self, shard: &str, period: u64) {
+        if period == self.contact.spell {
+            self.contact.syncing.remove(shard);
+            self.contact.synced.insert(shard.to_owned());
+            self.catch_up();
+        }
+    }
+
+    fn register_written(&mut self, shard: &str, op: ShardRegisterOp, is_ours: bool) {
+        match op {
+            ShardRegisterOp::WriteSlots(map) if is_ours => {
+                self.send_peers(&Message::Slots(map.clone()));
+                self.publish_slots(map.clone());
+                self.shard_event(shard, wv_shard_split::Event::Written(Some(map)));
+            }
+            ShardRegisterOp::WriteSlots(_) => self.shard_event(shard, wv_shard_split::Event::Written(None)),
+            op => self.part_kept(shard, &op, is_ours),
+        }
+    }
+
+    /// Publishes a committed slot map if it is newer than the published one.
+    pub(crate) fn publish_slots(&mut self, map: SlotMap) {
+        let held = self.feed.slots().get(&map.shard).map_or(0, |held| held.version);
+        if map.version > held {
+            log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.version);
+            self.publish(FeedUpdate::Slots(map));
+        }
+    }
+}
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,5 +1,5 @@
 //! Planned shards: who drives their splits, and what the machine of each one reads and orders.
-use crate::core::{Act, Core};
+use crate::core::{Action, Core};
 use std::collections::BTreeMap;
 use wv_internal_protocol::{Message, SlotMap, WriteMarks};
 use wv_shard_split::{Event, Names, Order, Plan, Side, Split, View};
@@ -44,19 +44,19 @@
 impl Core {
     /// The time of day, in microseconds since the epoch.
     pub fn set_epoch(&mut self, epoch_us: u64) {
-        self.epoch = epoch_us.saturating_sub(self.now);
+        self.epoch_offset = epoch_us.saturating_sub(self.now);
     }
 
     pub(crate) fn epoch_us(&self) -> u64 {
-        self.epoch + self.now
+        self.epoch_offset + self.now
     }
 
     pub(crate) fn is_shard_holder(&self, shard: &str) -> bool {
-        self.roster.is_duty_holder(&key("split", shard))
+        self.membership.is_duty_holder(&key("split", shard))
     }
 
     pub(crate) fn shard_holder(&self, shard: &str) -> String {
-        self.roster.duty_holder(&key("split", shard)).to_owned()
+        self.membership.duty_holder(&key("split", shard)).to_owned()
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_configuration::ShardPlan> {
@@ -129,10 +129,10 @@
 
     fn obey_split(&mut self, shard: &str, order: Order) {
         match order {
-            Order::Claim => self.claim_shard(shard),
+            Order::Claim => self.claim_slots(shard),
             Order::Write(map) => {
                 let version = self.shards.entry(shard.to_owned()).or_default().next_version();
-                self.put_slots(shard, version, map);
+                self.write_slots(shard, version, map);
             }
             Order::Say(text) => log::warn!("shard {shard}: {text}"),
             Order::Run { token, side, id, texts } => {
@@ -144,9 +144,9 @@
                 let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
                     return self.shard_event(shard, Event::Ran { token, replies: None });
                 };
-                let run = self.fresh_id();
+                let run = self.allocate_id();
                 self.shards.entry(shard.to_owned()).or_default().runs.insert(run, token);
-                self.acts.push(Act::Run { run, service, id, addr, texts });
+                self.actions.push(Action::RunStatements { request: run, service, id, addr, statements: texts });
             }
         }
     }
@@ -176,7 +176,7 @@
     /// Marks of an access node: to the holder, or to the machine here.
     pub(crate) fn take_marks(&mut self, node: &str, marks: WriteMarks) {
         let holder = self.shard_holder(&marks.shard);
-        if holder != self.me {
+        if holder != self.address {
             self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys: marks });
             return;
         }
--- a/crates/wv-control/src/takeover.rs
+++ b/crates/wv-control/src/takeover.rs
@@ -48,11 +48,11 @@
 impl Core {
     /// A member of the newest set that does not vote in it yet.
     fn is_taking_over(&self) -> bool {
-        self.seat.is_member(&self.me) && self.seat.sits_in(&self.me) == 0
+        self.seat.is_member(&self.address) && self.seat.sits_in(&self.address) == 0
     }
 
     fn is_learner(&self) -> bool {
-        self.is_core && !self.seat.is_member(&self.me) && !self.seat.voters.members.is_empty()
+        self.has_disk && !self.seat.is_member(&self.address) && !self.seat.voters.members.is_empty()
     }
 
     /// Whether this disk, no member yet, lacks nothing but the last moments of what a voter held.
@@ -96,8 +96,8 @@
         let order = |addr: &&str| {
             let peer = self.peers.get(*addr).filter(|peer| peer.is_up && !self.progress.told.contains(*addr))?;
             let silent = self.progress.silent.iter().filter(|silent| silent == addr).count();
-            let is_voter = peer.set == voters.number;
-            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.contact)))
+            let is_voter = peer.voter_set == voters.number;
+            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.last_contact)))
         };
         let ordered = addrs.into_iter().filter_map(|addr| Some((order(&addr)?, addr)));
         ordered.min().map(|(_, addr)| addr.to_owned())
@@ -113,7 +113,7 @@
                     let msg = self.peers_msg();
                     return self.send(link, msg);
                 }
-                let set = self.seat.tells_of(&self.me);
+                let set = self.seat.tells_of(&self.address);
                 if set > 0 {
                     let sums = parts::sums(&self.store);
                     let sums = if parts::total(&sums) == sum { Vec::new() } else { sums };
@@ -200,7 +200,8 @@
         }
         // This disk's own word on the set before counts as any other's.
         let has_left = |addr: &&str| {
-            self.progress.told.contains(*addr) || (*addr == self.me && self.seat.tells_of(&self.me) == before.number)
+            self.progress.told.contains(*addr)
+                || (*addr == self.address && self.seat.tells_of(&self.address) == before.number)
         };
         let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
         // A majority of the set before, each of which had left it when it told, holds whatever was acknowledged there;
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -1,143 +1,147 @@
-//! Regular work of a control node.
-use crate::core::{Act, Core};
+//! Periodic work of a control node.
+use crate::core::{Action, Core};
 use crate::types::Link;
 use wv_internal_protocol::{FeedUpdate, Message};
 
-const PING_US: u64 = 400_000;
-/// Sessions are told again after this many pings.
-const SESSIONS_EVERY: u32 = 8;
-const REPAIR_US: u64 = 2_000_000;
-const REPAIR_SHUT_US: u64 = 30_000_000;
-/// A peer is dialled again soon while this node is young, since all may be starting at once.
-const DIAL_YOUNG_US: u64 = 100_000;
-const YOUNG_US: u64 = 10_000_000;
-/// Databases that left are remembered for one to two of these.
-const FORGET_US: u64 = 60_000_000;
-const DIAL_US: u64 = 500_000;
-/// How long nodes must be missing before the others' shares of connections grow.
-const FEWER_US: u64 = 20_000_000;
+const PING_INTERVAL_US: u64 = 400_000;
+/// Unchanged sessions are sent again after this many pings.
+const SESSIONS_EVERY_PINGS: u32 = 8;
+const REPAIR_INTERVAL_US: u64 = 2_000_000;
+const REPAIR_INTERVAL_OFF_WINDOW_US: u64 = 30_000_000;
+/// Shorter interval between dials during startup, since all nodes may be starting at once.
+const STARTUP_DIAL_INTERVAL_US: u64 = 100_000;
+const STARTUP_US: u64 = 10_000_000;
+/// Departed databases are kept for one to two of these intervals.
+const EXPIRY_INTERVAL_US: u64 = 60_000_000;
+const DIAL_INTERVAL_US: u64 = 500_000;
+/// How long access nodes must be missing before the connection shares of the others grow.
+const NODE_COUNT_DECREASE_DELAY_US: u64 = 20_000_000;
 
 impl Core {
-    /// Regular work, ten times a second.
+    /// Runs the periodic work, every `TICK_US`.
     pub fn tick(&mut self, now: u64) {
         self.at(now);
-        if self.born == 0 {
-            self.born = self.now;
+        if self.started_at == 0 {
+            self.started_at = self.now;
         }
-        // A node that is its own majority asks nobody.
+        // A single voter is in contact without any pings.
         self.reckon_contact();
         self.dial();
-        if self.pinged + PING_US <= self.now {
+        if self.last_ping + PING_INTERVAL_US <= self.now {
             self.ping();
-            self.tell_sessions();
-            self.beat_followers();
-            self.forget_words();
+            self.send_sessions();
+            self.send_heartbeats();
+            self.expire_reports();
         }
-        // Outside its window a sweep is rarer, never absent; links that come up compare at once in any case.
-        let gap = if self.is_window_open { REPAIR_US } else { REPAIR_SHUT_US };
-        if self.repaired + gap <= self.now {
-            self.repaired = self.now;
+        // Outside the maintenance window repair is rarer; new links compare digests at once in any case.
+        let gap = if self.is_maintenance_window { REPAIR_INTERVAL_US } else { REPAIR_INTERVAL_OFF_WINDOW_US };
+        if self.last_repair + gap <= self.now {
+            self.last_repair = self.now;
             let ranges = self.table.digests();
             self.send_peers(&Message::InstanceDigests { digests: ranges });
         }
-        if self.forgot + FORGET_US <= self.now {
-            self.forgot = self.now;
+        if self.last_expiry + EXPIRY_INTERVAL_US <= self.now {
+            self.last_expiry = self.now;
             let needed = self.needed();
             self.table.forget(&needed);
             let table = &self.table;
-            self.left.retain(|id, _| table.get(id).is_some());
+            self.departures.retain(|id, _| table.get(id).is_some());
             self.leave_acks.forget(|id| table.get(id).is_some());
             self.drains.forget(|id| table.get(id).is_some());
             self.forget_peers();
         }
         self.keep_contact();
-        self.tell_conf();
-        self.serve_follows();
+        self.publish_configuration();
+        self.serve_subscriptions();
         self.keep_table();
         self.take_over();
-        self.roster.expire_sessions(self.now);
-        self.settle_holders();
+        self.membership.expire_sessions(self.now);
+        self.update_duty_peers();
         self.run_voters();
         self.run_duties();
-        self.run_calls();
+        self.run_platform_calls();
         self.run_leaving();
         self.run_owners();
         self.run_shards();
         self.run_sweep();
-        self.tell_nodes();
+        self.publish_node_count();
         self.quorum.tick(self.now);
         self.run_quorum();
         self.end_leaves();
-        self.end_pending();
+        self.expire_pending();
     }
 
     pub(crate) fn ping(&mut self) {
-        self.pinged = self.now;
+        self.last_ping = self.now;
         let msg = self.ping_msg();
         self.send_peers(&msg);
     }
 
     fn dial(&mut self) {
         let now = self.now;
-        let gap = if now < self.born + YOUNG_US { DIAL_YOUNG_US } else { DIAL_US };
+        let gap = if now < self.started_at + STARTUP_US { STARTUP_DIAL_INTERVAL_US } else { DIAL_INTERVAL_US };
         let due: Vec<String> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.link.is_none() && (peer.dialed == 0 || peer.dialed + gap <= now))
+            .filter(|(_, peer)| peer.link.is_none() && (peer.last_dial == 0 || peer.last_dial + gap <= now))
             .map(|(addr, _)| addr.clone())
             .collect();
         for addr in due {
-            let link = self.fresh_id();
+            let link = self.allocate_id();
             if let Some(peer) = self.peers.get_mut(&addr) {
-                (peer.link, peer.dialed, peer.is_up) = (Some(link), now.max(1), false);
+                (peer.link, peer.last_dial, peer.is_up) = (Some(link), now.max(1), false);
             }
-            self.links.insert(link, Link { peer: Some(addr.clone()), node: None, is_follower: false, awaited: None });
-            self.acts.push(Act::Dial { link, addr });
+            self.links.insert(
+                link,
+                Link { peer: Some(addr.clone()), node: None, is_follower: false, pending_position: None },
+            );
+            self.actions.push(Action::Dial { link, addr });
         }
     }
 
-    /// Peers hear of this node's sessions when they change, and now and then in any case.
-    fn tell_sessions(&mut self) {
-        let nodes = self.roster.sessions(self.now);
-        self.sessions_age += 1;
-        if nodes != self.sessions_told || self.sessions_age >= SESSIONS_EVERY {
+    /// Sends this node's sessions to its peers when they change, and periodically otherwise.
+    fn send_sessions(&mut self) {
+        let nodes = self.membership.sessions(self.now);
+        self.pings_since_sessions += 1;
+        if nodes != self.sent_sessions || self.pings_since_sessions >= SESSIONS_EVERY_PINGS {
             self.send_peers(&Message::Sessions { sessions: nodes.clone() });
-            (self.sessions_told, self.sessions_age) = (nodes, 0);
+            (self.sent_sessions, self.pings_since_sessions) = (nodes, 0);
         }
     }
 
-    pub(crate) fn beat_followers(&mut self) {
+    pub(crate) fn send_heartbeats(&mut self) {
         let fresh = self.is_caught_up() && !self.is_leaving;
-        // Who still waits for this young node is told nothing yet.
-        let is_told = |link: &Link| link.node.is_some() && link.awaited.is_none();
+        // Nodes with a pending subscription receive no heartbeat yet.
+        let is_told = |link: &Link| link.node.is_some() && link.pending_position.is_none();
         let followers: Vec<u64> = self.links.iter().filter(|(_, link)| is_told(link)).map(|(id, _)| *id).collect();
         followers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
     }
 
-    pub(crate) fn tell_nodes(&mut self) {
-        let recalled = if self.now < self.born + FEWER_US { self.nodes_recalled } else { 0 };
-        let nodes = (self.roster.node_count() as u32).max(recalled);
-        // Nodes that are only out of sight keep their connections: if the rest took larger shares at once, the
-        // databases would have to refuse some of them. More nodes count at once, fewer only when they stay away.
-        if nodes >= self.nodes_told {
-            self.fewer_since = self.now;
+    pub(crate) fn publish_node_count(&mut self) {
+        let stored = if self.now < self.started_at + NODE_COUNT_DECREASE_DELAY_US { self.stored_node_count } else { 0 };
+        let nodes = (self.membership.node_count() as u32).max(stored);
+        // Unreachable nodes may keep their connections. If the others took larger shares at once, databases would exceed
+        // their connection limits, so a decrease is published with a delay and an increase at once.
+        if nodes >= self.published_node_count {
+            self.node_count_low_since = self.now;
         }
-        let is_settled = nodes > self.nodes_told || self.fewer_since + FEWER_US <= self.now;
-        if nodes != self.nodes_told && nodes > 0 && is_settled {
-            self.nodes_told = nodes;
+        let is_settled =
+            nodes > self.published_node_count || self.node_count_low_since + NODE_COUNT_DECREASE_DELAY_US <= self.now;
+        if nodes != self.published_node_count && nodes > 0 && is_settled {
+            self.published_node_count = nodes;
             log::info!("nodes {nodes}");
-            self.is_table_due = true;
+            self.is_table_unsaved = true;
             self.publish(FeedUpdate::NodeCount(nodes));
         }
     }
 
-    /// Whether cautious work that can wait prefers to run now.
-    pub fn set_window(&mut self, is_open: bool) {
-        self.is_window_open = is_open;
+    /// Sets whether a maintenance window is open.
+    pub fn set_maintenance_window(&mut self, is_open: bool) {
+        self.is_maintenance_window = is_open;
     }
 
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
-        for addr in seeds.iter().filter(|addr| **addr != self.me) {
+        for addr in seeds.iter().filter(|addr| **addr != self.address) {
             self.peers.entry(addr.clone()).or_default();
         }
         self.seeds = seeds;
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -1,9 +1,9 @@
-//! What a control node keeps on its links, peers and calls.
+//! Actions that the core requests, and its state of links, peers and operations.
 use wv_internal_protocol::Message;
 
-/// What the executor is told to do.
+/// A side effect for the executor to perform.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Act {
+pub enum Action {
     Send {
         link: u64,
         msg: Message,
@@ -15,123 +15,124 @@
         link: u64,
         addr: String,
     },
-    Return {
+    Respond {
         token: u64,
         status: u16,
         body: Vec<u8>,
     },
-    /// Ask a database of `service` something of the control side; the row comes back as an event, with this number.
-    Request {
-        ask: u64,
+    /// Send one control statement to a database of `service`; its row is passed back under `request`.
+    QueryDatabase {
+        request: u64,
         service: String,
         id: String,
         addr: String,
-        text: String,
+        statement: String,
     },
-    /// Texts for a database, one after the other on a connection of their own, up to the first that fails.
-    Run {
-        run: u64,
+    /// Run statements in order on a dedicated connection, stopping at the first that fails.
+    RunStatements {
+        request: u64,
         service: String,
         id: String,
         addr: String,
-        texts: Vec<String>,
+        statements: Vec<String>,
     },
     /// Call `wake` after this many microseconds.
     Wake {
-        us: u64,
+        delay_us: u64,
     },
-    /// `POST /promotion` under the fence, once; its return comes back as an event, with this number.
-    Post {
-        ask: u64,
+    /// Send `POST /promotion` under the fence once; its status is passed back under `request`.
+    PromoteDatabase {
+        request: u64,
         service: String,
         id: String,
         fence: u64,
-        /// It is not to leave after this.
-        until: u64,
+        /// The call must not be sent after this.
+        deadline_us: u64,
     },
 }
 
-/// What a control node is started with.
+/// Start parameters of a control node.
 pub struct Start {
-    pub me: String,
+    pub address: String,
     pub node: String,
     pub zone: String,
-    pub life: u64,
+    pub incarnation: u64,
     pub seeds: Vec<String>,
-    pub is_first: bool,
-    /// Whether what this node keeps outlives its process, so that it may vote.
-    pub is_core: bool,
-    /// How many machines may be lost at once with all rules kept.
-    pub tolerate: usize,
-    /// A number drawn at random for a disk that is written for the first time.
-    pub disk: u64,
-    /// Drawn at random for this life: proposals and answers of another one never pass for those of this one.
-    pub who: u64,
+    pub is_initial_start: bool,
+    /// Whether this node has durable storage, so that it may vote.
+    pub has_disk: bool,
+    /// How many simultaneous machine failures must not lose acknowledged data.
+    pub tolerated_machines: usize,
+    /// Random id for a disk that is written for the first time.
+    pub disk_id: u64,
+    /// Random id of this process, so that replies to an earlier process at this address are ignored.
+    pub requester_id: u64,
 }
 
 pub(crate) struct Link {
-    /// The control address of a control node, once it said hello.
+    /// The address of a control node, once its `Hello` has been received.
     pub peer: Option<String>,
-    /// The name of an access node, once it follows.
+    /// The name of an access node, once its `Hello` has been received.
     pub node: Option<String>,
     pub is_follower: bool,
-    /// Where it wants to follow from, while this node is too young to say.
-    pub awaited: Option<(u64, u64)>,
+    /// Incarnation and position of a subscription that this node cannot serve yet.
+    pub pending_position: Option<(u64, u64)>,
 }
 
 #[derive(Default)]
 pub(crate) struct Peer {
-    /// The link this side dialled.
+    /// The outgoing link.
     pub link: Option<u64>,
     pub is_up: bool,
-    pub dialed: u64,
-    /// When the ping was sent that it answered last, 0 for none.
-    pub contact: u64,
-    /// The set it votes in and its disk, as it last said; `since` when it was first heard of.
-    pub set: u64,
-    pub disk: Option<u64>,
-    /// The set in which it is sealed for a successor that is not settled yet, 0 for none.
-    pub sealed: u64,
-    /// Whether that disk, no member yet, lacked nothing but the last moments.
+    pub last_dial: u64,
+    /// When the latest ping that it answered was sent, 0 for none.
+    pub last_contact: u64,
+    /// The voter set in which it votes and its disk, as last reported.
+    pub voter_set: u64,
+    pub disk_id: Option<u64>,
+    /// The voter set in which it is sealed for a successor that is not decided yet, 0 for none.
+    pub sealed_set: u64,
+    /// Whether that disk, not a member yet, has caught up with the voters.
     pub is_ready: bool,
-    /// It has said that it is about to end.
+    /// It has announced its shutdown.
     pub is_leaving: bool,
-    pub since: u64,
+    pub known_since: u64,
     pub zone: String,
-    /// The version of the configuration that it last said to hold.
-    pub conf: u64,
+    /// The configuration version that it last reported.
+    pub conf_version: u64,
 }
 
-/// What a duty asked of a database or of the platform, and in which of its steps; 0 where no step waits for it.
-pub(crate) struct Asked {
+/// A request of a duty to a database or the platform, and the duty's step that waits for it (0 for none).
+pub(crate) struct PendingRequest {
     pub service: String,
     pub id: String,
-    pub turn: u64,
+    pub step: u64,
 }
 
-pub(crate) enum Waiting {
-    /// An order to take a configuration.
-    Put(crate::order::Order),
-    Get,
-    /// Begun in this spell of contact.
-    Sync(u64),
-    /// The map of a shard whose plan an order drops.
-    Judge(u64, String),
-    /// A duty's register, and the duty's step that waits for it.
-    Claim(String, u64),
-    Confirm(String, u64),
-    /// A call to the platform whose turn has come.
-    Call(Box<crate::post::Call>),
-    Own(String),
-    /// A register of what is gone was emptied.
-    Swept,
-    /// A step of what a planned shard's holder keeps.
-    Keep(String, crate::keep::Keep),
+/// A register operation in progress.
+pub(crate) enum Operation {
+    /// Writes a proposed configuration.
+    Propose(crate::proposal::Proposal),
+    ReadConfiguration,
+    /// Reads the configuration after contact was regained; carries the number of the contact period.
+    SyncConfiguration(u64),
+    /// Reads the slot map of a shard whose plan a proposal removes.
+    CheckShardMap(u64, String),
+    /// Writes or reads a duty's register for the given step of the duty.
+    ClaimDuty(String, u64),
+    ConfirmDuty(String, u64),
+    /// Confirms the fence of a platform call that is due.
+    ConfirmPlatformCall(Box<crate::platform_calls::PlatformCall>),
+    WriteOwner(String),
+    /// Empties an orphaned register.
+    SweepRegister,
+    /// An operation on the registers of a planned shard.
+    ShardRegister(String, crate::shard_registers::ShardRegisterOp),
 }
 
 #[derive(Default)]
-pub(crate) struct Fall {
-    pub falls: u32,
-    pub last: u64,
+pub(crate) struct Outages {
+    pub count: u32,
+    pub last_at: u64,
     pub is_down: bool,
 }
--- a/crates/wv-control/src/voter.rs
+++ b/crates/wv-control/src/voter.rs
@@ -7,7 +7,7 @@
     /// vote at all, neither for nor against. A refusal would only make the proposer try again, and never end while
     /// the disk is full.
     pub(crate) fn vote(&mut self, set: u64, key: &str, step: &RegisterRequest) -> Option<RegisterReply> {
-        (set > 0 && self.seat.votes_in(&self.me) == set && !key.starts_with(crate::core::LOCAL)).then_some(())?;
+        (set > 0 && self.seat.votes_in(&self.address) == set && !key.starts_with(crate::core::LOCAL)).then_some(())?;
         let noted = |error: wv_consensus::RegError| log::error!("register {key} not kept: {error}");
         match step {
             RegisterRequest::Read { known } => Some(self.told(key, *known)),
@@ -47,7 +47,7 @@
                 break;
             }
             for (voter, msg) in out {
-                if voter != self.me {
+                if voter != self.address {
                     self.send_peer(&voter, msg);
                     continue;
                 }
@@ -55,7 +55,7 @@
                     continue;
                 };
                 let vote = self.vote(set, &key, &step);
-                let me = self.me.clone();
+                let me = self.address.clone();
                 vote.into_iter().for_each(|vote| self.quorum.voted(&me, (asker, request), &key, vote, self.now));
             }
         }
@@ -66,18 +66,18 @@
 
     /// Pauses between proposals are shorter than this node's turns.
     fn arm(&mut self) {
-        let due = self.quorum.next_due().filter(|due| *due < self.now + crate::core::TURN_US);
-        let is_armed = |due: &u64| self.armed > self.now && self.armed <= *due;
+        let due = self.quorum.next_due().filter(|due| *due < self.now + crate::core::TICK_US);
+        let is_armed = |due: &u64| self.next_wake > self.now && self.next_wake <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
-            self.armed = due.max(self.now + 1);
-            self.acts.push(crate::Act::Wake { us: self.armed - self.now });
+            self.next_wake = due.max(self.now + 1);
+            self.actions.push(crate::Action::Wake { delay_us: self.next_wake - self.now });
         }
     }
 
     /// The time that was asked for is over.
     pub fn wake(&mut self, now: u64) {
         self.at(now);
-        self.run_calls();
+        self.run_platform_calls();
         self.run_quorum();
     }
 }
--- a/crates/wv-control/tests/drains.rs
+++ b/crates/wv-control/tests/drains.rs
@@ -1,9 +1,9 @@
 //! Stories of how old a leave is, as one control node tells it on: never younger than it may be.
 #[allow(dead_code)]
-mod alone;
+mod single_node;
 
-use alone::{Node, MS, S};
 use googletest::prelude::*;
+use single_node::{Node, MS, S};
 use wv_internal_protocol::{FeedUpdate, Instance, Message, UNKNOWN_AGE_US};
 
 const PEER: &str = "10.0.0.2:80";
@@ -17,9 +17,9 @@
 /// A node in contact that has heard the database in service.
 fn serving() -> Node {
     let mut node = Node::new();
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     beat(&mut node, "in_service", 1);
-    node.serve(S);
+    node.run_answering(S);
     node.sent.clear();
     node
 }
@@ -58,7 +58,7 @@
 /// The same, as an access node is told that begins to follow now.
 fn age_in_snapshot(node: &mut Node) -> u64 {
     node.sent.clear();
-    node.follow();
+    node.subscribe();
     ages(node).first().copied().unwrap_or(0)
 }
 
@@ -69,18 +69,18 @@
     let first = ages(&mut node);
     expect_that!(first.len(), eq(2), "both peers are told");
     expect_that!(first, each(eq(&0)));
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     expect_that!(age_in_snapshot(&mut node), eq(2 * S));
     // Said again by the database it is no younger.
     beat(&mut node, "draining", 3);
-    node.serve(S);
+    node.run_answering(S);
     expect_that!(age_in_snapshot(&mut node), eq(3 * S));
 }
 
 #[gtest]
 fn given_a_database_that_is_first_heard_of_as_leaving_then_nobody_knows_since_when() {
     let mut node = Node::new();
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     node.sent.clear();
     beat(&mut node, "draining", 7);
     let ages = ages(&mut node);
@@ -91,15 +91,15 @@
 #[gtest]
 fn given_a_peer_that_knows_of_an_older_leave_then_followers_hear_of_it_again() {
     let mut node = serving();
-    node.follow();
+    node.subscribe();
     node.sent.clear();
     beat(&mut node, "draining", 2);
-    node.serve(S);
+    node.run_answering(S);
     node.sent.clear();
-    node.hear(PEER, word(true, 2, 3 * S));
+    node.receive(PEER, word(true, 2, 3 * S));
     expect_that!(ages(&mut node), contains(eq(&(3 * S))));
     // A peer that heard of it later makes it no younger.
-    node.hear(PEER, word(true, 2, 10 * MS));
+    node.receive(PEER, word(true, 2, 10 * MS));
     expect_that!(age_in_snapshot(&mut node), eq(3 * S));
 }
 
@@ -107,7 +107,7 @@
 fn given_a_late_beat_from_before_the_leave_then_the_leave_stands_and_its_age() {
     let mut node = serving();
     beat(&mut node, "draining", 5);
-    node.serve(S);
+    node.run_answering(S);
     beat(&mut node, "in_service", 4);
     expect_that!(age_in_snapshot(&mut node), eq(S));
 }
@@ -116,8 +116,8 @@
 fn given_a_peer_that_recalls_the_database_from_its_disk_then_it_is_no_witness_that_it_was_in_service() {
     for (witness_us, wanted) in [(UNKNOWN_AGE_US, UNKNOWN_AGE_US), (0, 0)] {
         let mut node = Node::new();
-        node.serve(2 * S);
-        node.hear(PEER, word(false, 1, witness_us));
+        node.run_answering(2 * S);
+        node.receive(PEER, word(false, 1, witness_us));
         node.sent.clear();
         beat(&mut node, "draining", 2);
         expect_that!(ages(&mut node), each(eq(&wanted)));
@@ -128,8 +128,8 @@
 fn given_a_node_that_stood_still_then_what_it_reads_next_counts_as_having_waited_as_long() {
     let mut node = serving();
     node.now += 5 * S;
-    node.hear(PEER, word(true, 2, 0));
-    node.serve(2 * S);
+    node.receive(PEER, word(true, 2, 0));
+    node.run_answering(2 * S);
     expect_that!(age_in_snapshot(&mut node), ge(7 * S));
 }
 
@@ -137,12 +137,12 @@
 fn given_a_link_to_a_peer_that_comes_up_then_it_is_told_of_leaves_with_their_age() {
     let mut node = serving();
     beat(&mut node, "draining", 2);
-    node.serve(S);
+    node.run_answering(S);
     node.sent.clear();
     let link = node.links[PEER];
     node.core.link_down(link, node.now);
     node.run(S);
-    let told = node.take(|msg| matches!(msg, Message::Instance { .. }));
+    let told = node.take_sent(|msg| matches!(msg, Message::Instance { .. }));
     expect_that!(told.len(), ge(1));
     let is_old = |msg: &Message| matches!(msg, Message::Instance { instance: inst, .. } if inst.leaving_age_us >= S);
     expect_that!(told.iter().all(|(_, msg)| is_old(msg)), eq(true));
@@ -152,13 +152,13 @@
 fn given_a_peer_that_was_out_of_contact_then_it_is_told_of_leaves_that_it_may_know_to_be_younger() {
     let mut node = serving();
     beat(&mut node, "draining", 2);
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     node.sent.clear();
     // Its digests are equal: it knows that the database leaves, and not since when.
     node.run(2 * S);
-    let digests = node.take(|msg| matches!(msg, Message::InstanceDigests { .. }));
+    let digests = node.take_sent(|msg| matches!(msg, Message::InstanceDigests { .. }));
     let Some((_, Message::InstanceDigests { digests: ranges })) = digests.first().cloned() else { return };
     node.sent.clear();
-    node.hear(PEER, Message::Resync { requester: 5, request: 1, digests: ranges });
+    node.receive(PEER, Message::Resync { requester: 5, request: 1, digests: ranges });
     expect_that!(ages(&mut node), elements_are![ge(&(4 * S))]);
 }
--- a/crates/wv-control/tests/leads.rs
+++ b/crates/wv-control/tests/leaders.rs
@@ -16,16 +16,16 @@
         "state": "in_service", "coldLeftMs": 0, "sequence": sequence, "dbRole": role,
     });
     node.now += 1_000;
-    node.core.call(7, "PUT", &format!("/instances/{id}"), Some(body.to_string().as_bytes()), node.now);
-    node.said();
+    node.core.handle_call(7, "PUT", &format!("/instances/{id}"), Some(body.to_string().as_bytes()), node.now);
+    node.take_sent();
 }
 
 fn promoted(node: &mut Node, id: &str, term: u64) {
-    node.hear("b", Message::Leader(Leader { service: "s".to_owned(), id: id.to_owned(), term }));
+    node.receive("b", Message::Leader(Leader { service: "s".to_owned(), id: id.to_owned(), term }));
 }
 
 fn lead(node: &Node) -> (String, u64) {
-    node.core.lead("s").map(|lead| (lead.id.clone(), lead.term)).unwrap_or_default()
+    node.core.leader("s").map(|lead| (lead.id.clone(), lead.term)).unwrap_or_default()
 }
 
 /// One leads and another follows; then the other is promoted.
--- a/crates/wv-control/tests/model_orders.rs
+++ b/crates/wv-control/tests/model_proposals.rs
@@ -1,12 +1,12 @@
 //! All interleavings of a few orders of operators on the register of the configuration: the real decision on orders
-//! (`order.rs`) over the model of the register.
+//! (`proposal.rs`) over the model of the register.
 #[allow(dead_code)]
 #[path = "../../wv-consensus/tests/register_model/mod.rs"]
 mod register_model;
 
 use googletest::prelude::*;
 use register_model::{Setup, Verdict, Wish, Without, World};
-use wv_control::order::{digest, take, Decided, Order};
+use wv_control::proposal::{accept, digest, DecidedConfiguration, Proposal};
 use wv_internal_protocol::RegisterValue;
 use wv_model_checker::{search, Bound};
 
@@ -14,23 +14,23 @@
 const STATES: usize = 5_000;
 const W: fn(u64, u8) -> Wish = Wish::Write;
 
-fn order(number: u64, content: u8) -> Order {
-    Order { number, digest: digest(&[content]) }
+fn order(number: u64, content: u8) -> Proposal {
+    Proposal { number, digest: digest(&[content]) }
 }
 
 fn verdict(cell: &RegisterValue, number: u64, content: u8) -> Verdict {
-    match Decided::read(cell).verdict(&order(number, content)) {
-        wv_control::order::Verdict::Taken => Verdict::Taken,
-        wv_control::order::Verdict::Lost => Verdict::Lost,
-        wv_control::order::Verdict::Overtaken => Verdict::Never,
-        wv_control::order::Verdict::Unknown => Verdict::Unknown,
+    match DecidedConfiguration::read(cell).status(&order(number, content)) {
+        wv_control::proposal::ProposalStatus::Accepted => Verdict::Taken,
+        wv_control::proposal::ProposalStatus::Conflict => Verdict::Lost,
+        wv_control::proposal::ProposalStatus::Superseded => Verdict::Never,
+        wv_control::proposal::ProposalStatus::Unknown => Verdict::Unknown,
     }
 }
 
 fn setup(wishes: &[&[Wish]]) -> Setup {
     Setup {
         without: Without::Nothing,
-        edit: |number, content| take(order(number, content), vec![content]),
+        edit: |number, content| accept(order(number, content), vec![content]),
         verdict,
         wishes: wishes.iter().map(|wishes| wishes.to_vec()).collect(),
         rests: 0,
@@ -70,7 +70,7 @@
     let wishes: &[&[Wish]] = &[&[W(1, 1), W(2, 2), W(1, 1)]];
     let forgetful: fn(u64, u8) -> wv_consensus::Edit = |number, content| {
         // As if each order were the first one.
-        let fresh = take(order(number, content), vec![content])(&RegisterValue::default());
+        let fresh = accept(order(number, content), vec![content])(&RegisterValue::default());
         Box::new(move |held| fresh.clone().filter(|_| held.version < number))
     };
     breaks(
@@ -84,7 +84,7 @@
 #[gtest]
 fn given_orders_known_by_their_number_alone_then_the_model_finds_a_number_acknowledged_twice() {
     let verdict: fn(&RegisterValue, u64, u8) -> Verdict = |cell, number, _| {
-        let is_taken = Decided::read(cell).taken.iter().any(|taken| taken.number == number);
+        let is_taken = DecidedConfiguration::read(cell).accepted.iter().any(|taken| taken.number == number);
         if is_taken {
             Verdict::Taken
         } else {
--- a/crates/wv-control/tests/alone/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -1,6 +1,6 @@
 //! One control node among three, whose peers answer when the story says so.
 use std::collections::BTreeMap;
-use wv_control::{Act, Core, Start};
+use wv_control::{Action, Core, Start};
 use wv_internal_protocol::{Ballot, Message, RegisterReply, RegisterRequest, RegisterValue};
 
 pub const MS: u64 = 1000;
@@ -14,18 +14,18 @@
     pub links: BTreeMap<String, u64>,
     /// What it has sent to each peer and is not answered yet.
     pub sent: Vec<(String, Message)>,
-    pub returns: BTreeMap<u64, u16>,
+    pub responses: BTreeMap<u64, u16>,
     /// How often it asked a database something.
-    pub asked: usize,
+    pub database_queries: usize,
 }
 
 impl Node {
     pub fn new() -> Node {
-        Node::bearing(1)
+        Node::with_tolerance(1)
     }
 
     /// One whose settings say how many machines may be lost at once.
-    pub fn bearing(tolerate: usize) -> Node {
+    pub fn with_tolerance(tolerate: usize) -> Node {
         Node::start(ME, tolerate, true)
     }
 
@@ -33,54 +33,54 @@
     pub fn start(me: &str, tolerate: usize, is_core: bool) -> Node {
         let seeds: Vec<String> = (1..4).map(|at| format!("10.0.0.{at}:80")).collect();
         let start = Start {
-            me: me.to_owned(),
+            address: me.to_owned(),
             node: "c0".to_owned(),
             zone: "z0".to_owned(),
-            life: 1,
+            incarnation: 1,
             seeds,
-            is_first: true,
-            is_core,
-            tolerate,
-            disk: 1,
-            who: WHO,
+            is_initial_start: true,
+            has_disk: is_core,
+            tolerated_machines: tolerate,
+            disk_id: 1,
+            requester_id: WHO,
         };
         let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty store");
         let core = Core::new(start, store).expect("a control node");
-        Node { core, now: S, links: BTreeMap::new(), sent: Vec::new(), returns: BTreeMap::new(), asked: 0 }
+        Node { core, now: S, links: BTreeMap::new(), sent: Vec::new(), responses: BTreeMap::new(), database_queries: 0 }
     }
 
-    pub fn acts(&mut self) {
-        for act in self.core.take_acts() {
+    pub fn apply_actions(&mut self) {
+        for act in self.core.take_actions() {
             match act {
-                Act::Dial { link, addr } => {
+                Action::Dial { link, addr } => {
                     self.links.insert(addr, link);
                     self.core.link_up(link, self.now);
-                    self.acts();
+                    self.apply_actions();
                 }
-                Act::Send { link, msg } => {
+                Action::Send { link, msg } => {
                     let to = self.links.iter().find(|(_, its)| **its == link).map(|(addr, _)| addr.clone());
                     to.into_iter().for_each(|to| self.sent.push((to, msg.clone())));
                 }
-                Act::Return { token, status, .. } => {
-                    self.returns.insert(token, status);
+                Action::Respond { token, status, .. } => {
+                    self.responses.insert(token, status);
                 }
-                Act::Request { .. } => self.asked += 1,
+                Action::QueryDatabase { .. } => self.database_queries += 1,
                 _ => {}
             }
         }
     }
 
-    pub fn hear(&mut self, from: &str, msg: Message) {
-        self.core.msg(self.links[from], msg, self.now);
-        self.acts();
+    pub fn receive(&mut self, from: &str, msg: Message) {
+        self.core.handle_message(self.links[from], msg, self.now);
+        self.apply_actions();
     }
 
     /// An access node comes on a link of its own and follows.
-    pub fn follow(&mut self) {
-        let link = self.core.link_in(self.now);
+    pub fn subscribe(&mut self) {
+        let link = self.core.accept_link(self.now);
         self.links.insert("a0".to_owned(), link);
         let (node, place) = ("a0".to_owned(), String::new());
-        self.hear(
+        self.receive(
             "a0",
             Message::Hello {
                 node,
@@ -90,7 +90,7 @@
                 incarnation: 5,
             },
         );
-        self.hear("a0", Message::Subscribe { incarnation: 0, position: 0 });
+        self.receive("a0", Message::Subscribe { incarnation: 0, position: 0 });
     }
 
     /// Its turns for so long; nothing is answered.
@@ -99,12 +99,12 @@
         while self.now < end {
             self.now += 100 * MS;
             self.core.tick(self.now);
-            self.acts();
+            self.apply_actions();
         }
     }
 
     /// Takes out what was sent and is meant.
-    pub fn take(&mut self, is_meant: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
+    pub fn take_sent(&mut self, is_meant: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
         let (meant, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, msg)| is_meant(msg));
         self.sent = rest;
         meant
@@ -112,13 +112,13 @@
 
     /// The peers answer what was sent so far and is meant, as empty voters do.
     pub fn answer(&mut self, is_meant: impl Fn(&Message) -> bool) {
-        for (from, msg) in self.take(is_meant) {
-            reply(&msg).into_iter().for_each(|answer| self.hear(&from, answer));
+        for (from, msg) in self.take_sent(is_meant) {
+            reply(&msg).into_iter().for_each(|answer| self.receive(&from, answer));
         }
     }
 
     /// Turns in which everything is answered at once.
-    pub fn serve(&mut self, us: u64) {
+    pub fn run_answering(&mut self, us: u64) {
         let end = self.now + us;
         while self.now < end {
             self.run(100 * MS);
@@ -127,19 +127,19 @@
     }
 
     /// The next round of pings: when it was sent, and the pings.
-    pub fn pings(&mut self) -> (u64, Vec<(String, Message)>) {
+    pub fn next_pings(&mut self) -> (u64, Vec<(String, Message)>) {
         self.sent.clear();
         while !self.sent.iter().any(|(_, msg)| is_ping(msg)) {
             self.run(100 * MS);
         }
-        (self.now, self.take(is_ping))
+        (self.now, self.take_sent(is_ping))
     }
 
     pub fn call(&mut self, method: &str, path: &str, body: &str) -> Option<u16> {
-        let token = self.core.fresh_id();
-        self.core.call(token, method, path, Some(body.as_bytes()), self.now);
-        self.acts();
-        self.returns.get(&token).copied()
+        let token = self.core.allocate_id();
+        self.core.handle_call(token, method, path, Some(body.as_bytes()), self.now);
+        self.apply_actions();
+        self.responses.get(&token).copied()
     }
 }
 
--- a/crates/wv-control/tests/spells.rs
+++ b/crates/wv-control/tests/spells.rs
@@ -1,8 +1,8 @@
 //! Stories of what a control node does between the return of contact and the end of catching up.
-mod alone;
+mod single_node;
 
-use alone::{is_ping, reply, Node, MS, S};
 use googletest::prelude::*;
+use single_node::{is_ping, reply, Node, MS, S};
 use wv_internal_protocol::{Health, HealthReport, Message};
 
 const NAMES: std::ops::Range<usize> = 0..8;
@@ -24,9 +24,9 @@
 /// A node in contact by one answer to the next pings only, at 1.2 s after them.
 fn nearly_lost() -> Node {
     let mut node = Node::new();
-    node.serve(2 * S);
-    let (asked, pings) = node.pings();
-    node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
+    node.run_answering(2 * S);
+    let (asked, pings) = node.next_pings();
+    node.receive(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     node.run(asked + 1200 * MS - node.now);
     node.sent.clear();
     node
@@ -37,15 +37,15 @@
     let mut node = nearly_lost();
     expect_that!(node.call("PUT", "/configuration", &conf(1)), none());
     (0..4).for_each(|_| node.answer(|msg| is_about(msg, "conf")));
-    expect_that!(node.returns.values().last(), some(eq(&200)));
-    let looks = node.take(|msg| is_about(msg, "slots/"));
+    expect_that!(node.responses.values().last(), some(eq(&200)));
+    let looks = node.take_sent(|msg| is_about(msg, "slots/"));
     assert_that!(looks.len(), ge(1));
     node.run(100 * MS);
     expect_that!(node.core.is_fresh(), eq(false));
-    let (_, pings) = node.pings();
-    node.hear(&pings[0].0, reply(&pings[0].1).expect("a pong"));
+    let (_, pings) = node.next_pings();
+    node.receive(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     for (from, msg) in &looks {
-        node.hear(from, reply(msg).expect("a vote"));
+        node.receive(from, reply(msg).expect("a vote"));
     }
     // All but the read of the map that was begun since.
     (0..6).for_each(|_| node.answer(|msg| is_about(msg, "conf") || matches!(msg, Message::Resync { .. })));
@@ -57,9 +57,9 @@
 #[gtest]
 fn given_a_primary_that_is_down_then_its_duty_is_not_taken_up_before_this_node_has_caught_up() {
     let mut node = Node::new();
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     expect_that!(node.call("PUT", "/configuration", &conf(1)), none());
-    node.serve(500 * MS);
+    node.run_answering(500 * MS);
     for at in NAMES {
         let beat = |role: &str, port: u32| {
             serde_json::json!({"destination": format!("s{at}"), "address": format!("10.9.{at}.1:{port}"),
@@ -69,12 +69,12 @@
         node.call("PUT", &format!("/instances/i-{at}"), &beat("primary", 1));
         node.call("PUT", &format!("/instances/j-{at}"), &beat("replica", 2));
     }
-    node.serve(S);
+    node.run_answering(S);
     // Contact is lost and comes back; the voters do not tell what they hold in memory.
     node.run(3 * S);
     node.sent.clear();
-    node.asked = 0;
-    node.follow();
+    node.database_queries = 0;
+    node.subscribe();
     let is_answered = |msg: &Message| !matches!(msg, Message::Resync { .. }) && !is_about(msg, "duty/");
     let run = |node: &mut Node, us: u64| {
         let end = node.now + us;
@@ -88,34 +88,34 @@
                 fenced_position: String::new(),
                 fenced_age_us: u64::MAX / 2,
             };
-            node.hear("a0", Message::AccessHeartbeat { leaving: false });
-            node.hear("a0", Message::HealthReports(NAMES.map(down).collect()));
+            node.receive("a0", Message::AccessHeartbeat { leaving: false });
+            node.receive("a0", Message::HealthReports(NAMES.map(down).collect()));
             (0..6).for_each(|_| node.answer(is_answered));
         }
     };
     run(&mut node, 4 * S);
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
-    expect_that!((node.take(|msg| is_about(msg, "duty/")).len(), node.asked), eq((0, 0)));
+    expect_that!((node.take_sent(|msg| is_about(msg, "duty/")).len(), node.database_queries), eq((0, 0)));
     // They tell it: those duties that are this node's are taken up.
     node.answer(|msg| matches!(msg, Message::Resync { .. }) || is_ping(msg));
     expect_that!(node.core.is_caught_up(), eq(true));
     run(&mut node, S);
-    expect_that!(node.asked, ge(1));
+    expect_that!(node.database_queries, ge(1));
 }
 
 #[gtest]
 fn given_a_node_without_a_disk_then_versions_told_to_pings_of_before_are_no_catching_up() {
     let mut node = Node::start("10.0.0.9:80", 1, false);
-    node.serve(2 * S);
+    node.run_answering(2 * S);
     expect_that!(node.core.is_caught_up(), eq(true));
     // Two rounds of pings: the first one is answered, the second one only once contact has ended.
-    let (asked, pings) = node.pings();
-    pings.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
-    let (_, late) = node.pings();
+    let (asked, pings) = node.next_pings();
+    pings.iter().for_each(|(from, msg)| node.receive(from, reply(msg).expect("a pong")));
+    let (_, late) = node.next_pings();
     node.run(asked + 1300 * MS - node.now);
     expect_that!(node.core.is_fresh(), eq(false));
     node.sent.clear();
-    late.iter().for_each(|(from, msg)| node.hear(from, reply(msg).expect("a pong")));
+    late.iter().for_each(|(from, msg)| node.receive(from, reply(msg).expect("a pong")));
     (0..4).for_each(|_| node.answer(|msg| matches!(msg, Message::Resync { .. })));
     expect_that!((node.core.is_fresh(), node.core.is_caught_up()), eq((true, false)));
     node.answer(is_ping);
@@ -131,7 +131,7 @@
         node.run(100 * MS);
         (0..6).for_each(|_| node.answer(|msg| !is_recap(msg)));
         let now = node.now;
-        asked.extend(node.take(is_recap).into_iter().map(|(to, _)| (now, to)));
+        asked.extend(node.take_sent(is_recap).into_iter().map(|(to, _)| (now, to)));
     }
     assert_that!(asked.len(), ge(3));
     expect_that!(asked.windows(2).all(|pair| pair[1].0 - pair[0].0 >= 800 * MS && pair[0].1 != pair[1].1), eq(true));
--- a/crates/wv-control/tests/texts.rs
+++ b/crates/wv-control/tests/statements.rs
@@ -56,7 +56,7 @@
     let seen = Rc::new(RefCell::new(Vec::new()));
     tokio::task::spawn_local(database(listener, cut, more, seen.clone()));
     let texts: Vec<String> = TEXTS.iter().map(|text| (*text).to_owned()).collect();
-    let replies = wv_control::run_texts(&addr, "s", "d1", &texts).await;
+    let replies = wv_control::run_statements(&addr, "s", "d1", &texts).await;
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
