--- a/crates/wv-control/tests/takeover.rs
+++ b/crates/wv-control/tests/takeover.rs
@@ -13,7 +13,7 @@
 
 /// The set in which it says that it votes.
 fn votes_in(node: &mut Node) -> u64 {
-    let said = node.hear("b", Message::Ping { requester: 7, request: 1 });
+    let said = node.receive("b", Message::Ping { requester: 7, request: 1 });
     said.into_iter()
         .find_map(|(_, msg)| if let Message::Pong { voter_set: set, .. } = msg { Some(set) } else { None })
         .unwrap_or(0)
@@ -23,7 +23,7 @@
 fn is_voting(node: &mut Node, set: u64) -> bool {
     let step = RegisterRequest::Read { known: Ballot::default() };
     let said = node
-        .hear("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
+        .receive("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
     said.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
 }
 
@@ -47,7 +47,8 @@
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let said = node.hear("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
+    let said =
+        node.receive("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
     let told = said.iter().find_map(|(_, msg)| match msg {
         Message::Takeover(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
@@ -59,21 +60,23 @@
 #[gtest]
 fn given_a_member_of_the_next_set_then_it_votes_once_a_majority_of_the_old_one_has_told_and_all_stands_here() {
     let mut node = Node::start("d", false);
-    let said = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let said = node.receive("a", peers(set(2, "abd"), set(1, "abc")));
     let (first, request) = asked(&node, &said).expect("it asks at once");
     // The first says that it holds something else; one register of it comes, and that is all.
     let mut sums = vec![0; parts::RANGES];
-    let said = node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
+    let said = node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
     let is_lacking = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
     let copy = AcceptorState { promised: ballot, accepted: ballot, value: cell(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
-    let said = node.hear(&first, Message::Takeover(part));
+    let said = node.receive(&first, Message::Takeover(part));
     expect_that!(said.iter().any(|(_, msg)| is_lacking(msg)), eq(true), "not all of it");
     expect_that!(votes_in(&mut node), eq(0));
-    let said = node
-        .hear(&first, Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }));
+    let said = node.receive(
+        &first,
+        Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }),
+    );
     // One of three that left is no majority: another is asked.
     expect_that!(votes_in(&mut node), eq(0));
     expect_that!(is_voting(&mut node, 2), eq(false));
@@ -81,9 +84,9 @@
     expect_that!(second, not(eq(&first)));
     // A late word of the first counts for nothing.
     sums.clear();
-    node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
+    node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums.clone() }));
     expect_that!(votes_in(&mut node), eq(0));
-    node.hear(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums }));
+    node.receive(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests: sums }));
     expect_that!(votes_in(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
@@ -92,10 +95,10 @@
 fn given_a_voter_of_the_next_set_then_its_word_alone_is_enough_and_one_of_an_older_set_never() {
     for (told, voting) in [(3, 3), (1, 0)] {
         let mut node = Node::start("d", false);
-        let mut said = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
+        let mut said = node.receive("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
             if let Some((asked, request)) = asked(&node, &said) {
-                node.hear(&asked, Message::Takeover(CatchUp::Digests { request, set: told, digests: Vec::new() }));
+                node.receive(&asked, Message::Takeover(CatchUp::Digests { request, set: told, digests: Vec::new() }));
             }
             said = node.tick();
         }
@@ -103,7 +106,7 @@
     }
     // One that is silent is passed over for another.
     let mut node = Node::start("d", false);
-    let said = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let said = node.receive("a", peers(set(2, "abd"), set(1, "abc")));
     let (first, _) = asked(&node, &said).expect("it asks at once");
     let next = (0..20).find_map(|_| {
         let said = node.tick();
--- a/crates/wv-simulation/src/controls.rs
+++ b/crates/wv-simulation/src/controls.rs
@@ -2,7 +2,7 @@
 use crate::nodes::End;
 use crate::world::{Ev, World, HOP};
 use crate::MS;
-use wv_control::Act as ControlAct;
+use wv_control::Action as ControlAct;
 
 impl World {
     pub fn start_control(&mut self, at: usize, is_first: bool) {
@@ -12,17 +12,17 @@
         let is_new = std::mem::replace(&mut node.life, self.life) == 0;
         node.far.clear();
         let start = wv_control::Start {
-            me: node.addr.clone(),
+            address: node.addr.clone(),
             node: node.name.clone(),
             zone: format!("z{}", at % 3),
             // As in a process: the time of the start, the same for all that start together.
-            life: self.now.saturating_add_signed(node.clock_us),
+            incarnation: self.now.saturating_add_signed(node.clock_us),
             seeds: node.seeds.clone(),
-            is_first,
-            is_core: node.is_core,
-            tolerate: self.tolerate,
-            disk: self.life + 1000, // random in a process; here no two are ever the same
-            who: self.life.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            is_initial_start: is_first,
+            has_disk: node.is_core,
+            tolerated_machines: self.tolerate,
+            disk_id: self.life + 1000, // random in a process; here no two are ever the same
+            requester_id: self.life.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         };
         let store =
             wv_consensus::Store::open(Box::new(crate::disk::Disk::new(node.files.clone(), node.faults.clone())));
@@ -47,7 +47,7 @@
         let now = self.now;
         let core = self.controls[at].core.as_mut()?;
         let ret = event(core, now);
-        let acts = core.take_acts();
+        let acts = core.take_actions();
         // Power went in the middle of a write: nothing that followed from it was said.
         if self.controls[at].faults.is_dead() {
             self.power_control(at, 0);
@@ -70,12 +70,12 @@
                 far.into_iter().for_each(|end| self.put(HOP, Ev::LinkDown { end }));
             }
             ControlAct::Dial { link, addr } => self.dial(at, link, &addr),
-            ControlAct::Wake { us } => self.put(us, Ev::ControlWake(at, self.controls[at].life)),
-            ControlAct::Return { token, status, body } => {
+            ControlAct::Wake { delay_us: us } => self.put(us, Ev::ControlWake(at, self.controls[at].life)),
+            ControlAct::Respond { token, status, body } => {
                 self.note_return(token, status);
                 self.returns.insert(token, (status, body));
             }
-            ControlAct::Request { ask, id, text, .. } => {
+            ControlAct::QueryDatabase { request: ask, id, statement: text, .. } => {
                 let is_open = |base: &usize| {
                     let held = &self.bases[*base];
                     !held.is_dark && !self.is_cut(&self.controls[at].name, &held.id)
@@ -89,8 +89,12 @@
                 let wait = if word.is_ok() { 15 * MS } else { 100 * MS };
                 self.put(wait, Ev::Row { control: at, life: self.controls[at].life, ask, word });
             }
-            ControlAct::Run { run, id, texts, .. } => self.run_texts(at, run, &id, &texts),
-            ControlAct::Post { ask, service, id, fence, .. } => self.post(at, ask, service, (id, fence)),
+            ControlAct::RunStatements { request: run, id, statements: texts, .. } => {
+                self.run_texts(at, run, &id, &texts)
+            }
+            ControlAct::PromoteDatabase { request: ask, service, id, fence, .. } => {
+                self.post(at, ask, service, (id, fence))
+            }
         }
     }
 }
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -215,7 +215,7 @@
                 self.bases[base].busy.remove(&conn);
             }
             Ev::Call { control, life, token, method, path, body } if self.controls[control].life == life => {
-                self.with_control(control, |core, now| core.call(token, &method, &path, Some(&body), now));
+                self.with_control(control, |core, now| core.handle_call(token, &method, &path, Some(&body), now));
             }
             Ev::Call { .. } => {}
             Ev::Late(event) => self.happen(*event),
--- a/crates/wv-simulation/src/links.rs
+++ b/crates/wv-simulation/src/links.rs
@@ -31,7 +31,7 @@
         let (to, name, life, turn) = (node.next % self.controls.len(), node.name.clone(), node.life, node.turn);
         let is_cut = self.frozen_controls.contains(&to) || self.is_parted(&name, &self.controls[to].name);
         let Some(core) = self.controls[to].core.as_mut().filter(|_| !is_cut) else { return };
-        let link = core.link_in(now);
+        let link = core.accept_link(now);
         let end = End::Control { at: to, link, life: self.controls[to].life };
         self.controls[to].far.insert(link, End::Access { at, life, turn });
         (self.access[at].session, self.access[at].heard) = (Some(end), now);
@@ -68,7 +68,7 @@
             |to: &usize| self.frozen_controls.contains(to) || self.is_parted(&name, &self.controls[*to].name);
         let to = to.filter(|to| self.controls[*to].core.is_some() && !is_still(to));
         let Some(to) = to else { return self.put(2 * HOP, Ev::LinkDown { end }) };
-        let Some(far) = self.controls[to].core.as_mut().map(|core| core.link_in(now)) else { return };
+        let Some(far) = self.controls[to].core.as_mut().map(|core| core.accept_link(now)) else { return };
         let far_end = End::Control { at: to, link: far, life: self.controls[to].life };
         self.controls[at].far.insert(link, far_end);
         self.controls[to].far.insert(far, end);
@@ -84,7 +84,7 @@
                 if !is_cut {
                     let name = self.controls[at].name.clone();
                     self.weigh(&name, &msg);
-                    self.with_control(at, |core, now| core.msg(link, msg, now));
+                    self.with_control(at, |core, now| core.handle_message(link, msg, now));
                 }
             }
             End::Access { at, life, turn } if self.access[at].life == life && self.access[at].turn == turn => {
--- a/crates/wv-simulation/src/states.rs
+++ b/crates/wv-simulation/src/states.rs
@@ -124,7 +124,7 @@
         // A node that was started anew counts anew: its calls are not those of its earlier life.
         let life = (control as u64) << 48 | (self.controls[control].life & 0xffff) << 32;
         let core = self.controls[control].core.as_mut();
-        let Some(token) = core.map(|core| core.fresh_id() | life) else { return 0 };
+        let Some(token) = core.map(|core| core.allocate_id() | life) else { return 0 };
         self.note_call(token, &method, &path, &body);
         let call = Ev::Call { control, life: self.controls[control].life, token, method, path, body };
         match self.frozen_controls.contains(&control) {
