--- a/crates/wv-control/src/admission.rs
+++ b/crates/wv-control/src/admission.rs
@@ -30,8 +30,8 @@
         if self.pending_proposals.len() >= PENDING_MAX {
             return self.respond(token, 503, NO_MAJORITY_REPLY);
         }
-        let limit = self.now + PENDING_TIMEOUT_US;
-        let pending = |shards| PendingProposal { token, body: body.to_vec(), shards, deadline: limit };
+        let deadline = self.now + PENDING_TIMEOUT_US;
+        let pending = |shards| PendingProposal { token, body: body.to_vec(), shards, deadline };
         if !self.is_caught_up() {
             return self.pending_proposals.push(pending(None));
         }
@@ -112,16 +112,16 @@
 
     /// Refuses all pending proposals after contact was lost, so that callers try another node.
     pub(crate) fn refuse_pending(&mut self) {
-        let over = std::mem::take(&mut self.pending_proposals);
-        over.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
+        let refused = std::mem::take(&mut self.pending_proposals);
+        refused.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
     }
 
     pub(crate) fn expire_pending(&mut self) {
         let now = self.now;
-        let (over, rest) =
+        let (expired, rest) =
             std::mem::take(&mut self.pending_proposals).into_iter().partition(|pending| pending.deadline <= now);
         self.pending_proposals = rest;
-        let over: Vec<PendingProposal> = over;
-        over.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
+        let expired: Vec<PendingProposal> = expired;
+        expired.into_iter().for_each(|pending| self.respond(pending.token, 503, NO_MAJORITY_REPLY));
     }
 }
--- a/crates/wv-control/src/committed.rs
+++ b/crates/wv-control/src/committed.rs
@@ -35,7 +35,7 @@
             (self.now, false, self.feed.conf_version());
         let (body, packed) = self.packs.held();
         let msg = self.feed.publish_conf(self.committed_version, packed, body);
-        self.send_followers(&msg);
+        self.send_to_subscribers(&msg);
         if std::mem::take(&mut self.is_relay_due) {
             self.notify_non_voters();
         }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -115,7 +115,7 @@
         self.refuse_pending();
         // Followers go elsewhere at once, and hear nothing more: what is published from here on may be old.
         self.send_heartbeats();
-        self.links.values_mut().for_each(|link| link.is_follower = false);
+        self.links.values_mut().for_each(|link| link.is_subscriber = false);
     }
 
     /// Everything that may have changed meanwhile is read anew, by reads that begin now.
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -18,10 +18,10 @@
 pub const STARTUP_GRACE_US: u64 = 900_000;
 
 /// Mixes the address into the incarnation: machines that start together may read the same clock.
-fn node_incarnation(life: u64, me: &str) -> u64 {
-    let own =
-        me.bytes().fold(0xcbf2_9ce4_8422_2325u64, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
-    (life << 16) | (own >> 48)
+fn node_incarnation(incarnation: u64, addr: &str) -> u64 {
+    let hash =
+        addr.bytes().fold(0xcbf2_9ce4_8422_2325u64, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
+    (incarnation << 16) | (hash >> 48)
 }
 
 /// All state of a control node.
@@ -236,12 +236,12 @@
 
     pub(crate) fn publish(&mut self, update: FeedUpdate) {
         let msg = self.feed.publish(update);
-        self.send_followers(&msg);
+        self.send_to_subscribers(&msg);
     }
 
-    pub(crate) fn send_followers(&mut self, msg: &Message) {
-        let followers: Vec<u64> = self.links.iter().filter(|(_, link)| link.is_follower).map(|(id, _)| *id).collect();
-        followers.into_iter().for_each(|link| self.send(link, msg.clone()));
+    pub(crate) fn send_to_subscribers(&mut self, msg: &Message) {
+        let links: Vec<u64> = self.links.iter().filter(|(_, link)| link.is_subscriber).map(|(id, _)| *id).collect();
+        links.into_iter().for_each(|link| self.send(link, msg.clone()));
     }
 
     pub(crate) fn respond(&mut self, token: u64, status: u16, body: impl Into<Vec<u8>>) {
--- a/crates/wv-control/src/diskless.rs
+++ b/crates/wv-control/src/diskless.rs
@@ -1,5 +1,5 @@
-//! Control nodes without durable storage, which may be on slow links: they receive the committed configuration as deltas,
-//! like access nodes. A register read would transfer the copy of every voter, on each attempt.
+//! Control nodes without durable storage, which may be on slow links: they receive the committed configuration as
+//! deltas, like access nodes. A register read would transfer the copy of every voter, on each attempt.
 use crate::core::Core;
 use wv_internal_protocol::{FeedUpdate, Message};
 
@@ -25,7 +25,7 @@
         if version > self.committed_version {
             self.request_configuration(addr, self.committed_version);
         }
-        // An acknowledged configuration is stored by a majority, so this node is current if a majority has nothing newer.
+        // An acknowledged configuration is stored by a majority, so without a newer one there this node is current.
         self.catch_up();
     }
 
--- a/crates/wv-control/src/health_reports.rs
+++ b/crates/wv-control/src/health_reports.rs
@@ -86,8 +86,8 @@
         down >= nodes.div_ceil(4).clamp(2, MAX_WITNESSES).min(nodes.max(1))
     }
 
-    /// For how long every reporting access node has been refused. A node that started later does not shorten this, unless
-    /// a node has heard from the database since the first refusal.
+    /// For how long every reporting access node has been refused. A node that started later does not shorten this,
+    /// unless a node has heard from the database since the first refusal.
     pub(crate) fn refused_for_us(&self, id: &str) -> Option<u64> {
         let is_refused = |report: &HealthReport| report.health == Health::Refused;
         self.reports(id).all(|(report, _)| is_refused(report)).then_some(())?;
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -62,8 +62,8 @@
         self.apply_heartbeat(token, Instance { gone: true, ..held }, true);
     }
 
-    /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at once if the database
-    /// stays, and after enough other nodes stored it if the database leaves.
+    /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at once if the
+    /// database stays, and after enough other nodes stored it if the database leaves.
     fn apply_heartbeat(&mut self, token: u64, inst: Instance, is_leave: bool) {
         let changed = self.table.offer(inst.clone());
         self.date_leave(&inst, Teller::Database);
@@ -115,8 +115,9 @@
 
     /// Derives the leader of a service from a heartbeat that reports the primary role.
     ///
-    /// Guards against a deposed primary that keeps reporting its old role: a known leader is replaced only by the promoted
-    /// database, by a replica that became primary, or after the leader departed or failed to report itself in time.
+    /// Guards against a deposed primary that keeps reporting its old role: a known leader is replaced only by the
+    /// promoted database, by a replica that became primary, or after the leader departed or failed to report itself in
+    /// time.
     fn update_leader(&mut self, reported: &Instance, is_new_primary: bool) {
         // Use the table entry, since the heartbeat may be out of order.
         let Some(inst) = self.table.get(&reported.id).filter(|inst| inst.primary && !inst.gone) else { return };
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -7,7 +7,7 @@
     pub fn accept_link(&mut self, now: u64) -> u64 {
         self.at(now);
         let link = self.allocate_id();
-        self.links.insert(link, Link { peer: None, node: None, is_follower: false, pending_position: None });
+        self.links.insert(link, Link { peer: None, node: None, is_subscriber: false, resume_from: None });
         link
     }
 
@@ -88,11 +88,10 @@
                 .get_mut(&control)
                 .into_iter()
                 .for_each(|peer| (peer.zone, peer.is_leaving) = (zone.clone(), false));
-            self.links
-                .insert(link, Link { peer: Some(control), node: None, is_follower: false, pending_position: None });
+            self.links.insert(link, Link { peer: Some(control), node: None, is_subscriber: false, resume_from: None });
         } else {
             self.membership.start_session(&node, handover, self.now);
-            self.links.insert(link, Link { peer: None, node: Some(node), is_follower: false, pending_position: None });
+            self.links.insert(link, Link { peer: None, node: Some(node), is_subscriber: false, resume_from: None });
         }
         self.send(link, self.peers_msg());
     }
@@ -109,7 +108,7 @@
             Message::AccessHeartbeat { leaving } => self.membership.heartbeat(node, leaving, self.now),
             Message::Subscribe { incarnation, position } => {
                 if let Some(held) = self.links.get_mut(&link) {
-                    (held.is_follower, held.pending_position) = (false, Some((incarnation, position)));
+                    (held.is_subscriber, held.resume_from) = (false, Some((incarnation, position)));
                 }
                 self.serve_subscriptions();
             }
@@ -128,14 +127,13 @@
         if !is_ready && is_starting {
             return;
         }
-        let awaiting =
-            self.links.iter_mut().filter_map(|(id, link)| link.pending_position.take().map(|from| (*id, from)));
+        let awaiting = self.links.iter_mut().filter_map(|(id, link)| link.resume_from.take().map(|from| (*id, from)));
         for (link, (incarnation, position)) in awaiting.collect::<Vec<_>>() {
             if !is_ready {
                 self.send(link, Message::ControlHeartbeat { has_majority: false });
                 continue;
             }
-            self.links.get_mut(&link).into_iter().for_each(|held| held.is_follower = true);
+            self.links.get_mut(&link).into_iter().for_each(|held| held.is_subscriber = true);
             let msgs = self.feed.since(incarnation, position, &self.table);
             msgs.into_iter().for_each(|msg| self.send(link, msg));
         }
--- a/crates/wv-control/src/statements.rs
+++ b/crates/wv-control/src/statements.rs
@@ -72,8 +72,8 @@
 
 /// Runs statements up to the first that fails and returns the replies received.
 ///
-/// Statements after `BEGIN` are sent once it is acknowledged, the last one once all others succeeded. `None` if the last
-/// one, which ends the transaction, was sent and its outcome is unknown. Nothing is sent twice.
+/// Statements after `BEGIN` are sent once it is acknowledged, the last one once all others succeeded. `None` if the
+/// last one, which ends the transaction, was sent and its outcome is unknown. Nothing is sent twice.
 pub async fn run_statements(addr: &str, service: &str, id: &str, statements: &[String]) -> Option<Vec<Reply>> {
     let (mut buf, mut replies) = (Vec::new(), Vec::new());
     let begin = statements.iter().position(|text| text == "BEGIN").map_or(0, |at| at + 1);
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -91,10 +91,8 @@
             if let Some(peer) = self.peers.get_mut(&addr) {
                 (peer.link, peer.last_dial, peer.is_up) = (Some(link), now.max(1), false);
             }
-            self.links.insert(
-                link,
-                Link { peer: Some(addr.clone()), node: None, is_follower: false, pending_position: None },
-            );
+            self.links
+                .insert(link, Link { peer: Some(addr.clone()), node: None, is_subscriber: false, resume_from: None });
             self.actions.push(Action::Dial { link, addr });
         }
     }
@@ -112,16 +110,16 @@
     pub(crate) fn send_heartbeats(&mut self) {
         let fresh = self.is_caught_up() && !self.is_leaving;
         // Nodes with a pending subscription receive no heartbeat yet.
-        let is_told = |link: &Link| link.node.is_some() && link.pending_position.is_none();
-        let followers: Vec<u64> = self.links.iter().filter(|(_, link)| is_told(link)).map(|(id, _)| *id).collect();
-        followers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
+        let is_told = |link: &Link| link.node.is_some() && link.resume_from.is_none();
+        let subscribers: Vec<u64> = self.links.iter().filter(|(_, link)| is_told(link)).map(|(id, _)| *id).collect();
+        subscribers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
     }
 
     pub(crate) fn publish_node_count(&mut self) {
         let stored = if self.now < self.started_at + NODE_COUNT_DECREASE_DELAY_US { self.stored_node_count } else { 0 };
         let nodes = (self.membership.node_count() as u32).max(stored);
-        // Unreachable nodes may keep their connections. If the others took larger shares at once, databases would exceed
-        // their connection limits, so a decrease is published with a delay and an increase at once.
+        // Unreachable nodes may keep their connections. If the others took larger shares at once, databases would
+        // exceed their connection limits, so a decrease is published with a delay and an increase at once.
         if nodes >= self.published_node_count {
             self.node_count_low_since = self.now;
         }
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -61,7 +61,7 @@
     pub is_initial_start: bool,
     /// Whether this node has durable storage, so that it may vote.
     pub has_disk: bool,
-    /// How many simultaneous machine failures must not lose acknowledged data.
+    /// How many simultaneous machine failures have to be tolerated.
     pub tolerated_machines: usize,
     /// Random id for a disk that is written for the first time.
     pub disk_id: u64,
@@ -74,9 +74,9 @@
     pub peer: Option<String>,
     /// The name of an access node, once its `Hello` has been received.
     pub node: Option<String>,
-    pub is_follower: bool,
+    pub is_subscriber: bool,
     /// Incarnation and position of a subscription that this node cannot serve yet.
-    pub pending_position: Option<(u64, u64)>,
+    pub resume_from: Option<(u64, u64)>,
 }
 
 #[derive(Default)]
--- a/crates/wv-control/tests/common/mod.rs
+++ b/crates/wv-control/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! One control node by itself, spoken to message by message.
+//! A single control node driven by individual messages.
 use std::collections::BTreeMap;
 use wv_consensus::{MemFiles, Store};
 use wv_control::{Action, Core, Start};
 use wv_internal_protocol::Message;
 
-/// One control node and the links it dialled, by address.
+/// A control node and its outgoing links by address.
 pub struct Node {
     pub core: Core,
     pub links: BTreeMap<String, u64>,
@@ -40,7 +40,7 @@
         node
     }
 
-    /// What it says to a message of `from`.
+    /// Delivers a message of `from` and returns the messages sent in response.
     pub fn receive(&mut self, from: &str, msg: Message) -> Vec<(u64, Message)> {
         self.now += 1_000;
         let link = self.links[&format!("{from}:80")];
--- a/crates/wv-control/tests/model_proposals.rs
+++ b/crates/wv-control/tests/model_proposals.rs
@@ -1,5 +1,4 @@
-//! All interleavings of a few orders of operators on the register of the configuration: the real decision on orders
-//! (`proposal.rs`) over the model of the register.
+//! Checks all interleavings of a few proposed configurations: the real `proposal.rs` on the model of the register.
 #[allow(dead_code)]
 #[path = "../../wv-consensus/tests/register_model/mod.rs"]
 mod register_model;
@@ -10,16 +9,16 @@
 use wv_internal_protocol::RegisterValue;
 use wv_model_checker::{search, Bound};
 
-/// As many states as take some seconds in all; `WV_MODEL_DEPTH` takes the bound away.
+/// Limit of visited states; `WV_MODEL_DEPTH` removes it.
 const STATES: usize = 5_000;
 const W: fn(u64, u8) -> Wish = Wish::Write;
 
-fn order(number: u64, content: u8) -> Proposal {
+fn proposal(number: u64, content: u8) -> Proposal {
     Proposal { number, digest: digest(&[content]) }
 }
 
 fn verdict(cell: &RegisterValue, number: u64, content: u8) -> Verdict {
-    match DecidedConfiguration::read(cell).status(&order(number, content)) {
+    match DecidedConfiguration::read(cell).status(&proposal(number, content)) {
         wv_control::proposal::ProposalStatus::Accepted => Verdict::Taken,
         wv_control::proposal::ProposalStatus::Conflict => Verdict::Lost,
         wv_control::proposal::ProposalStatus::Superseded => Verdict::Never,
@@ -30,7 +29,7 @@
 fn setup(wishes: &[&[Wish]]) -> Setup {
     Setup {
         without: Without::Nothing,
-        edit: |number, content| accept(order(number, content), vec![content]),
+        edit: |number, content| accept(proposal(number, content), vec![content]),
         verdict,
         wishes: wishes.iter().map(|wishes| wishes.to_vec()).collect(),
         rests: 0,
@@ -41,56 +40,56 @@
     }
 }
 
-fn holds(name: &str, setup: Setup) {
+fn expect_no_fault(name: &str, setup: Setup) {
     let seen = search(World::new(setup), Bound::of(99, STATES));
     println!("{}", seen.line(name));
     expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
 }
 
-fn breaks(name: &str, setup: Setup, fault: &str) {
+fn expect_fault(name: &str, setup: Setup, fault: &str) {
     let seen = search(World::new(setup), Bound { depth: 99, states: 100_000 });
     println!("{}", seen.line(name));
     expect_that!(seen.found.map(|found| found.fault), some(eq(fault)), "{name}");
 }
 
 #[gtest]
-fn given_two_orders_of_one_number_and_their_repeats_then_the_one_is_taken_at_each_and_the_other_lost_at_each() {
-    holds("orders of one number, both repeated", setup(&[&[W(1, 1), W(1, 1)], &[W(1, 2), W(1, 2)]]));
-    holds("a repeat elsewhere", Setup { crashes: 1, ..setup(&[&[W(1, 1)], &[W(1, 2), W(1, 1)]]) });
+fn given_two_proposals_of_one_number_and_retries_then_one_is_always_accepted_and_the_other_always_conflicts() {
+    expect_no_fault("proposals of one number, both retried", setup(&[&[W(1, 1), W(1, 1)], &[W(1, 2), W(1, 2)]]));
+    expect_no_fault("a retry elsewhere", Setup { crashes: 1, ..setup(&[&[W(1, 1)], &[W(1, 2), W(1, 1)]]) });
 }
 
 #[gtest]
-fn given_an_order_that_a_following_one_replaced_then_its_repeat_is_still_acknowledged() {
-    holds("an overtaken order is repeated", setup(&[&[W(1, 1), W(2, 2), W(1, 1)], &[W(1, 3)]]));
-    holds("orders of following numbers elsewhere", setup(&[&[W(1, 1), W(1, 1)], &[W(2, 2), W(1, 3)]]));
+fn given_a_proposal_replaced_by_a_later_one_then_its_retry_is_still_acknowledged() {
+    expect_no_fault("a superseded proposal is retried", setup(&[&[W(1, 1), W(2, 2), W(1, 1)], &[W(1, 3)]]));
+    expect_no_fault("proposals of later numbers elsewhere", setup(&[&[W(1, 1), W(1, 1)], &[W(2, 2), W(1, 3)]]));
 }
 
 #[gtest]
-fn given_a_register_that_tells_only_the_newest_order_then_the_model_finds_a_repeat_refused() {
+fn given_a_register_that_lists_only_the_newest_proposal_then_the_model_finds_a_refused_retry() {
     let wishes: &[&[Wish]] = &[&[W(1, 1), W(2, 2), W(1, 1)]];
-    let forgetful: fn(u64, u8) -> wv_consensus::Edit = |number, content| {
-        // As if each order were the first one.
-        let fresh = accept(order(number, content), vec![content])(&RegisterValue::default());
+    let newest_only: fn(u64, u8) -> wv_consensus::Edit = |number, content| {
+        // Encodes each proposal as if it were the first one.
+        let fresh = accept(proposal(number, content), vec![content])(&RegisterValue::default());
         Box::new(move |held| fresh.clone().filter(|_| held.version < number))
     };
-    breaks(
-        "only the newest order is told",
-        Setup { edit: forgetful, ..setup(wishes) },
+    expect_fault(
+        "only the newest proposal is listed",
+        Setup { edit: newest_only, ..setup(wishes) },
         "1:1 is refused, which was acknowledged",
     );
-    holds("all are told", setup(wishes));
+    expect_no_fault("all are listed", setup(wishes));
 }
 
 #[gtest]
-fn given_orders_known_by_their_number_alone_then_the_model_finds_a_number_acknowledged_twice() {
+fn given_proposals_identified_by_number_alone_then_the_model_finds_a_number_acknowledged_twice() {
     let verdict: fn(&RegisterValue, u64, u8) -> Verdict = |cell, number, _| {
-        let is_taken = DecidedConfiguration::read(cell).accepted.iter().any(|taken| taken.number == number);
-        if is_taken {
+        let is_accepted = DecidedConfiguration::read(cell).accepted.iter().any(|accepted| accepted.number == number);
+        if is_accepted {
             Verdict::Taken
         } else {
             Verdict::Never
         }
     };
     let wishes: &[&[Wish]] = &[&[W(1, 1)], &[W(1, 2)]];
-    breaks("digests not compared", Setup { verdict, ..setup(wishes) }, "number 1 is acknowledged twice");
+    expect_fault("digests not compared", Setup { verdict, ..setup(wishes) }, "number 1 is acknowledged twice");
 }
--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -1,4 +1,4 @@
-//! Stories of answers to what a control node asked: each counts for its own question, once, or not at all.
+//! Replies to requests of a control node: a late or repeated reply must not count for another request.
 use googletest::prelude::*;
 use wv_control::{Action, Core, Start};
 use wv_internal_protocol::Message;
@@ -10,12 +10,12 @@
 const CONF: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
   "targetMs":200,"destination":"s"}],"services":[{"label":"s","syncReplicas":1}]}"#;
 
-/// One control node that is its own majority, or has silent voters beside it.
+/// A control node that is the only voter, or whose other voters never reply.
 struct Node {
     core: Core,
     now: u64,
-    /// What was asked of databases and the platform: ask, database, text.
-    asked: Vec<(u64, String, String)>,
+    /// Requests to databases and the platform: request, database, statement.
+    requests: Vec<(u64, String, String)>,
     responses: Vec<(u64, u16)>,
 }
 
@@ -35,7 +35,7 @@
         };
         let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty folder");
         let core = Core::new(start, store).expect("a first start");
-        Node { core, now: 0, asked: Vec::new(), responses: Vec::new() }
+        Node { core, now: 0, requests: Vec::new(), responses: Vec::new() }
     }
 
     fn run(&mut self, us: u64) {
@@ -50,9 +50,9 @@
     fn apply_actions(&mut self) {
         for act in self.core.take_actions() {
             match act {
-                Action::QueryDatabase { request: ask, id, statement: text, .. } => self.asked.push((ask, id, text)),
-                Action::PromoteDatabase { request: ask, id, fence, .. } => {
-                    self.asked.push((ask, id, format!("POST {fence}")))
+                Action::QueryDatabase { request, id, statement, .. } => self.requests.push((request, id, statement)),
+                Action::PromoteDatabase { request, id, fence, .. } => {
+                    self.requests.push((request, id, format!("POST {fence}")))
                 }
                 Action::Respond { token, status, .. } => self.responses.push((token, status)),
                 _ => {}
@@ -64,7 +64,7 @@
         let token = self.core.allocate_id();
         self.core.handle_call(token, method, path, Some(body.as_bytes()), self.now);
         self.apply_actions();
-        self.responses.iter().find(|told| told.0 == token).map(|told| told.1)
+        self.responses.iter().find(|response| response.0 == token).map(|response| response.1)
     }
 
     fn heartbeat(&mut self, id: &str, state: &str, sequence: u32) -> Option<u16> {
@@ -74,40 +74,40 @@
         self.call("PUT", &format!("/instances/{id}"), &body.to_string())
     }
 
-    fn reply_row(&mut self, ask: u64, received: u64, held: u64) {
+    fn reply_row(&mut self, request: u64, received: u64, suspended_term: u64) {
         let received = LogPosition { term: 3, number: received };
-        let word: StatusReply = Ok(DatabaseStatus {
+        let reply: StatusReply = Ok(DatabaseStatus {
             is_primary: false,
             term: 3,
             received,
-            suspended_term: held,
+            suspended_term,
             lag_us: 0,
             busy_connections: 0,
             connections: 1,
         });
-        self.core.row(ask, word, self.now);
+        self.core.row(request, reply, self.now);
         self.apply_actions();
     }
 
-    fn take_asked(&mut self) -> Vec<(u64, String, String)> {
-        std::mem::take(&mut self.asked)
+    fn take_requests(&mut self) -> Vec<(u64, String, String)> {
+        std::mem::take(&mut self.requests)
     }
 
-    /// Everything of this text that was asked since, waited for.
-    fn await_asks(&mut self, text: &str) -> Vec<(u64, String, String)> {
+    /// Runs until a statement with this prefix was requested and returns all such requests.
+    fn await_requests(&mut self, text: &str) -> Vec<(u64, String, String)> {
         for _ in 0..40 {
-            if self.asked.iter().any(|(_, _, asked)| asked.starts_with(text)) {
+            if self.requests.iter().any(|(_, _, asked)| asked.starts_with(text)) {
                 break;
             }
             self.run(100 * MS);
         }
-        let all = self.take_asked();
+        let all = self.take_requests();
         all.into_iter().filter(|(_, _, asked)| asked.starts_with(text)).collect()
     }
 }
 
-/// A node whose duty is to replace a primary that leaves, with the looks that it sent.
-fn looking() -> (Node, Vec<(u64, String, String)>) {
+/// A node that replaces a leaving primary, with the status queries that it sent.
+fn start_queries() -> (Node, Vec<(u64, String, String)>) {
     let mut node = Node::new(&[ME]);
     node.run(1_000 * MS);
     node.call("PUT", "/configuration", CONF);
@@ -115,63 +115,63 @@
         node.heartbeat(id, "in_service", 1);
     }
     node.run(1_000 * MS);
-    node.take_asked();
+    node.take_requests();
     node.heartbeat("d1", "draining", 2);
-    let looks = node.await_asks("ENQUIRY");
-    (node, looks)
+    let queries = node.await_requests("ENQUIRY");
+    (node, queries)
 }
 
 #[gtest]
-fn given_rows_of_an_earlier_look_then_they_do_not_pass_for_suspensions() {
-    let (mut node, looks) = looking();
-    expect_that!(looks.len(), eq(2));
-    // None comes in time; the attempt ends, and the next one looks again.
-    let again = node.await_asks("ENQUIRY");
-    looks.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    expect_that!(node.take_asked(), is_empty(), "late rows of the first look move nothing");
-    again.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    let suspended = node.await_asks("SUSPEND");
-    expect_that!(suspended.len(), eq(1), "all but the nominee");
-    // A second row to the look, and to the first one: the suspension is not in force until its own row says so.
-    looks.iter().chain(&again).for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    expect_that!(node.take_asked(), is_empty());
+fn given_rows_of_an_earlier_query_then_they_do_not_confirm_suspensions() {
+    let (mut node, queries) = start_queries();
+    expect_that!(queries.len(), eq(2));
+    // No reply arrives in time, so the attempt ends and the next one sends new queries.
+    let again = node.await_requests("ENQUIRY");
+    queries.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    expect_that!(node.take_requests(), is_empty(), "late rows of the first queries have no effect");
+    again.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    let suspended = node.await_requests("SUSPEND");
+    expect_that!(suspended.len(), eq(1), "all but the candidate");
+    // Repeated rows of either attempt must not confirm the suspension.
+    queries.iter().chain(&again).for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    expect_that!(node.take_requests(), is_empty());
     node.reply_row(suspended[0].0, 9, 4);
-    expect_that!(node.await_asks("POST").len(), eq(1));
+    expect_that!(node.await_requests("POST").len(), eq(1));
 }
 
 #[gtest]
-fn given_rows_of_what_lifted_suspensions_then_they_do_not_pass_for_the_next_looks() {
-    let (mut node, looks) = looking();
-    looks.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    let suspended = node.await_asks("SUSPEND");
-    // Its row does not come: all is lifted, and begun again.
-    let lifted = node.await_asks("CONTINUE");
+fn given_rows_of_lifted_suspensions_then_they_do_not_answer_the_next_queries() {
+    let (mut node, queries) = start_queries();
+    queries.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    let suspended = node.await_requests("SUSPEND");
+    // The suspension gets no reply, so it is lifted and the attempt starts again.
+    let lifted = node.await_requests("CONTINUE");
     expect_that!(lifted.is_empty(), eq(false), "{suspended:?}");
-    let again = node.await_asks("ENQUIRY");
+    let again = node.await_requests("ENQUIRY");
     expect_that!(again.len(), eq(2));
-    lifted.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    suspended.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 4));
-    expect_that!(node.take_asked(), is_empty());
+    lifted.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    suspended.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 4));
+    expect_that!(node.take_requests(), is_empty());
 }
 
 #[gtest]
-fn given_returns_of_the_platform_twice_or_to_an_earlier_call_then_only_the_open_call_hears_its_own() {
-    let (mut node, looks) = looking();
-    looks.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 0));
-    let suspended = node.await_asks("SUSPEND");
-    suspended.iter().for_each(|(ask, _, _)| node.reply_row(*ask, 9, 4));
-    let first = node.await_asks("POST");
+fn given_repeated_or_late_platform_responses_then_only_the_open_call_is_affected_by_its_own() {
+    let (mut node, queries) = start_queries();
+    queries.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 0));
+    let suspended = node.await_requests("SUSPEND");
+    suspended.iter().for_each(|(request, _, _)| node.reply_row(*request, 9, 4));
+    let first = node.await_requests("POST");
     expect_that!(first.len(), eq(1));
-    // Silence: it is looked what came of it, nothing is posted again by itself, and then all begins anew.
+    // Without a reply the outcome is queried and the call is not repeated; then a new attempt starts.
     let mut asked = Vec::new();
     let mut second = Vec::new();
     for _ in 0..100 {
         node.run(100 * MS);
-        for (ask, id, text) in node.take_asked() {
+        for (request, id, text) in node.take_requests() {
             match text.split(' ').next() {
-                Some("SUSPEND") => node.reply_row(ask, 9, 4),
-                Some("ENQUIRY") => node.reply_row(ask, 9, 0),
-                Some("POST") => second.push((ask, id.clone(), text.clone())),
+                Some("SUSPEND") => node.reply_row(request, 9, 4),
+                Some("ENQUIRY") => node.reply_row(request, 9, 0),
+                Some("POST") => second.push((request, id.clone(), text.clone())),
                 _ => {}
             }
             asked.push(text);
@@ -182,19 +182,19 @@
     }
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].2, not(eq(&first[0].2)), "another attempt has another fence");
-    // The first call's refusal is late: the second one is not given up for it.
+    // The late refusal of the first call must not end the second one.
     asked.clear();
     node.core.posted(first[0].0, Some(409), node.now);
     node.apply_actions();
-    expect_that!(node.take_asked().iter().any(|(_, _, text)| text == "CONTINUE"), eq(false));
+    expect_that!(node.take_requests().iter().any(|(_, _, text)| text == "CONTINUE"), eq(false));
     node.core.posted(second[0].0, Some(409), node.now);
     node.apply_actions();
-    expect_that!(node.take_asked().iter().any(|(_, _, text)| text == "CONTINUE"), eq(true));
+    expect_that!(node.take_requests().iter().any(|(_, _, text)| text == "CONTINUE"), eq(true));
 }
 
 #[gtest]
-fn given_a_stray_primary_that_is_told_to_yield_then_the_row_of_that_is_not_the_one_of_its_suspension() {
-    let (mut node, looks) = looking();
+fn given_a_stale_primary_that_has_to_yield_then_the_row_of_the_yield_does_not_confirm_its_suspension() {
+    let (mut node, queries) = start_queries();
     let link = node.core.accept_link(node.now);
     let hello = Message::Hello {
         node: "a0".to_owned(),
@@ -203,7 +203,7 @@
         handover_address: String::new(),
         incarnation: 5,
     };
-    let sight = wv_internal_protocol::HealthReport {
+    let report = wv_internal_protocol::HealthReport {
         id: "d1".to_owned(),
         health: wv_internal_protocol::Health::Up,
         health_age_us: 0,
@@ -212,21 +212,26 @@
         fenced_age_us: 0,
     };
     node.core.handle_message(link, hello, node.now);
-    node.core.handle_message(link, Message::HealthReports(vec![sight]), node.now);
-    for (ask, id, _) in &looks {
+    node.core.handle_message(link, Message::HealthReports(vec![report]), node.now);
+    for (request, id, _) in &queries {
         let (is_primary, term, number) = if id == "d2" { (true, 2, 5) } else { (false, 3, 9) };
         let received = LogPosition { term, number };
-        node.core.row(*ask, Ok(DatabaseStatus { is_primary, term, received, ..DatabaseStatus::default() }), node.now);
+        node.core.row(
+            *request,
+            Ok(DatabaseStatus { is_primary, term, received, ..DatabaseStatus::default() }),
+            node.now,
+        );
         node.apply_actions();
     }
-    let asked = node.take_asked();
-    let of =
-        |text: &str| asked.iter().find(|(_, id, asked)| id == "d2" && asked.starts_with(text)).map(|(ask, ..)| *ask);
+    let asked = node.take_requests();
+    let of = |text: &str| {
+        asked.iter().find(|(_, id, asked)| id == "d2" && asked.starts_with(text)).map(|(request, ..)| *request)
+    };
     let (Some(yielded), Some(suspended)) = (of("YIELD"), of("SUSPEND")) else {
-        return expect_that!(asked, is_empty(), "both are asked of it");
+        return expect_that!(asked, is_empty(), "both are requested of it");
     };
     node.reply_row(yielded, 5, 0);
-    expect_that!(node.take_asked(), is_empty(), "not suspended yet");
+    expect_that!(node.take_requests(), is_empty(), "not suspended yet");
     node.reply_row(suspended, 5, 4);
-    expect_that!(node.await_asks("POST").len(), eq(1));
+    expect_that!(node.await_requests("POST").len(), eq(1));
 }
--- a/crates/wv-control/tests/single_node/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -1,4 +1,4 @@
-//! One control node among three, whose peers answer when the story says so.
+//! One control node of three, whose peers are simulated by the test.
 use std::collections::BTreeMap;
 use wv_control::{Action, Core, Start};
 use wv_internal_protocol::{Ballot, Message, RegisterReply, RegisterRequest, RegisterValue};
@@ -12,10 +12,10 @@
     pub core: Core,
     pub now: u64,
     pub links: BTreeMap<String, u64>,
-    /// What it has sent to each peer and is not answered yet.
+    /// Messages sent to each peer that are not answered yet.
     pub sent: Vec<(String, Message)>,
     pub responses: BTreeMap<u64, u16>,
-    /// How often it asked a database something.
+    /// Number of queries sent to databases.
     pub database_queries: usize,
 }
 
@@ -24,23 +24,23 @@
         Node::with_tolerance(1)
     }
 
-    /// One whose settings say how many machines may be lost at once.
-    pub fn with_tolerance(tolerate: usize) -> Node {
-        Node::start(ME, tolerate, true)
+    /// A node that has to tolerate the loss of this many machines.
+    pub fn with_tolerance(tolerated_machines: usize) -> Node {
+        Node::start(ME, tolerated_machines, true)
     }
 
-    /// At this address, with a disk or without; the three seeds vote.
-    pub fn start(me: &str, tolerate: usize, is_core: bool) -> Node {
+    /// Starts a node at an address, with or without a disk; the three seeds are the voters.
+    pub fn start(address: &str, tolerated_machines: usize, has_disk: bool) -> Node {
         let seeds: Vec<String> = (1..4).map(|at| format!("10.0.0.{at}:80")).collect();
         let start = Start {
-            address: me.to_owned(),
+            address: address.to_owned(),
             node: "c0".to_owned(),
             zone: "z0".to_owned(),
             incarnation: 1,
             seeds,
             is_initial_start: true,
-            has_disk: is_core,
-            tolerated_machines: tolerate,
+            has_disk,
+            tolerated_machines,
             disk_id: 1,
             requester_id: WHO,
         };
@@ -75,25 +75,25 @@
         self.apply_actions();
     }
 
-    /// An access node comes on a link of its own and follows.
+    /// Connects an access node that subscribes to the feed.
     pub fn subscribe(&mut self) {
         let link = self.core.accept_link(self.now);
         self.links.insert("a0".to_owned(), link);
-        let (node, place) = ("a0".to_owned(), String::new());
+        let (node, handover_address) = ("a0".to_owned(), String::new());
         self.receive(
             "a0",
             Message::Hello {
                 node,
                 control_address: String::new(),
                 zone: String::new(),
-                handover_address: place,
+                handover_address,
                 incarnation: 5,
             },
         );
         self.receive("a0", Message::Subscribe { incarnation: 0, position: 0 });
     }
 
-    /// Its turns for so long; nothing is answered.
+    /// Ticks for the given time without answering any message.
     pub fn run(&mut self, us: u64) {
         let end = self.now + us;
         while self.now < end {
@@ -103,21 +103,21 @@
         }
     }
 
-    /// Takes out what was sent and is meant.
-    pub fn take_sent(&mut self, is_meant: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
-        let (meant, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, msg)| is_meant(msg));
+    /// Removes and returns the sent messages that match.
+    pub fn take_sent(&mut self, is_match: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
+        let (matching, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, msg)| is_match(msg));
         self.sent = rest;
-        meant
+        matching
     }
 
-    /// The peers answer what was sent so far and is meant, as empty voters do.
-    pub fn answer(&mut self, is_meant: impl Fn(&Message) -> bool) {
-        for (from, msg) in self.take_sent(is_meant) {
+    /// Answers the sent messages that match, as voters without data.
+    pub fn answer(&mut self, is_match: impl Fn(&Message) -> bool) {
+        for (from, msg) in self.take_sent(is_match) {
             reply(&msg).into_iter().for_each(|answer| self.receive(&from, answer));
         }
     }
 
-    /// Turns in which everything is answered at once.
+    /// Ticks for the given time and answers every message at once.
     pub fn run_answering(&mut self, us: u64) {
         let end = self.now + us;
         while self.now < end {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The next round of pings: when it was sent, and the pings.
+    /// Runs until the next pings are sent; returns their time and the pings.
     pub fn next_pings(&mut self) -> (u64, Vec<(String, Message)>) {
         self.sent.clear();
         while !self.sent.iter().any(|(_, msg)| is_ping(msg)) {
@@ -145,8 +145,8 @@
 
 pub fn reply(msg: &Message) -> Option<Message> {
     match msg.clone() {
-        Message::Ping { requester: asker, request } => Some(Message::Pong {
-            requester: asker,
+        Message::Ping { requester, request } => Some(Message::Pong {
+            requester,
             request,
             version: 0,
             disk: Some(0),
@@ -154,12 +154,12 @@
             sealed_set: 0,
             ready: true,
         }),
-        Message::RegisterRequest { requester: asker, request, key, step, .. } => {
+        Message::RegisterRequest { requester, request, key, step, .. } => {
             let vote = match step {
                 RegisterRequest::Accept { .. } => RegisterReply::Accepted,
                 _ => RegisterReply::Current { accepted: Ballot::default(), value: Some(RegisterValue::default()) },
             };
-            Some(Message::RegisterReply { requester: asker, request, key, vote })
+            Some(Message::RegisterReply { requester, request, key, vote })
         }
         Message::Hello { .. } => {
             let member = |at| wv_internal_protocol::Member { addr: format!("10.0.0.{at}:80"), disk: 0 };
@@ -171,9 +171,9 @@
                 previous_voters: wv_internal_protocol::VoterSet::default(),
             })
         }
-        Message::Resync { requester: asker, request, .. } => Some(Message::ResyncDone { requester: asker, request }),
-        Message::Instance { requester: asker, request, instance: inst } if request > 0 => {
-            Some(Message::InstanceAck { requester: asker, request, id: inst.id })
+        Message::Resync { requester, request, .. } => Some(Message::ResyncDone { requester, request }),
+        Message::Instance { requester, request, instance: inst } if request > 0 => {
+            Some(Message::InstanceAck { requester, request, id: inst.id })
         }
         _ => None,
     }
