--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -1,5 +1,5 @@
 //! Contact with a majority of the voters, timed from when each ping was sent, and catching up after contact was lost.
-use crate::core::{Core, FRESH_US};
+use crate::core::{Core, CONTACT_TTL_US};
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
@@ -62,13 +62,13 @@
 
     /// Whether this node counts toward a majority of the voters.
     pub(crate) fn is_majority_member(&self) -> bool {
-        self.seat.successor_voting_set(&self.me) > 0
+        self.seat.successor_voting_set(&self.address) > 0
     }
 
     pub(crate) fn new_ping(&mut self) -> Message {
         let (requester, request, now) = (self.quorum.incarnation(), self.quorum.next_request(), self.now);
         let pings = &mut self.contact.pings;
-        pings.retain(|(_, sent)| sent + FRESH_US > now);
+        pings.retain(|(_, sent)| sent + CONTACT_TTL_US > now);
         if pings.len() == PINGS_MAX {
             pings.pop_front();
         }
@@ -78,7 +78,7 @@
 
     /// When the ping was sent that this pong answers. `None` if the ping is from an earlier incarnation or has expired.
     pub(crate) fn ping_sent_at(&self, requester: u64, request: u64) -> Option<u64> {
-        let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + FRESH_US > self.now;
+        let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + CONTACT_TTL_US > self.now;
         let sent = self.contact.pings.iter().find(is_sent).map(|(_, sent)| *sent);
         sent.filter(|_| requester == self.quorum.incarnation())
     }
@@ -89,13 +89,14 @@
         let voters = self.quorum.voters();
         // Includes voters that are sealed for a successor: nothing newer can be decided without them.
         let own = self.is_majority_member().then_some(self.now);
-        let is_voting = |peer: &&crate::types::Peer| peer.set.max(peer.sealed) == voters.number && peer.contact > 0;
+        let is_voting =
+            |peer: &&crate::types::Peer| peer.voter_set.max(peer.sealed_set) == voters.number && peer.last_contact > 0;
         let others = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_voting);
-        let mut dates: Vec<u64> = others.map(|peer| peer.contact).chain(own).collect();
+        let mut dates: Vec<u64> = others.map(|peer| peer.last_contact).chain(own).collect();
         dates.sort_unstable_by(|one, other| other.cmp(one));
         let newest = dates.get(self.quorum.majority() - 1).filter(|_| !voters.members.is_empty());
         self.contact.valid_until =
-            newest.map_or(self.contact.valid_until, |date| self.contact.valid_until.max(date + FRESH_US));
+            newest.map_or(self.contact.valid_until, |date| self.contact.valid_until.max(date + CONTACT_TTL_US));
         if !self.contact.is_established && self.has_majority() {
             self.on_majority_gained();
         }
@@ -113,8 +114,8 @@
         self.refuse_pending();
         // Followers switch to another node at once and receive no more updates: anything published from now on may be
         // stale.
-        self.beat_followers();
-        self.links.values_mut().for_each(|link| link.is_follower = false);
+        self.send_heartbeats();
+        self.links.values_mut().for_each(|link| link.is_subscriber = false);
     }
 
     /// Starts new reads of everything that may have changed while contact was lost.
@@ -129,7 +130,7 @@
     /// Retries the reads that failed.
     pub(crate) fn continue_catch_up(&mut self) {
         if self.contact.is_established && !self.is_caught_up {
-            if !self.is_thin() && !self.contact.has_conf {
+            if !self.is_diskless() && !self.contact.has_conf {
                 self.read_newest_conf();
             }
             self.request_resync();
@@ -149,7 +150,7 @@
         let times = |addr: &str| self.contact.resync_targets.iter().filter(|asked| *asked == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
-            *addr != self.me && is_up && !self.contact.resynced_voters.contains(*addr)
+            *addr != self.address && is_up && !self.contact.resynced_voters.contains(*addr)
         };
         let next = self.quorum.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
@@ -169,7 +170,7 @@
 
     /// Answers a node that was out of contact: databases that differ, leaders, owners, and finally `ResyncDone`.
     pub(crate) fn answer_resync(&mut self, link: u64, (requester, request): (u64, u64), ranges: &[u64]) {
-        self.compare(link, ranges);
+        self.send_differing_ranges(link, ranges);
         self.send_leaves(link);
         let leads: Vec<Message> = self.feed.leaders().cloned().map(Message::Leader).collect();
         leads.into_iter().for_each(|lead| self.send(link, lead));
@@ -193,9 +194,9 @@
     /// Reads the configuration in force from its register.
     pub(crate) fn read_newest_conf(&mut self) {
         if !std::mem::replace(&mut self.contact.is_reading_conf, true) {
-            let token = self.fresh_id();
-            self.waiting.insert(token, crate::types::Waiting::Sync(self.contact.generation));
-            self.quorum.start(token, crate::core::CONF, None, self.now);
+            let token = self.allocate_id();
+            self.operations.insert(token, crate::types::Operation::SyncConfiguration(self.contact.generation));
+            self.quorum.start(token, crate::core::CONF_KEY, None, self.now);
             self.run_quorum();
         }
     }
@@ -211,23 +212,24 @@
 
     /// Marks this node as caught up once every read since contact was established has completed.
     pub(crate) fn check_caught_up(&mut self) {
-        let has_conf = if self.is_thin() { self.has_newest_conf() } else { self.contact.has_conf };
+        let has_conf = if self.is_diskless() { self.has_newest_conf() } else { self.contact.has_conf };
         let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced_shards.contains(&plan.shard);
         let has_slots = self.conf.as_ref().is_none_or(|conf| conf.shard_plans.iter().all(is_synced));
         let is_whole = has_conf && has_slots && self.is_resynced();
         if is_whole && self.contact.is_established && self.has_majority() && !self.is_caught_up {
             self.is_caught_up = true;
-            self.take_pending();
+            self.resume_pending();
         }
-        self.serve_follows();
+        self.serve_subscriptions();
     }
 
     /// Whether a majority of the voters, pinged in this generation, holds no newer configuration.
     fn has_newest_conf(&self) -> bool {
         let voters = self.quorum.voters();
         let is_heard = |peer: &&crate::types::Peer| {
-            let is_asked = peer.contact >= self.contact.established_at && peer.contact + FRESH_US > self.now;
-            is_asked && peer.set == voters.number && peer.conf <= self.published
+            let is_asked =
+                peer.last_contact >= self.contact.established_at && peer.last_contact + CONTACT_TTL_US > self.now;
+            is_asked && peer.voter_set == voters.number && peer.conf_version <= self.committed_version
         };
         let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
         !voters.members.is_empty() && heard.count() >= self.quorum.majority()
@@ -240,6 +242,6 @@
 
     /// Whether this node started so recently that the other nodes may be starting as well.
     pub(crate) fn is_starting(&self) -> bool {
-        self.now < self.born + crate::core::AWAIT_US
+        self.now < self.started_at + crate::core::STARTUP_GRACE_US
     }
 }
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -34,7 +34,7 @@
         let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
         let heir =
             self.table.service_instances(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
-        let departure = self.left.get(&inst.id);
+        let departure = self.departures.get(&inst.id);
         let unreachable = departure
             .and_then(|departure| departure.unreachable_since)
             .map(|unreachable| unreachable + UNREACHABLE_TIMEOUT_US)
@@ -50,16 +50,16 @@
         let is_due = |(id, departure): &(&String, &Departure)| {
             let service = self.table.get(id).map(|inst| inst.service.as_str());
             let is_counted = service.is_some_and(|service| {
-                let is_later = self.led.get(service).is_none_or(|led| departure.left_at >= *led);
-                is_later && self.roster.is_duty_holder(service)
+                let is_later = self.leader_changed_at.get(service).is_none_or(|led| departure.left_at >= *led);
+                is_later && self.membership.is_duty_holder(service)
             });
             let gap = if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
             departure.ended_at.is_none() && departure.polled_at + gap <= now && is_counted
         };
-        let due: Vec<String> = self.left.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
+        let due: Vec<String> = self.departures.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
             let Some(service) = self.table.get(&id).map(|inst| inst.service.clone()) else { continue };
-            self.left.entry(id.clone()).or_default().polled_at = now;
+            self.departures.entry(id.clone()).or_default().polled_at = now;
             self.send_db_request(&service, id, "ENQUIRY".to_owned(), 0);
         }
     }
@@ -70,9 +70,9 @@
     pub(crate) fn required_departures(&self) -> BTreeSet<String> {
         let mut last: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
         let mut needed = BTreeSet::new();
-        for (id, departure) in &self.left {
+        for (id, departure) in &self.departures {
             let Some(inst) = self.table.get(id).filter(|inst| inst.gone) else { continue };
-            if self.led.get(&inst.service).is_some_and(|led| departure.left_at < *led) {
+            if self.leader_changed_at.get(&inst.service).is_some_and(|led| departure.left_at < *led) {
                 continue;
             }
             match self.departure_status(inst).stopped_for_us {
@@ -93,7 +93,7 @@
         let is_replaced =
             self.table.get(id).is_some_and(|inst| inst.gone && self.departure_status(inst).successor.is_some());
         let now = self.now;
-        let Some(departure) = self.left.get_mut(id) else { return };
+        let Some(departure) = self.departures.get_mut(id) else { return };
         match reply {
             Ok(_) => (departure.ended_at, departure.unreachable_since) = (None, None),
             Err(StatusError::Refused) => departure.ended_at = departure.ended_at.or(Some(now)),
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,6 +1,6 @@
 //! Duties held by this node: inputs to the promotion state machines and execution of their effects.
-use crate::core::{Act, Core};
-use crate::types::{Asked, Waiting};
+use crate::core::{Action, Core};
+use crate::types::{Operation, PendingRequest};
 use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
 use wv_promotion::{Database, Effect, Event, ServiceView, StatusError, StatusReply};
@@ -19,7 +19,7 @@
         for report in &reports {
             // The last fenced position of a leader that is gone still determines which databases may succeed it.
             let is_gone = self.table.get(&report.id).is_some_and(|inst| inst.gone);
-            let by_node = self.sights.entry(report.id.clone()).or_default();
+            let by_node = self.health_reports.entry(report.id.clone()).or_default();
             if report.health == Health::Unknown && (report.fenced_position.is_empty() || !is_gone) {
                 by_node.remove(node);
             } else {
@@ -34,15 +34,15 @@
 
     /// The databases of a service, including those that left under the current leader.
     fn databases(&self, service: &str, lead: Option<&str>) -> Vec<Database> {
-        let led = self.led.get(service).copied().unwrap_or(0);
+        let led = self.leader_changed_at.get(service).copied().unwrap_or(0);
         let is_counted = |inst: &&wv_internal_protocol::Instance| {
-            let is_left = inst.gone && self.left.get(&inst.id).is_some_and(|held| held.left_at >= led);
+            let is_left = inst.gone && self.departures.get(&inst.id).is_some_and(|held| held.left_at >= led);
             !inst.gone || (is_left && Some(inst.id.as_str()) != lead)
         };
         let database = |inst: &wv_internal_protocol::Instance| Database {
             id: inst.id.clone(),
             is_draining: inst.draining,
-            refused_for_us: self.refused_us(&inst.id),
+            refused_for_us: self.refused_for_us(&inst.id),
             departed: inst.gone.then(|| self.departure_status(inst)),
         };
         self.table.service_instances(service).filter(is_counted).map(database).collect()
@@ -59,18 +59,18 @@
         let service_conf = self.conf.as_ref().and_then(|conf| conf.services.get(service));
         let view = ServiceView {
             now: self.now,
-            is_duty_holder: self.roster.is_duty_holder(service) && self.is_stable_for(STABLE_CONTACT_US),
+            is_duty_holder: self.membership.is_duty_holder(service) && self.is_stable_for(STABLE_CONTACT_US),
             leader: lead.as_deref(),
             sync_replicas: service_conf.map_or(1, |held| held.sync_replicas),
             databases: &databases,
-            is_switchover_requested: self.is_raise_wanted(service),
+            is_switchover_requested: self.is_term_raise_needed(service),
             is_leader_suspected: lead
                 .as_deref()
-                .is_some_and(|lead| self.words(lead).any(|(report, _)| report.health != Health::Up)),
+                .is_some_and(|lead| self.reports(lead).any(|(report, _)| report.health != Health::Up)),
             is_leader_closed_to_new_work: lead.as_deref().is_some_and(|lead| self.is_past_drain(lead)),
             is_leader_down: lead.as_deref().is_some_and(|lead| self.is_down(lead)),
             term: self.known_term(service),
-            fenced_position: lead.as_deref().and_then(|lead| self.fenced(lead)),
+            fenced_position: lead.as_deref().and_then(|lead| self.fenced_position(lead)),
         };
         run(&mut duty, &view);
         let effects = duty.take_effects();
@@ -83,11 +83,11 @@
         let Some(conf) = self.conf.as_ref() else { return };
         let is_engaged =
             |service: &&String| self.duties.get(*service).is_some_and(wv_promotion::PromotionCoordinator::is_active);
-        let is_meant = |service: &&String| self.roster.is_duty_holder(service) || is_engaged(service);
+        let is_meant = |service: &&String| self.membership.is_duty_holder(service) || is_engaged(service);
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
         // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
-        self.calls.asks.retain(|_, asked| asked.turn == 0 || self.duties.contains_key(&asked.service));
+        self.calls.requests.retain(|_, asked| asked.step == 0 || self.duties.contains_key(&asked.service));
         services.iter().for_each(|service| self.run_duty(service));
         self.poll_departed();
     }
@@ -102,7 +102,7 @@
         let service = |id: &String| self.table.get(id).map(|inst| inst.service.clone());
         let services: std::collections::BTreeSet<String> = ids.iter().filter_map(service).collect();
         let is_known = |service: &String| self.conf.as_ref().is_some_and(|conf| conf.services.contains_key(service));
-        let held = services.into_iter().filter(|service| is_known(service) && self.roster.is_duty_holder(service));
+        let held = services.into_iter().filter(|service| is_known(service) && self.membership.is_duty_holder(service));
         held.collect::<Vec<String>>().iter().for_each(|service| self.run_duty(service));
     }
 
@@ -118,8 +118,8 @@
     }
 
     pub(crate) fn track_request(&mut self, service: &str, id: &str, turn: u64) -> u64 {
-        let ask = self.fresh_id();
-        self.calls.asks.insert(ask, Asked { service: service.to_owned(), id: id.to_owned(), turn });
+        let ask = self.allocate_id();
+        self.calls.requests.insert(ask, PendingRequest { service: service.to_owned(), id: id.to_owned(), step: turn });
         ask
     }
 
@@ -129,15 +129,15 @@
         match effect {
             Effect::ClaimFence => self.claim_duty(service),
             Effect::ConfirmFence => {
-                self.calls.confirms.insert(service.to_owned(), self.now);
-                self.start_duty_op(service, Waiting::Confirm(service.to_owned(), turn), None);
+                self.calls.confirm_started.insert(service.to_owned(), self.now);
+                self.start_duty_op(service, Operation::ConfirmDuty(service.to_owned(), turn), None);
             }
             Effect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
             Effect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
             Effect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
             Effect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
             Effect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
-            Effect::RequestPromotion { id, fence } => self.post(service, id, fence),
+            Effect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
             Effect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
             Effect::AnnounceLeader { id, term } => {
                 let lead = Leader { service: service.to_owned(), id, term };
@@ -152,8 +152,8 @@
         // Ignores older terms and repeated messages.
         if held.is_none_or(|held| held.term < lead.term && !(held.id == lead.id && held.term == lead.term)) {
             self.record_lead_change(&lead);
-            self.is_table_due = true;
-            self.claims.promoted.insert(lead.service.clone(), lead.clone());
+            self.is_table_unsaved = true;
+            self.leadership.promoted.insert(lead.service.clone(), lead.clone());
             self.publish(FeedUpdate::Leader(lead));
         }
     }
@@ -161,7 +161,7 @@
     /// Departures before a change of leader no longer matter: the new leader's log holds everything acknowledged.
     pub(crate) fn record_lead_change(&mut self, lead: &Leader) {
         if self.feed.leader(&lead.service).is_some_and(|held| held.id != lead.id) {
-            self.led.insert(lead.service.clone(), self.now);
+            self.leader_changed_at.insert(lead.service.clone(), self.now);
         }
     }
 
@@ -169,7 +169,13 @@
         match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
                 let ask = self.track_request(service, &id, turn);
-                self.acts.push(Act::Request { ask, service: service.to_owned(), id, addr, text });
+                self.actions.push(Action::QueryDatabase {
+                    request: ask,
+                    service: service.to_owned(),
+                    id,
+                    addr,
+                    statement: text,
+                });
             }
             None => self.on_duty_event(service, turn, Event::Status { id, reply: Err(StatusError::Refused) }),
         }
@@ -178,7 +184,9 @@
     /// Handles a database's status reply, or the failure to get one.
     pub fn on_db_status(&mut self, ask: u64, reply: StatusReply, now: u64) {
         self.advance_clock(now);
-        let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
+        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+            return;
+        };
         log::info!("duty {service}: status of {id}: {reply:?}");
         self.record_departure_reply(&id, reply);
         self.on_duty_event(&service, turn, Event::Status { id, reply });
@@ -188,27 +196,29 @@
     /// Handles the platform's response to a promotion call, or the failure to get one.
     pub fn on_promotion_response(&mut self, ask: u64, code: Option<u16>, now: u64) {
         self.advance_clock(now);
-        let Some(Asked { service, id, turn }) = self.calls.asks.remove(&ask) else { return };
+        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+            return;
+        };
         log::info!("duty {service}: platform returned {code:?} for {id}");
         self.on_duty_event(&service, turn, Event::PromotionReturned(code));
         self.run_quorum();
     }
 
-    pub(crate) fn start_duty_op(&mut self, service: &str, waiting: Waiting, edit: Option<wv_consensus::UpdateFn>) {
-        let token = self.fresh_id();
-        self.waiting.insert(token, waiting);
+    pub(crate) fn start_duty_op(&mut self, service: &str, waiting: Operation, edit: Option<wv_consensus::UpdateFn>) {
+        let token = self.allocate_id();
+        self.operations.insert(token, waiting);
         self.quorum.start(token, &duty_key(service), edit, self.now);
     }
 
     /// Claims the duty with a single register write: the next fence under this node's name. Fences are unique per
     /// write.
     fn claim_duty(&mut self, service: &str) {
-        self.calls.confirms.insert(service.to_owned(), self.now);
-        let name = self.me.clone().into_bytes();
+        self.calls.confirm_started.insert(service.to_owned(), self.now);
+        let name = self.address.clone().into_bytes();
         let edit: wv_consensus::UpdateFn =
             Box::new(move |held| Some(wv_consensus::register_value(held.version + 1, name.clone())));
         let turn = self.duty_step(service);
-        self.start_duty_op(service, Waiting::Claim(service.to_owned(), turn), Some(edit));
+        self.start_duty_op(service, Operation::ClaimDuty(service.to_owned(), turn), Some(edit));
     }
 
     /// A previous holder may have a promotion call in flight, unless the previous claim was made by this incarnation.
@@ -219,7 +229,7 @@
         outcome: OperationOutcome,
         before: &wv_internal_protocol::RegisterValue,
     ) {
-        let is_mine = |cell: &wv_internal_protocol::RegisterValue| cell.bytes == self.me.as_bytes();
+        let is_mine = |cell: &wv_internal_protocol::RegisterValue| cell.bytes == self.address.as_bytes();
         let fence = match outcome {
             OperationOutcome::Written(cell) if is_mine(&cell) => Some(cell.version),
             _ => None,
@@ -234,7 +244,7 @@
     /// Whether the duty register still names this node under its latest fence.
     pub(crate) fn holds_duty_register(&self, service: &str, outcome: &OperationOutcome) -> bool {
         let fence = self.fences.get(service).copied();
-        matches!(outcome, OperationOutcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.me.as_bytes())
+        matches!(outcome, OperationOutcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.address.as_bytes())
     }
 
     pub(crate) fn on_duty_confirmed(&mut self, service: String, turn: u64, outcome: OperationOutcome) {
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -11,7 +11,7 @@
         key: &str,
         step: &RegisterRequest,
     ) -> Option<RegisterReply> {
-        (set > 0 && self.seat.voting_set(&self.me) == set && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
+        (set > 0 && self.seat.voting_set(&self.address) == set && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
             .then_some(())?;
         let log_not_stored = |error: wv_consensus::RegisterError| log::error!("cannot store register {key}: {error}");
         match step {
@@ -52,7 +52,7 @@
                 break;
             }
             for (voter, msg) in out {
-                if voter != self.me {
+                if voter != self.address {
                     self.send_peer(&voter, msg);
                     continue;
                 }
@@ -60,7 +60,7 @@
                     continue;
                 };
                 let vote = self.answer_register_step(set, &key, &step);
-                let me = self.me.clone();
+                let me = self.address.clone();
                 vote.into_iter().for_each(|vote| self.quorum.on_reply(&me, (requester, request), &key, vote, self.now));
             }
         }
@@ -71,18 +71,18 @@
 
     /// Schedules a wake-up for pauses between proposals that end before the next tick.
     fn schedule_wake(&mut self) {
-        let due = self.quorum.next_due_us().filter(|due| *due < self.now + crate::core::TURN_US);
-        let is_armed = |due: &u64| self.armed > self.now && self.armed <= *due;
+        let due = self.quorum.next_due_us().filter(|due| *due < self.now + crate::core::TICK_US);
+        let is_armed = |due: &u64| self.next_wake > self.now && self.next_wake <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
-            self.armed = due.max(self.now + 1);
-            self.acts.push(crate::Act::Wake { us: self.armed - self.now });
+            self.next_wake = due.max(self.now + 1);
+            self.actions.push(crate::Action::Wake { delay_us: self.next_wake - self.now });
         }
     }
 
     /// Called when a scheduled wake-up is due.
     pub fn wake(&mut self, now: u64) {
         self.advance_clock(now);
-        self.run_calls();
+        self.run_platform_calls();
         self.run_quorum();
     }
 }
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -1,5 +1,5 @@
 //! Operator requests on planned shards: splits, key names and usage histories.
-use crate::conf::cause;
+use crate::conf::error_body;
 use crate::core::Core;
 use crate::shard_usage::{ShardUsage, SPLIT_REQUEST_US};
 use wv_shard_forecast::History;
@@ -52,14 +52,14 @@
         change: impl FnOnce(&mut ShardUsage, &mut wv_shard_split::Split) -> Result<(), String>,
     ) {
         let Some(held) = self.shards.get_mut(shard).filter(|held| held.split.has_ballot()) else {
-            return self.ret(token, 503, cause("the holder of this shard is not ready, call again"));
+            return self.respond(token, 503, error_body("the holder of this shard is not ready, call again"));
         };
         match change(&mut held.usage, &mut held.split) {
             Ok(()) => {
                 held.usage.is_dirty = true;
                 held.usage.pending_calls.push(token);
             }
-            Err(text) => self.ret(token, 400, cause(&text)),
+            Err(text) => self.respond(token, 400, error_body(&text)),
         }
     }
 }
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -1,5 +1,5 @@
 //! Usage of planned shards, their forecasts, and operator calls that wait for stored state.
-use crate::conf::cause;
+use crate::conf::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
@@ -125,7 +125,7 @@
         self.write_next_part(shard, &mut held);
         let is_kept = !held.usage.is_dirty && !held.usage.is_writing && held.split.names.is_kept();
         let calls = if is_kept { std::mem::take(&mut held.usage.pending_calls) } else { Vec::new() };
-        calls.into_iter().for_each(|token| self.ret(token, 200, "{}"));
+        calls.into_iter().for_each(|token| self.respond(token, 200, "{}"));
         if is_kept {
             // Reports that named only stored keys can be acknowledged at once.
             let acks = std::mem::take(&mut held.usage.pending_acks);
@@ -134,9 +134,9 @@
         if held.usage.reported_at + REPORT_INTERVAL_US <= now {
             held.usage.reported_at = now;
             let text = self.shard_status_json(shard, &held).to_string();
-            if self.outlooks.get(shard) != Some(&text) {
+            if self.shard_status.get(shard) != Some(&text) {
                 self.send_peers(&Message::ShardStatus { shard: shard.to_owned(), text: text.clone() });
-                self.outlooks.insert(shard.to_owned(), text);
+                self.shard_status.insert(shard.to_owned(), text);
             }
         }
         self.shards.insert(shard.to_owned(), held);
@@ -176,33 +176,38 @@
         held.usage.is_writing = true;
         if let Some(text) = held.split.names.take_fresh() {
             held.usage.in_flight_acks = std::mem::take(&mut held.usage.pending_acks);
-            self.put_fresh(shard, held.next_version(), &text);
+            self.write_new_keys(shard, held.next_version(), &text);
         } else if is_usage_due {
             (held.usage.is_dirty, held.usage.written_at) = (false, self.now);
-            self.put_fill(shard, held.next_version(), SerBin::serialize_bin(&held.usage.to_stored()));
+            self.write_fill(shard, held.next_version(), SerBin::serialize_bin(&held.usage.to_stored()));
         } else if let Some((at, text)) = held.split.names.take_dirty() {
-            self.put_things(shard, held.next_version(), (at, &text));
+            self.write_keys(shard, held.next_version(), (at, &text));
         } else {
             held.usage.is_writing = false;
         }
     }
 
     /// Handles the end of a write of one part.
-    pub(crate) fn on_part_written(&mut self, shard: &str, part: &crate::keep::Keep, is_ours: bool) {
+    pub(crate) fn on_part_written(
+        &mut self,
+        shard: &str,
+        part: &crate::shard_registers::ShardRegisterOp,
+        is_ours: bool,
+    ) {
         let Some(held) = self.shards.get_mut(shard) else { return };
         held.usage.is_writing = false;
         let acked = std::mem::take(&mut held.usage.in_flight_acks);
         match (part, is_ours) {
-            (crate::keep::Keep::ThingsPut(_), true) => held.split.names.written(),
-            (crate::keep::Keep::ThingsPut(at), false) => held.split.names.put_back(*at),
-            (crate::keep::Keep::FreshPut, false) => held.split.names.renew(),
-            (crate::keep::Keep::FillPut, false) => held.usage.is_dirty = true,
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => held.split.names.written(),
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => held.split.names.put_back(*at),
+            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => held.split.names.renew(),
+            (crate::shard_registers::ShardRegisterOp::WriteFill, false) => held.usage.is_dirty = true,
             _ => {}
         }
         if !is_ours {
             // Access nodes resend their reports; operators are told that the change was not stored.
             let calls = std::mem::take(&mut held.usage.pending_calls);
-            return calls.into_iter().for_each(|token| self.ret(token, 503, cause("not kept, call again")));
+            return calls.into_iter().for_each(|token| self.respond(token, 503, error_body("not kept, call again")));
         }
         acked.into_iter().for_each(|ack| self.send_samples_ack(shard, ack));
         self.run_shard_usage(shard);
@@ -217,7 +222,7 @@
     /// Handles an access node's report: forwards it to the shard's holder, or merges it if held here.
     pub(crate) fn on_shard_report(&mut self, node: &str, report: wv_internal_protocol::ShardReport) {
         let holder = self.shard_holder(&report.shard);
-        if holder != self.me {
+        if holder != self.address {
             self.send_peer(&holder, Message::PeerKeySamples { node: node.to_owned(), samples: report });
             return;
         }
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -69,7 +69,7 @@
 impl Core {
     /// Writes the table to disk if it changed.
     pub(crate) fn store_table(&mut self) {
-        if !std::mem::take(&mut self.is_table_due) {
+        if !std::mem::take(&mut self.is_table_unsaved) {
             return;
         }
         let needed = self.required_departures();
@@ -81,7 +81,7 @@
                 .map(StoredInstance::from)
                 .collect(),
             leads: self.feed.leaders().cloned().collect(),
-            nodes: self.nodes_told,
+            nodes: self.published_node_count,
         };
         let value = nanoserde::SerBin::serialize_bin(&stored);
         if value.len() <= TABLE_MAX_BYTES {
@@ -99,18 +99,18 @@
         let Some(stored) = stored else { return };
         // Until the other nodes have had time to return, connections are shared among as many nodes as before the
         // restart: shares computed over the few nodes already back would overload the databases once all return.
-        self.nodes_recalled = stored.nodes;
+        self.stored_node_count = stored.nodes;
         // A departed database may have held records that no other one has, so departures are restored as well.
         let (gone, here): (Vec<Instance>, Vec<Instance>) =
             stored.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
         for inst in gone {
-            self.left.insert(inst.id.clone(), Default::default());
+            self.departures.insert(inst.id.clone(), Default::default());
             self.table.merge(Instance { gone: false, ..inst.clone() });
             self.table.merge(inst);
         }
         for inst in here {
             if !inst.primary {
-                self.claims.replicas.insert(inst.id.clone());
+                self.leadership.replicas.insert(inst.id.clone());
             }
             let changed = self.table.merge(inst);
             changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -48,11 +48,11 @@
 impl Core {
     /// Whether this node is a member of the newest set that does not vote in it yet.
     fn is_joining(&self) -> bool {
-        self.seat.is_member(&self.me) && self.seat.successor_voting_set(&self.me) == 0
+        self.seat.is_member(&self.address) && self.seat.successor_voting_set(&self.address) == 0
     }
 
     fn is_learner(&self) -> bool {
-        self.is_core && !self.seat.is_member(&self.me) && !self.seat.voters.members.is_empty()
+        self.has_disk && !self.seat.is_member(&self.address) && !self.seat.voters.members.is_empty()
     }
 
     /// Whether this learner holds everything that a voter held as of a moment ago.
@@ -98,8 +98,8 @@
             let peer =
                 self.peers.get(*addr).filter(|peer| peer.is_up && !self.progress.complete_sources.contains(*addr))?;
             let silent = self.progress.silent_sources.iter().filter(|silent| silent == addr).count();
-            let is_voter = peer.set == voters.number;
-            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.contact)))
+            let is_voter = peer.voter_set == voters.number;
+            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.last_contact)))
         };
         let ordered = addrs.into_iter().filter_map(|addr| Some((order(&addr)?, addr)));
         ordered.min().map(|(_, addr)| addr.to_owned())
@@ -116,7 +116,7 @@
                     let msg = self.peers_msg();
                     return self.send(link, msg);
                 }
-                let set = self.seat.source_set(&self.me);
+                let set = self.seat.source_set(&self.address);
                 if set > 0 {
                     let digests = anti_entropy::range_digests(&self.store);
                     let digests = if anti_entropy::combined_digest(&digests) == digest { Vec::new() } else { digests };
@@ -201,7 +201,7 @@
         // This disk's own state in the previous set counts like any other member's.
         let has_left = |addr: &&str| {
             self.progress.complete_sources.contains(*addr)
-                || (*addr == self.me && self.seat.source_set(&self.me) == before.number)
+                || (*addr == self.address && self.seat.source_set(&self.address) == before.number)
         };
         let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
         // A majority of the previous set, each member having left it before it answered, holds everything acknowledged
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -11,7 +11,7 @@
     /// Sends a step of a change. This node's own part comes last, because it may already trigger the next step.
     pub(crate) fn send_change_step(&mut self, msgs: Vec<(String, Message)>) {
         let digests = anti_entropy::range_digests(&self.store);
-        let me = self.me.clone();
+        let me = self.address.clone();
         let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
         for (voter, mut msg) in others {
             match &mut msg {
@@ -45,8 +45,11 @@
     pub(crate) fn answer_change(&mut self, msg: Message) -> Option<Message> {
         match msg {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
-                let claimed =
-                    self.seat.prepare_successor(&mut self.store, &self.me, set, fence)?.map_err(log_not_stored).ok()?;
+                let claimed = self
+                    .seat
+                    .prepare_successor(&mut self.store, &self.address, set, fence)?
+                    .map_err(log_not_stored)
+                    .ok()?;
                 Some(Message::SuccessorVote {
                     request,
                     ok: claimed.is_ok,
@@ -57,7 +60,7 @@
             Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
                 let ok = self
                     .seat
-                    .accept_successor(&mut self.store, &self.me, (set, fence), &next)?
+                    .accept_successor(&mut self.store, &self.address, (set, fence), &next)?
                     .map_err(log_not_stored)
                     .ok()?;
                 Some(Message::SuccessorAccepted { request, ok })
@@ -67,7 +70,7 @@
     }
 
     fn seal_voter(&mut self, set: u64, fence: u64) -> Option<bool> {
-        self.seat.seal(&mut self.store, &self.me, (set, fence))?.map_err(log_not_stored).ok()
+        self.seat.seal(&mut self.store, &self.address, (set, fence))?.map_err(log_not_stored).ok()
     }
 
     fn is_handover_complete(&mut self, set: u64) -> bool {
@@ -90,7 +93,7 @@
                 }
             }
             Handover::Fetch { request, set, next, digests } => {
-                if self.seat.is_successor_member(&self.me, set, &next) {
+                if self.seat.is_successor_member(&self.address, set, &next) {
                     let open = anti_entropy::differing_ranges(&self.store, &digests);
                     self.on_newer_registers(link, addr, (request, set, true), Vec::new(), &open);
                 }
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -1,5 +1,5 @@
 //! Changes of the voter set: who plans them, and how a new set is agreed on.
-use crate::core::{Core, FRESH_US};
+use crate::core::{Core, CONTACT_TTL_US};
 use crate::types::Peer;
 use wv_consensus::{ChangeOutcome, VoterSetChange};
 use wv_internal_protocol::{Member, Message, VoterSet};
@@ -20,7 +20,7 @@
         let is_worth =
             |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_seed_or_voter(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
-        let addrs: Vec<String> = self.peers.keys().filter(is_worth).cloned().chain([self.me.clone()]).collect();
+        let addrs: Vec<String> = self.peers.keys().filter(is_worth).cloned().chain([self.address.clone()]).collect();
         let zones = addrs.iter().map(zone).collect();
         Message::Peers {
             addresses: addrs,
@@ -39,7 +39,7 @@
         let (seeds, voters) = (&self.seeds, &self.seat.voters);
         self.peers.retain(|addr, peer| {
             peer.is_up
-                || peer.since.max(peer.contact) + PEER_RETENTION_US > now
+                || peer.known_since.max(peer.last_contact) + PEER_RETENTION_US > now
                 || seeds.contains(addr)
                 || voters.contains(addr)
         });
@@ -47,22 +47,22 @@
 
     /// Adopts an accepted voter set and tells all peers.
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
-        let is_news = self.seat.update_voters(&mut self.store, &self.me, voters, before).unwrap_or_else(|error| {
+        let is_news = self.seat.update_voters(&mut self.store, &self.address, voters, before).unwrap_or_else(|error| {
             log::error!("cannot store the voter set: {error}");
-            self.is_unlearned = true;
+            self.is_voter_update_unsaved = true;
             false
         });
         if !is_news {
             return;
         }
         log::warn!("voters {}: {}", voters.number, voters.addrs().collect::<Vec<_>>().join(" "));
-        for addr in voters.addrs().filter(|addr| *addr != self.me) {
+        for addr in voters.addrs().filter(|addr| *addr != self.address) {
             let since = self.now;
-            self.peers.entry(addr.to_owned()).or_insert_with(|| Peer { since, ..Default::default() });
+            self.peers.entry(addr.to_owned()).or_insert_with(|| Peer { known_since: since, ..Default::default() });
         }
         self.quorum.set_voters(voters.clone());
         self.change = None;
-        self.changed = self.now;
+        self.voters_changed_at = self.now;
         self.progress.reset();
         let msg = self.peers_msg();
         self.send_peers(&msg);
@@ -73,7 +73,7 @@
     /// Checks whether the set should change if the duty is held here, and drives a change in progress.
     pub(crate) fn run_voter_change(&mut self) {
         // Announces the set that this disk failed to store, so that peers with the newer set send it again.
-        if std::mem::take(&mut self.is_unlearned) {
+        if std::mem::take(&mut self.is_voter_update_unsaved) {
             let msg = self.peers_msg();
             self.send_peers(&msg);
         }
@@ -89,14 +89,14 @@
     /// vote, and members sealed for a successor that is not accepted yet.
     fn has_deciding_majority(&self) -> bool {
         let voters = &self.seat.voters;
-        let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.set.max(peer.sealed) == voters.number;
+        let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
         let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
-        let own = usize::from(self.seat.successor_voting_set(&self.me) > 0);
+        let own = usize::from(self.seat.successor_voting_set(&self.address) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
 
     pub(crate) fn is_in_contact(&self, peer: &Peer) -> bool {
-        peer.is_up && peer.contact + FRESH_US > self.now
+        peer.is_up && peer.last_contact + CONTACT_TTL_US > self.now
     }
 
     /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
@@ -105,12 +105,13 @@
         let is_meant = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
             self.peers.get(addr).is_some_and(|peer| {
-                let is_seated = peer.set.max(peer.sealed) == voters.number && peer.disk.is_some_and(is_member);
+                let is_seated =
+                    peer.voter_set.max(peer.sealed_set) == voters.number && peer.disk_id.is_some_and(is_member);
                 is_seated && !peer.is_leaving
             })
         };
-        let is_own = self.is_core && self.seat.successor_voting_set(&self.me) > 0 && !self.is_leaving;
-        is_own && self.roster.is_duty_holder_among(VOTERS_DUTY, is_meant)
+        let is_own = self.has_disk && self.seat.successor_voting_set(&self.address) > 0 && !self.is_leaving;
+        is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_meant)
     }
 
     /// Whether every reachable member votes. Other members are changed only after that, so that the set keeps its fault
@@ -118,32 +119,36 @@
     fn are_members_voting(&self) -> bool {
         let number = self.seat.voters.number;
         let is_behind =
-            |addr: &str| self.peers.get(addr).is_some_and(|peer| self.is_in_contact(peer) && peer.set != number);
-        self.changed + JOIN_TIMEOUT_US <= self.now || !self.seat.voters.addrs().any(is_behind)
+            |addr: &str| self.peers.get(addr).is_some_and(|peer| self.is_in_contact(peer) && peer.voter_set != number);
+        self.voters_changed_at + JOIN_TIMEOUT_US <= self.now || !self.seat.voters.addrs().any(is_behind)
     }
 
     fn start_planned_change(&mut self) {
-        if self.changed + CHANGE_INTERVAL_US > self.now || !self.is_change_planner() || !self.has_deciding_majority() {
+        if self.voters_changed_at + CHANGE_INTERVAL_US > self.now
+            || !self.is_change_planner()
+            || !self.has_deciding_majority()
+        {
             return;
         }
         let voters = &self.seat.voters;
-        let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed == voters.number);
+        let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed_set == voters.number);
         // A previous planner may have failed midway: the set must not stay sealed without a successor.
-        let is_begun = self.seat.voting_set(&self.me) == 0 || voters.addrs().any(is_sealed);
+        let is_begun = self.seat.voting_set(&self.address) == 0 || voters.addrs().any(is_sealed);
         if !is_begun && !self.are_members_voting() {
             return;
         }
         let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
         let next = self.planned_voters().or_else(|| is_begun.then(same));
         let is_larger = |next: &VoterSet| next.members.len() > voters.members.len();
-        let Some(next) = next.filter(|next| is_begun || !is_larger(next) || self.changed + GROWTH_DELAY_US <= self.now)
+        let Some(next) =
+            next.filter(|next| is_begun || !is_larger(next) || self.voters_changed_at + GROWTH_DELAY_US <= self.now)
         else {
             return;
         };
-        let own = self.me.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
-        let fence = (((self.met.max(self.seat.fence) >> 16) + 1) << 16) | own;
+        let own = self.address.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
+        let fence = (((self.max_successor_fence.max(self.seat.fence) >> 16) + 1) << 16) | own;
         log::warn!("proposing voter set {}: {}", next.number, next.addrs().collect::<Vec<_>>().join(" "));
-        self.changed = self.now;
+        self.voters_changed_at = self.now;
         // Replies are matched by request number, not by fence: two incarnations of a node may choose the same fence.
         let request = self.quorum.next_request();
         self.change = Some(VoterSetChange::new(request, fence, self.seat.voters.clone(), next, self.now));
@@ -158,7 +163,7 @@
     /// All known machines that could vote.
     fn voter_candidates(&self) -> Vec<wv_consensus::Candidate> {
         let own = wv_consensus::Candidate {
-            member: Member { addr: self.me.clone(), disk: self.seat.disk },
+            member: Member { addr: self.address.clone(), disk: self.seat.disk },
             zone: self.zone.clone(),
             is_up: true,
             is_ready: self.is_ready_to_vote(),
@@ -166,25 +171,25 @@
         };
         let other = |(addr, peer): (&String, &Peer)| {
             Some(wv_consensus::Candidate {
-                member: Member { addr: addr.clone(), disk: peer.disk? },
+                member: Member { addr: addr.clone(), disk: peer.disk_id? },
                 zone: peer.zone.clone(),
                 is_up: self.is_in_contact(peer),
                 is_ready: peer.is_ready,
                 is_leaving: peer.is_leaving,
             })
         };
-        self.is_core.then_some(own).into_iter().chain(self.peers.iter().filter_map(other)).collect()
+        self.has_disk.then_some(own).into_iter().chain(self.peers.iter().filter_map(other)).collect()
     }
 
     /// How long a member has been unreachable. A slow or hung disk does not count: its machine still answers.
     fn unreachable_us(&self, addr: &str) -> u64 {
         // A node without a disk loses its state on exit: it yields its place to the first candidate that has a disk.
-        let is_forgetful = |peer: &Peer| peer.contact > 0 && peer.disk.is_none();
-        if (addr == self.me && !self.is_core) || self.peers.get(addr).is_some_and(is_forgetful) {
+        let is_forgetful = |peer: &Peer| peer.last_contact > 0 && peer.disk_id.is_none();
+        if (addr == self.address && !self.has_disk) || self.peers.get(addr).is_some_and(is_forgetful) {
             return wv_consensus::REPLACE_AFTER_US;
         }
         let peer = self.peers.get(addr).filter(|peer| !self.is_in_contact(peer));
-        peer.map_or(0, |peer| self.now.saturating_sub(peer.since.max(peer.contact).max(self.born)))
+        peer.map_or(0, |peer| self.now.saturating_sub(peer.known_since.max(peer.last_contact).max(self.started_at)))
     }
 
     /// Whether this node is driving a change of the voter set.
@@ -195,12 +200,12 @@
     /// `GET /voters`: the set in force as known here, and the state of each member.
     pub(crate) fn list_voters(&mut self, token: u64) {
         let status = |member: &Member| {
-            let is_own = member.addr == self.me;
+            let is_own = member.addr == self.address;
             let peer = self.peers.get(&member.addr);
             let (is_up, set) = if is_own {
-                (true, self.seat.voting_set(&self.me))
+                (true, self.seat.voting_set(&self.address))
             } else {
-                peer.map_or((false, 0), |peer| (peer.is_up, peer.set))
+                peer.map_or((false, 0), |peer| (peer.is_up, peer.voter_set))
             };
             let state = match (is_up, set == self.seat.voters.number) {
                 (false, _) => "away",
@@ -214,18 +219,20 @@
             "number": self.seat.voters.number, "majority": self.seat.voters.majority(), "members": members,
             "fresh": self.has_majority(), "changing": self.is_changing_voters(),
         });
-        self.ret(token, 200, body.to_string());
+        self.respond(token, 200, body.to_string());
     }
 
     pub(crate) fn end_change(&mut self, end: ChangeOutcome) {
         self.change = None;
-        self.changed = self.now;
+        self.voters_changed_at = self.now;
         match end {
             ChangeOutcome::Accepted(next) => {
                 let before = self.seat.voters.clone();
                 self.learn_voters(&next, &before);
             }
-            ChangeOutcome::Aborted { highest_fence } => self.met = self.met.max(highest_fence),
+            ChangeOutcome::Aborted { highest_fence } => {
+                self.max_successor_fence = self.max_successor_fence.max(highest_fence)
+            }
         }
     }
 }
--- a/crates/wv-control/tests/voter_catch_up.rs
+++ b/crates/wv-control/tests/voter_catch_up.rs
@@ -13,7 +13,7 @@
 
 /// The voter set that it reports in a pong, 0 for none.
 fn reported_set(node: &mut Node) -> u64 {
-    let sent = node.hear("b", Message::Ping { requester: 7, request: 1 });
+    let sent = node.receive("b", Message::Ping { requester: 7, request: 1 });
     sent.into_iter()
         .find_map(|(_, msg)| if let Message::Pong { voter_set: set, .. } = msg { Some(set) } else { None })
         .unwrap_or(0)
@@ -23,7 +23,7 @@
 fn is_voting(node: &mut Node, set: u64) -> bool {
     let step = RegisterRequest::Read { known: Ballot::default() };
     let sent = node
-        .hear("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
+        .receive("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
     sent.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
 }
 
@@ -47,7 +47,8 @@
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let sent = node.hear("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
+    let sent =
+        node.receive("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
     let told = sent.iter().find_map(|(_, msg)| match msg {
         Message::Takeover(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
@@ -59,21 +60,23 @@
 #[gtest]
 fn given_a_member_of_the_next_set_then_it_votes_only_after_storing_all_registers_of_an_old_majority() {
     let mut node = Node::start("d", false);
-    let sent = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let sent = node.receive("a", peers(set(2, "abd"), set(1, "abc")));
     let (first, request) = comparison_request(&node, &sent).expect("a comparison request is sent at once");
     // The digests of the first source differ; it sends one register in an incomplete reply.
     let mut digests = vec![0; anti_entropy::RANGE_COUNT];
-    let sent = node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    let sent = node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
     let is_range_request = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
     expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
     let copy = AcceptorState { promised: ballot, accepted: ballot, value: register_value(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
-    let sent = node.hear(&first, Message::Takeover(part));
+    let sent = node.receive(&first, Message::Takeover(part));
     expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true), "the reply was incomplete");
     expect_that!(reported_set(&mut node), eq(0));
-    let sent = node
-        .hear(&first, Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }));
+    let sent = node.receive(
+        &first,
+        Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }),
+    );
     // One source of three is no majority, so another one is asked.
     expect_that!(reported_set(&mut node), eq(0));
     expect_that!(is_voting(&mut node, 2), eq(false));
@@ -81,9 +84,9 @@
     expect_that!(second, not(eq(&first)));
     // A late reply of the first source is ignored.
     digests.clear();
-    node.hear(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
     expect_that!(reported_set(&mut node), eq(0));
-    node.hear(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests }));
+    node.receive(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests }));
     expect_that!(reported_set(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
@@ -92,10 +95,10 @@
 fn given_a_voter_of_the_next_set_then_it_suffices_as_the_only_source_and_one_of_an_older_set_never_does() {
     for (source_set, voting) in [(3, 3), (1, 0)] {
         let mut node = Node::start("d", false);
-        let mut sent = node.hear("a", peers(set(3, "abd"), set(2, "abc")));
+        let mut sent = node.receive("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
             if let Some((asked, request)) = comparison_request(&node, &sent) {
-                node.hear(
+                node.receive(
                     &asked,
                     Message::Takeover(CatchUp::Digests { request, set: source_set, digests: Vec::new() }),
                 );
@@ -106,7 +109,7 @@
     }
     // After a timeout another source is asked.
     let mut node = Node::start("d", false);
-    let sent = node.hear("a", peers(set(2, "abd"), set(1, "abc")));
+    let sent = node.receive("a", peers(set(2, "abd"), set(1, "abc")));
     let (first, _) = comparison_request(&node, &sent).expect("a comparison request is sent at once");
     let next = (0..20).find_map(|_| {
         let sent = node.tick();
