--- a/crates/wv-access/src/drain.rs
+++ b/crates/wv-access/src/drain.rs
@@ -1,15 +1,15 @@
-//! Databases that leave: until when this node gives them new work, and what it does with work that is then still waiting.
+//! Draining databases: how long this node sends them new work, and where waiting work goes after that.
 //!
-//! Invariant: no statement on its own, and no first statement of a transaction, is written to a database that is known here
-//! to have said that it leaves longer ago than the bound (`wv_internal_protocol::new_work_window_us`). It is asked where a
-//! database is chosen and once more when a transaction that was begun in advance stands.
+//! Invariant: no single statement and no first statement of a transaction is sent to a database that, as far as this
+//! node knows, began to drain longer ago than the window (`wv_internal_protocol::new_work_window_us`). This is checked
+//! when a database is chosen, and again when the response to a `BEGIN` sent ahead of the first statement arrives.
 use crate::core::Core;
 use wv_health::Spot;
 use wv_internal_protocol::{Instance, LeaveTime, StallDetector};
 
-/// What an access node keeps of leaves beside each database's own.
+/// Drain state of the node; the state of each database is kept with the database.
 pub(crate) struct DrainState {
-    /// The platform's own bound, from the acknowledgement of the leave on.
+    /// The platform's drain timeout, counted from the acknowledgement of the drain.
     pub platform_drain_us: u64,
     pub stall_detector: StallDetector,
 }
@@ -24,29 +24,29 @@
 }
 
 impl Core {
-    /// The platform's bound on work for a database that leaves, and the time after which calm machines are in touch.
+    /// Sets the platform's drain timeout and the time within which connected nodes are in contact.
     pub fn set_drain_timeouts(&mut self, drain_us: u64, contact_us: u64) {
         self.drain.platform_drain_us = drain_us;
         self.checks.set_new_work(wv_internal_protocol::new_work_window_us(drain_us, contact_us));
     }
 
-    /// Since when a database that is just told of may have been leaving.
+    /// The earliest time at which the reported database may have begun to drain.
     pub(crate) fn drain_start(&self, inst: &Instance) -> LeaveTime {
         LeaveTime::from_age(self.now, inst.leaving_age_us.saturating_add(self.drain.stall_detector.lag_us(self.now)))
     }
 
-    /// Whether what the client waits for is new work for a database: a statement on its own, or the first of a transaction.
+    /// Whether the client's request is new work for a database: a single statement, or the first one of a transaction.
     pub(crate) fn is_new_work(&self, client: u64) -> bool {
-        let is_going_on = |client: &crate::types::Client| client.txn.as_ref().is_some_and(|txn| txn.is_begun);
-        self.clients.get(&client).is_some_and(|client| !is_going_on(client))
+        let has_begun = |client: &crate::types::Client| client.txn.as_ref().is_some_and(|txn| txn.is_begun);
+        self.clients.get(&client).is_some_and(|client| !has_begun(client))
     }
 
-    /// Whether that is new work, and its database has become one that gets none.
+    /// Whether the request is new work and the database's window for new work is over.
     pub(crate) fn is_past_drain_window(&self, client: u64, spot: Spot) -> bool {
         self.is_new_work(client) && self.checks.is_past_drain(spot, self.now)
     }
 
-    /// The transaction stands at a database that gets no new work by now: it is rolled back there and begun elsewhere.
+    /// Rolls back a transaction that has only begun, and begins it on another database.
     pub(crate) fn restart_txn_elsewhere(&mut self, db: u64, client: u64) {
         let txn = self.clients.get_mut(&client).and_then(|client| client.txn.as_mut());
         txn.into_iter().for_each(|txn| txn.db = None);
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -1,48 +1,49 @@
-//! Feed updates from the control side, sightings for it, and the small regular care of pools.
+//! Applies feed updates from the control plane; node shutdown, connection recycling and status counters.
 use crate::core::Core;
 use crate::types::Phase;
 use wv_health::Spot;
 use wv_internal_protocol::{FeedUpdate, Message};
 
-/// A connection is old after this.
+/// Idle connections older than this are recycled.
 const MAX_CONNECTION_AGE_US: u64 = 1_800_000_000;
 
 impl Core {
-    /// A feed message. A gap asks for the feed to be followed anew.
+    /// Applies a feed message. On `Gap` the caller has to subscribe again from a snapshot.
     pub fn apply_feed_message(&mut self, msg: Message, now: u64) -> Result<(), wv_change_feed::Gap> {
         self.now = self.now.max(now);
         self.drain.stall_detector.observe(self.now);
-        if let Message::Snapshot { updates: news, .. } = &msg {
-            let ids = news.iter().filter_map(|news| match news {
+        if let Message::Snapshot { updates, .. } = &msg {
+            let ids = updates.iter().filter_map(|update| match update {
                 FeedUpdate::Instance(inst) if !inst.gone => Some(inst.id.as_str()),
                 _ => None,
             });
             self.checks.retain(&ids.collect(), self.now);
         }
-        let news = self.follower.take(msg);
-        let taken = news.and_then(|news| news.into_iter().try_for_each(|news| self.apply_feed_update(news)));
+        let updates = self.follower.take(msg);
+        let result =
+            updates.and_then(|updates| updates.into_iter().try_for_each(|update| self.apply_feed_update(update)));
         self.serve_stranded();
         self.maintain_pools();
-        // Asked for once, not again with each change that was under way already.
-        taken.or_else(|gap| if self.follower.ask(self.now) { Err(gap) } else { Ok(()) })
+        // Requests one snapshot, not one for each update already in flight.
+        result.or_else(|gap| if self.follower.ask(self.now) { Err(gap) } else { Ok(()) })
     }
 
-    fn apply_feed_update(&mut self, news: FeedUpdate) -> Result<(), wv_change_feed::Gap> {
-        match news {
+    fn apply_feed_update(&mut self, update: FeedUpdate) -> Result<(), wv_change_feed::Gap> {
+        match update {
             FeedUpdate::Configuration { version, body } => {
                 let body = wv_compression::unpack(&body, wv_configuration::BODY_MAX).map(std::borrow::Cow::into_owned);
                 self.apply_configuration(version, body);
             }
-            FeedUpdate::ConfigurationDelta { base, version, delta: change } => {
-                // What is held here is as new: this node stays with it, and goes on with the feed.
+            FeedUpdate::ConfigurationDelta { base, version, delta } => {
+                // The held configuration is as new or newer: the delta is skipped and the feed continues.
                 if version <= self.body.0 {
                     return Ok(());
                 }
-                // Made of another one than is held here, it says nothing: the whole is asked for.
+                // The delta applies to a different base version: a snapshot is needed.
                 if self.body.0 != base {
                     return Err(wv_change_feed::Gap);
                 }
-                let body = wv_compression::apply(&self.body.1, &change, wv_configuration::BODY_MAX);
+                let body = wv_compression::apply(&self.body.1, &delta, wv_configuration::BODY_MAX);
                 if body.is_err() {
                     return Err(wv_change_feed::Gap);
                 }
@@ -52,7 +53,7 @@
                 let is_new = self.checks.spot(&inst.id).is_none();
                 let since = self.drain_start(&inst);
                 let spot = self.checks.inst(&inst, since, self.now);
-                // One that says it is slow from its start is eased in from the first word of it.
+                // A database that starts with cold caches goes through slow start as soon as it is known.
                 if let Some(spot) = spot.filter(|_| is_new && inst.cold_left_us > 0) {
                     self.begin_slow_start(spot, 1);
                 }
@@ -69,12 +70,12 @@
                     self.promoting.remove(&service);
                 });
             }
-            FeedUpdate::Promoting { service, id, max_wait_us: us } => {
+            FeedUpdate::Promoting { service, id, max_wait_us } => {
                 let service = self.checks.service(&service);
-                self.promoting.insert(service, (self.now + us, id));
+                self.promoting.insert(service, (self.now + max_wait_us, id));
             }
-            FeedUpdate::SlowStart { id, outages: falls } => {
-                self.checks.spot(&id).into_iter().for_each(|spot| self.begin_slow_start(spot, falls));
+            FeedUpdate::SlowStart { id, outages } => {
+                self.checks.spot(&id).into_iter().for_each(|spot| self.begin_slow_start(spot, outages));
             }
             FeedUpdate::Owner(owner) => self.set_owner(owner),
             FeedUpdate::Slots(map) => self.apply_slot_map(map),
@@ -88,12 +89,13 @@
         idle.into_iter().for_each(|db| self.close_db(db));
     }
 
-    /// The version of the configuration that is held, 0 for none.
+    /// Version of the newest configuration received, 0 if there is none. It may differ from the one in force if that
+    /// version could not be parsed.
     pub fn held_configuration_version(&self) -> u64 {
         self.body.0
     }
 
-    /// Where the feed stands here, for the next follow.
+    /// Incarnation and position of the feed, for the next subscription.
     pub fn feed_position(&self) -> (u64, u64) {
         (self.follower.life, self.follower.place)
     }
@@ -102,41 +104,42 @@
         self.grace_us = grace_us;
     }
 
-    /// SIGTERM: ready no more; what is open may end.
+    /// Handles SIGTERM: readiness is withdrawn, open requests may finish.
     pub fn begin_shutdown(&mut self, now: u64) {
         self.now = self.now.max(now);
         self.leaving_since.get_or_insert(self.now);
     }
 
-    /// After `leave`: whether the node has nothing left to do or no time to do it.
+    /// Whether the shutdown is finished or its grace period is nearly over.
     pub fn is_shutdown_complete(&self) -> bool {
         self.leaving_since.is_some_and(|since| {
-            let gone = self.now.saturating_sub(since);
-            gone > self.grace_us * 15 / 16 || (gone > self.grace_us / 2 && self.clients.is_empty())
+            let elapsed_us = self.now.saturating_sub(since);
+            elapsed_us > self.grace_us * 15 / 16 || (elapsed_us > self.grace_us / 2 && self.clients.is_empty())
         })
     }
 
+    /// Closes idle sessions, and towards the end of the grace period all sessions.
     pub(crate) fn continue_shutdown(&mut self) {
         let Some(since) = self.leaving_since else { return };
-        let gone = self.now.saturating_sub(since);
-        // The platform needs two misses before it sends no more clients here.
-        if gone < self.grace_us * 2 / 5 {
+        let elapsed_us = self.now.saturating_sub(since);
+        // The platform stops sending clients here after two failed readiness checks.
+        if elapsed_us < self.grace_us * 2 / 5 {
             return;
         }
-        // Nobody is left without an answer: what is still open shortly before the end is answered for as at its limit.
-        if gone >= self.grace_us * 7 / 8 {
+        // Requests still open shortly before the end are answered as if they had expired.
+        if elapsed_us >= self.grace_us * 7 / 8 {
             let open = self.clients.iter().filter(|(_, client)| client.request.is_open);
             for id in open.map(|(id, _)| *id).collect::<Vec<u64>>() {
                 self.expire_now(id);
             }
         }
-        let is_late = gone >= self.grace_us * 3 / 4;
-        let is_resting = |client: &crate::types::Client| !client.request.is_open && client.inbuf.is_empty();
-        let resting = |(id, client): (&u64, &crate::types::Client)| {
-            (is_resting(client) && (is_late || client.txn.is_none())).then_some(*id)
+        let is_late = elapsed_us >= self.grace_us * 3 / 4;
+        let is_idle = |client: &crate::types::Client| !client.request.is_open && client.inbuf.is_empty();
+        let idle = |(id, client): (&u64, &crate::types::Client)| {
+            (is_idle(client) && (is_late || client.txn.is_none())).then_some(*id)
         };
-        let resting: Vec<u64> = self.clients.iter().filter_map(resting).collect();
-        resting.into_iter().for_each(|id| self.close_client(id));
+        let idle: Vec<u64> = self.clients.iter().filter_map(idle).collect();
+        idle.into_iter().for_each(|id| self.close_client(id));
     }
 
     fn expire_now(&mut self, id: u64) {
@@ -147,7 +150,7 @@
         self.expire(id, number);
     }
 
-    /// Closes one idle connection that has served for long, so that no state gathers on either side for ever.
+    /// Closes one idle connection that exceeds the maximum age, so that state on either side stays bounded.
     pub fn recycle_connection(&mut self, now: u64) {
         self.now = self.now.max(now);
         let is_old = |db: &&u64| self.dbs.get(*db).is_some_and(|held| held.opened + MAX_CONNECTION_AGE_US < self.now);
@@ -155,7 +158,7 @@
         old.into_iter().for_each(|db| self.close_db(db));
     }
 
-    /// Each database and its routing state here.
+    /// Each database and its routing state.
     pub fn routing_states(&self) -> Vec<(String, String)> {
         let states = self.checks.iter().flat_map(|(_, checker)| {
             checker.members().map(|(seat, member)| {
@@ -165,7 +168,7 @@
         states.collect()
     }
 
-    /// Counts for the log: clients, connections, busy ones.
+    /// Counts of clients, connections and busy connections.
     pub fn usage_counts(&self) -> (usize, usize, usize) {
         let busy = self.dbs.values().filter(|db| db.phase == Phase::Busy).count();
         (self.clients.len(), self.dbs.len(), busy)
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -1,36 +1,38 @@
-//! Shards owned by other nodes: their primary work is handed over to the owner, at most once, and else done here.
+//! Outbound forwarding: requests to the primary of a shard owned by another node are forwarded to the owner at most
+//! once; if that is not possible, they are executed here.
 use crate::core::{Core, Map};
 use crate::types::{Act, Verb};
 use wv_configuration::Category;
 use wv_internal_protocol::{ForwardMessage, ForwardedSessionId, Owner};
 use wv_wire_protocol::write_query;
 
-/// What was asked of an owner in one go: answers that are nothing of the client's, and then the client's, if any.
+/// A request sent to an owner: the responses to internal statements precede the client's response, if there is one.
 pub(crate) struct PendingRequest {
     pub request: u64,
     pub internal_responses: u32,
     pub has_client_response: bool,
 }
 
-/// A client's session at an owner.
+/// A client's session at the owner of a shard.
 pub(crate) struct OutboundSession {
     pub client: u64,
     pub link: u64,
     connection_state: wv_session_state::ConnectionState,
-    /// The newest ask, and those that are not wholly answered yet.
+    /// Number of the newest request.
     pub last_request: u64,
+    /// Requests that are not fully answered yet, oldest first.
     pub pending: std::collections::VecDeque<PendingRequest>,
     pub buf: Vec<u8>,
-    /// An error line is being read; its code and text.
+    /// Code and text of an error line whose response is not complete yet.
     pub error: Option<(wv_wire_protocol::ErrorCode, Vec<u8>)>,
 }
 
-/// The way to one owner.
+/// The link to one owner.
 #[derive(Default)]
 pub(crate) struct OwnerLink {
     pub link: u64,
     pub is_up: bool,
-    /// Requests that wait for the link to stand.
+    /// Clients whose requests wait for the link to be established.
     pub waiting: Vec<u64>,
     pub failed_until: u64,
 }
@@ -41,14 +43,14 @@
     pub owners: Map<u16, Owner>,
     pub outbound: Map<u64, OutboundSession>,
     pub owner_links: Map<String, OwnerLink>,
-    /// Sessions here of other nodes' clients: by link and hand, the client they are here.
+    /// Clients of other nodes' sessions here, by link and session.
     pub inbound: Map<(u64, ForwardedSessionId), u64>,
-    /// Requests handed over since the start.
+    /// Requests forwarded since the start of the process.
     pub request_count: u64,
 }
 
 impl Core {
-    /// This node's own name, by which owners are known.
+    /// Sets the name under which this node appears as an owner.
     pub fn set_node_name(&mut self, name: &str) {
         self.hands.node_name = name.to_owned();
         self.salt = name.bytes().fold(7u16, |sum, byte| sum.wrapping_mul(31).wrapping_add(u16::from(byte)));
@@ -66,18 +68,18 @@
         }
     }
 
-    /// How many asks this node has handed over.
+    /// Number of requests forwarded since the start of the process.
     pub fn forwarded_request_count(&self) -> u64 {
         self.hands.request_count
     }
 
-    /// Which shards go through which node, as far as it is known here.
+    /// Known shard owners as (service, node, epoch).
     pub fn shard_owners(&self) -> Vec<(String, String, u64)> {
         let list = self.hands.owners.values();
         list.map(|owner| (owner.service.clone(), owner.node.clone(), owner.epoch)).collect()
     }
 
-    /// Where this request is to be handed over to; nowhere if it is this node's own work.
+    /// The owner to forward this request to, or `None` to execute it here.
     fn forwarding_target(&self, id: u64) -> Option<&Owner> {
         let conf = self.conf.as_ref().filter(|conf| !conf.partners.is_empty())?;
         let client = self.clients.get(&id).filter(|client| client.guest.is_none())?;
@@ -86,83 +88,91 @@
             client.request.is_direct || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.is_begun);
         conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
         let owner = self.hands.owners.get(&self.checks.find(&route.service)?)?;
-        let is_failed =
-            self.hands.owner_links.get(&owner.handover_address).is_some_and(|way| way.failed_until > self.now);
+        let is_failed = self
+            .hands
+            .owner_links
+            .get(&owner.handover_address)
+            .is_some_and(|owner_link| owner_link.failed_until > self.now);
         (owner.node != self.hands.node_name && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
     }
 
-    /// Hands the open request over, where that is to be done. `false` leaves it to this node.
+    /// Forwards the open request if another node owns its shard. Returns `false` if it is to be executed here.
     pub(crate) fn try_forward(&mut self, id: u64) -> bool {
-        if let Some(hand) = self.clients.get(&id).and_then(|client| client.txn.as_ref()?.hand) {
-            self.forward_request(id, hand);
+        if let Some(session) = self.clients.get(&id).and_then(|client| client.txn.as_ref()?.hand) {
+            self.forward_request(id, session);
             return true;
         }
-        let Some(place) = self.forwarding_target(id).map(|owner| owner.handover_address.clone()) else { return false };
-        let link = match self.hands.owner_links.get(&place).filter(|way| way.link > 0) {
-            Some(way) => way.link,
+        let Some(address) = self.forwarding_target(id).map(|owner| owner.handover_address.clone()) else {
+            return false;
+        };
+        let link = match self.hands.owner_links.get(&address).filter(|owner_link| owner_link.link > 0) {
+            Some(owner_link) => owner_link.link,
             None => {
                 let link = self.fresh_id();
-                self.hands.owner_links.insert(place.clone(), OwnerLink { link, ..OwnerLink::default() });
-                self.acts.push(Act::DialHand { link, place: place.clone() });
+                self.hands.owner_links.insert(address.clone(), OwnerLink { link, ..OwnerLink::default() });
+                self.acts.push(Act::DialHand { link, place: address.clone() });
                 link
             }
         };
-        let Some(way) = self.hands.owner_links.get_mut(&place) else { return false };
-        if !way.is_up {
-            way.waiting.push(id);
+        let Some(owner_link) = self.hands.owner_links.get_mut(&address) else { return false };
+        if !owner_link.is_up {
+            owner_link.waiting.push(id);
             self.give_time(id);
             return true;
         }
         let held = self.clients.get(&id).and_then(|client| client.hand);
-        let hand = match held.filter(|hand| self.hands.outbound.get(hand).is_some_and(|out| out.link == link)) {
-            Some(hand) => hand,
+        let session = match held
+            .filter(|session| self.hands.outbound.get(session).is_some_and(|outbound| outbound.link == link))
+        {
+            Some(session) => session,
             None => self.open_outbound_session(id, link),
         };
-        self.forward_request(id, hand);
+        self.forward_request(id, session);
         true
     }
 
     fn open_outbound_session(&mut self, id: u64, link: u64) -> u64 {
         self.close_client_outbound_session(id);
-        let hand = self.fresh_id();
-        let (tie, open) = Default::default();
-        let out = OutboundSession {
+        let session = self.fresh_id();
+        let (connection_state, pending) = Default::default();
+        let outbound = OutboundSession {
             client: id,
             link,
-            connection_state: tie,
+            connection_state,
             last_request: 0,
-            pending: open,
+            pending,
             buf: Vec::new(),
             error: None,
         };
-        self.hands.outbound.insert(hand, out);
+        self.hands.outbound.insert(session, outbound);
         if let Some(client) = self.clients.get_mut(&id) {
-            client.hand = Some(hand);
-            let (host, who) = (client.database.clone().unwrap_or_default(), client.who.clone());
-            let hand = self.forwarded_session_id(hand);
-            self.acts.push(Act::SendHand { link, msg: ForwardMessage::Open { session: hand, host, user: who } });
+            client.hand = Some(session);
+            let (host, user) = (client.database.clone().unwrap_or_default(), client.who.clone());
+            let session = self.forwarded_session_id(session);
+            self.acts.push(Act::SendHand { link, msg: ForwardMessage::Open { session, host, user } });
         }
-        hand
+        session
     }
 
-    /// How the owner knows a session that was opened there.
+    /// The id of an outbound session on the wire.
     pub(crate) fn forwarded_session_id(&self, number: u64) -> ForwardedSessionId {
         ForwardedSessionId { incarnation: self.slots.incarnation, number }
     }
 
-    /// The client's session values and shapes, the beginning of its transaction where it is none yet, and its request.
-    fn forward_request(&mut self, id: u64, hand: u64) {
-        let name = self.forwarded_session_id(hand);
-        let (Some(client), Some(out)) = (self.clients.get_mut(&id), self.hands.outbound.get_mut(&hand)) else {
+    /// Sends the client's session values and prepared statements, `BEGIN` if its transaction has not begun, and its
+    /// request.
+    fn forward_request(&mut self, id: u64, session: u64) {
+        let session_id = self.forwarded_session_id(session);
+        let (Some(client), Some(outbound)) = (self.clients.get_mut(&id), self.hands.outbound.get_mut(&session)) else {
             return self.retry_here(id);
         };
         let request = &mut client.request;
-        (request.hand, request.queued) = (Some(hand), None);
+        (request.hand, request.queued) = (Some(session), None);
         request.ret.clear();
         let mut lines = Vec::new();
-        let mut own = wv_session_state::sync_connection(
+        let mut internal_responses = wv_session_state::sync_connection(
             &mut lines,
-            &mut out.connection_state,
+            &mut outbound.connection_state,
             &client.session,
             request.shape,
             &self.shapes,
@@ -171,50 +181,50 @@
             if txn.hand.is_none() {
                 let begin: &[u8] = if txn.only_reads { b"BEGIN READ" } else { b"BEGIN" };
                 write_query(&mut lines, &txn.begin_id, &[begin]);
-                own += 1;
-                txn.hand = Some(hand);
+                internal_responses += 1;
+                txn.hand = Some(session);
             }
             txn.may_have_written |= request.verb() == Verb::Write;
         }
         write_query(&mut lines, &request.id, &[&request.text]);
         self.hands.request_count += 1;
-        out.last_request += 1;
-        out.pending.push_back(PendingRequest {
-            request: out.last_request,
-            internal_responses: own,
+        outbound.last_request += 1;
+        outbound.pending.push_back(PendingRequest {
+            request: outbound.last_request,
+            internal_responses,
             has_client_response: true,
         });
-        let msg = ForwardMessage::Request { session: name, request: out.last_request, lines };
-        self.acts.push(Act::SendHand { link: out.link, msg });
+        let message = ForwardMessage::Request { session: session_id, request: outbound.last_request, lines };
+        self.acts.push(Act::SendHand { link: outbound.link, msg: message });
     }
 
-    /// Ends the client's session at an owner; what is open there is rolled back.
+    /// Closes the client's session at the owner, which rolls back its open transaction.
     pub(crate) fn close_client_outbound_session(&mut self, id: u64) {
-        let hand = self.clients.get_mut(&id).and_then(|client| client.hand.take());
-        hand.into_iter().for_each(|hand| self.close_outbound_session(hand));
+        let session = self.clients.get_mut(&id).and_then(|client| client.hand.take());
+        session.into_iter().for_each(|session| self.close_outbound_session(session));
     }
 
-    pub(crate) fn close_outbound_session(&mut self, hand: u64) {
-        if let Some(out) = self.hands.outbound.remove(&hand) {
-            let hand = self.forwarded_session_id(hand);
-            self.acts.push(Act::SendHand { link: out.link, msg: ForwardMessage::Close { session: hand } });
+    pub(crate) fn close_outbound_session(&mut self, session: u64) {
+        if let Some(outbound) = self.hands.outbound.remove(&session) {
+            let session = self.forwarded_session_id(session);
+            self.acts.push(Act::SendHand { link: outbound.link, msg: ForwardMessage::Close { session } });
         }
     }
 
-    /// Rolls a handed-over transaction back, and keeps the session there.
-    pub(crate) fn abort_forwarded_txn(&mut self, hand: u64) {
-        let name = self.forwarded_session_id(hand);
-        if let Some(out) = self.hands.outbound.get_mut(&hand) {
+    /// Rolls back a forwarded transaction and keeps the session at the owner.
+    pub(crate) fn abort_forwarded_txn(&mut self, session: u64) {
+        let session_id = self.forwarded_session_id(session);
+        if let Some(outbound) = self.hands.outbound.get_mut(&session) {
             let mut lines = Vec::new();
             write_query(&mut lines, b"-", &[b"ABORT"]);
-            out.last_request += 1;
-            out.pending.push_back(PendingRequest {
-                request: out.last_request,
+            outbound.last_request += 1;
+            outbound.pending.push_back(PendingRequest {
+                request: outbound.last_request,
                 internal_responses: 1,
                 has_client_response: false,
             });
-            let msg = ForwardMessage::Request { session: name, request: out.last_request, lines };
-            self.acts.push(Act::SendHand { link: out.link, msg });
+            let message = ForwardMessage::Request { session: session_id, request: outbound.last_request, lines };
+            self.acts.push(Act::SendHand { link: outbound.link, msg: message });
         }
     }
 }
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -1,74 +1,74 @@
-//! What this node tells the control side of the databases that it uses.
+//! Health reports to the control plane about the databases that this node uses.
 use crate::core::Core;
 use wv_health::Spot;
 use wv_internal_protocol::{Health, HealthReport};
 
-/// Leaders that are told of again in one round, with their fenced sightings.
+/// Number of healthy leaders whose fenced position is repeated in one periodic report.
 const LEADERS_PER_ROUND: u64 = 8;
 
-/// How much is told at one time.
+/// Which reports are sent. Each scope includes the ones before it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ReportScope {
-    /// What changed since it was last told.
+    /// Changes since the last report.
     Changes,
-    /// With a beat: also who leads and is about to leave, as a promotion waits for that.
+    /// With each heartbeat: also leaders that are draining or removed, as a promotion waits for their position.
     Heartbeat,
-    /// Now and then: also what ages, bad sightings and who leads.
+    /// Every few heartbeats: also reports that expire, on unhealthy databases and on leaders.
     Periodic,
-    /// At the start of a session: everything.
+    /// At the start of a session: all reports.
     Full,
 }
 
 impl Core {
-    pub fn take_health_reports(&mut self, telling: ReportScope) -> Vec<HealthReport> {
-        if !std::mem::take(&mut self.sights_due) && telling == ReportScope::Changes {
+    pub fn take_health_reports(&mut self, scope: ReportScope) -> Vec<HealthReport> {
+        if !std::mem::take(&mut self.sights_due) && scope == ReportScope::Changes {
             return Vec::new();
         }
-        if telling == ReportScope::Full {
+        if scope == ReportScope::Full {
             self.told.clear();
         }
-        self.round += u64::from(telling == ReportScope::Periodic);
+        self.round += u64::from(scope == ReportScope::Periodic);
         let (now, pools) = (self.now, &self.pools);
-        let led = self.checks.iter().filter(|(_, checker)| checker.fenced.newest().is_some()).count() as u64;
-        let turns = led.div_ceil(LEADERS_PER_ROUND).max(1);
-        let mut sights = Vec::new();
+        let leader_count = self.checks.iter().filter(|(_, checker)| checker.fenced.newest().is_some()).count() as u64;
+        let turns = leader_count.div_ceil(LEADERS_PER_ROUND).max(1);
+        let mut reports = Vec::new();
         for (service, checker) in self.checks.iter() {
-            // Nothing is written to a leader that is gone: what was seen last has reached the others by now.
-            let is_led_gone = checker.led().and_then(|seat| checker.member(seat)).is_some_and(|lead| lead.inst.gone);
-            let fenced = if is_led_gone { checker.fenced.newest() } else { checker.fenced.settled() };
+            // A removed leader receives no more writes, so its newest position needs no time to settle.
+            let is_leader_removed =
+                checker.led().and_then(|seat| checker.member(seat)).is_some_and(|leader| leader.inst.gone);
+            let fenced = if is_leader_removed { checker.fenced.newest() } else { checker.fenced.settled() };
             for (seat, member) in checker.members() {
                 let spot = Spot { service, seat };
-                let is_standing = pools.get(&spot).is_some_and(|pool| pool.all > pool.opening);
-                // Only what was seen is told: down once it is agreed on, up where a connection stands.
+                let is_connected = pools.get(&spot).is_some_and(|pool| pool.all > pool.opening);
+                // Reports only observations: down once the checks agree, up if a connection is established.
                 let is_silent = !member.is_isolated() && member.sight == Health::Unreachable;
-                let sight = match (member.inst.gone, member.is_isolated(), is_silent) {
+                let health = match (member.inst.gone, member.is_isolated(), is_silent) {
                     (true, _, _) => Health::Unknown,
                     (_, true, _) => member.sight,
                     (_, _, true) => Health::Suspected,
-                    _ if is_standing => Health::Up,
+                    _ if is_connected => Health::Up,
                     _ => Health::Unknown,
                 };
-                let told = self.told.get(&spot).copied().unwrap_or(Health::Unknown);
+                let last_reported = self.told.get(&spot).copied().unwrap_or(Health::Unknown);
                 let is_leader = checker.led() == Some(seat);
-                // Of many services each round tells of a few leaders in turn: other nodes tell of the same ones.
-                let is_turn =
-                    telling != ReportScope::Periodic || (u64::from(service) + self.round).is_multiple_of(turns);
-                let ages = match sight {
-                    // Of a leader that is gone the last fenced sighting still tells who may follow it.
+                // Leaders take turns in periodic reports; other nodes report the same ones.
+                let is_turn = scope != ReportScope::Periodic || (u64::from(service) + self.round).is_multiple_of(turns);
+                let expires = match health {
+                    // The last fenced position of a removed leader still decides which replica may be promoted.
                     Health::Unknown => is_leader && fenced.is_some() && member.inst.gone,
                     Health::Up => is_leader && fenced.is_some() && is_turn,
                     _ => true,
                 };
-                let is_ending = member.inst.draining || member.inst.gone;
-                let least = if is_leader && is_ending { ReportScope::Heartbeat } else { ReportScope::Periodic };
-                if sight == told && !(ages && telling >= least) {
+                let is_draining = member.inst.draining || member.inst.gone;
+                let min_scope = if is_leader && is_draining { ReportScope::Heartbeat } else { ReportScope::Periodic };
+                if health == last_reported && !(expires && scope >= min_scope) {
                     continue;
                 }
-                self.told.insert(spot, sight);
+                self.told.insert(spot, health);
                 let fenced = fenced.filter(|_| is_leader);
-                sights.push(HealthReport {
+                reports.push(HealthReport {
                     id: member.inst.id.clone(),
-                    health: sight,
+                    health,
                     health_age_us: now.saturating_sub(member.since),
                     last_heard_age_us: pools
                         .get(&spot)
@@ -79,6 +79,6 @@
                 });
             }
         }
-        sights
+        reports
     }
 }
--- a/crates/wv-access/src/load_test_node.rs
+++ b/crates/wv-access/src/load_test_node.rs
@@ -1,28 +1,28 @@
-//! Access nodes without clients, many to a process: their sessions, feeds and sightings are the real ones. For measuring
-//! what a fleet costs its control nodes (`docs/CAPACITY.md`), not for serving.
+//! Access nodes without clients, many per process, with real control sessions, feeds and health reports. They measure
+//! the load of a fleet on its control nodes (`docs/CAPACITY.md`) and serve no requests.
 use crate::control_session::{maintain_session, ControlSessionSettings};
 use crate::core::Core;
 use crate::exec::Node;
 use std::net::SocketAddr;
 use wv_health::Spot;
 
-/// One hollow node.
+/// An access node without clients.
 pub struct LoadTestNode {
     node: Node,
 }
 
 impl Core {
-    /// The version of the configuration in force here.
+    /// Version of the configuration in force, 0 if there is none.
     pub fn active_configuration_version(&self) -> u64 {
         self.conf.as_ref().map_or(0, |conf| conf.version)
     }
 
-    /// Databases known here.
+    /// Number of known databases, removed ones excluded.
     pub fn database_count(&self) -> usize {
         self.checks.iter().map(|(_, checker)| checker.members().filter(|(_, member)| !member.inst.gone).count()).sum()
     }
 
-    /// As if it worked with the writers of `count` services: they are seen, and their logs grow.
+    /// Simulates writes to the primaries of `count` services: they are reported as up, with a growing log position.
     pub fn simulate_writes(&mut self, count: usize, now: u64) {
         self.now = self.now.max(now);
         let all = self.checks.iter().count().max(1);
@@ -40,21 +40,21 @@
 }
 
 impl LoadTestNode {
-    /// Starts one on this thread's worker; it keeps its session up for as long as the worker runs.
-    pub fn start(name: &str, zone: &str, seeds: Vec<SocketAddr>, inner_port: u16, life: u64) -> LoadTestNode {
+    /// Starts a node on the current thread's local task set; it maintains its control session while that runs.
+    pub fn start(name: &str, zone: &str, seeds: Vec<SocketAddr>, internal_port: u16, incarnation: u64) -> LoadTestNode {
         let mut core = Core::new(zone, 6_000_000);
         core.set_node_name(name);
-        core.set_incarnation(life);
+        core.set_incarnation(incarnation);
         let node = Node::new(core);
-        let place = ControlSessionSettings {
+        let settings = ControlSessionSettings {
             node_name: name.to_owned(),
             zone: zone.to_owned(),
             seeds,
-            internal_port: inner_port,
+            internal_port,
             forwarding_address: String::new(),
         };
-        let place = std::rc::Rc::new(std::cell::RefCell::new(place));
-        tokio::task::spawn_local(maintain_session(node.clone(), place, life));
+        let settings = std::rc::Rc::new(std::cell::RefCell::new(settings));
+        tokio::task::spawn_local(maintain_session(node.clone(), settings, incarnation));
         LoadTestNode { node }
     }
 
@@ -66,7 +66,7 @@
         self.node.core.borrow().database_count()
     }
 
-    /// Bytes that its sessions have read and written.
+    /// Bytes read and written on its control sessions.
     pub fn traffic_bytes(&self) -> (u64, u64) {
         self.node.traffic.get()
     }
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -1,25 +1,23 @@
-//! What operators see of this node's databases: the figures of `GET /metrics` at the readiness address.
-//!
-//! Nothing is decided by what is kept here.
+//! Metrics of this node for `GET /metrics` at the readiness address. They do not influence routing.
 use crate::core::Core;
 use wv_health::Spot;
 use wv_metrics::{MetricsError, Page};
 
 impl Core {
-    /// New work goes to a database. One that leaves is to get none once its bound is over: should it get some all the
-    /// same, the log says so with what led up to it.
+    /// Counts new work sent to a draining database, and logs the first case after the platform's drain timeout, which
+    /// would violate the invariant of the `drain` module.
     pub(crate) fn count_new_work_while_draining(&mut self, spot: Spot) {
         let now = self.now;
         let Some(member) = self.checks.member_mut(spot) else { return };
         let Some(leaving) = member.leaving.as_mut() else { return };
         leaving.new_work += 1;
-        let ago_us = leaving.since.age_us(now);
-        if ago_us > self.drain.platform_drain_us && !std::mem::replace(&mut leaving.is_overdue_logged, true) {
-            log::error!("{} is given new work {} ms after it said that it leaves", member.inst.id, ago_us / 1000);
+        let age_us = leaving.since.age_us(now);
+        if age_us > self.drain.platform_drain_us && !std::mem::replace(&mut leaving.is_overdue_logged, true) {
+            log::error!("{} was sent new work {} ms after it began to drain", member.inst.id, age_us / 1000);
         }
     }
 
-    /// This process's figures, as monitoring fetches them.
+    /// The metrics page.
     pub fn metrics(&self) -> Result<Vec<u8>, MetricsError> {
         let mut page = Page::default();
         page.figure(
--- a/crates/wv-access/src/peer_links.rs
+++ b/crates/wv-access/src/peer_links.rs
@@ -1,24 +1,24 @@
-//! Links between access nodes, for work handed over to the owners of shards.
+//! Links between access nodes that carry forwarded requests.
 use crate::exec::Node;
 use wv_internal_protocol::ForwardMessage;
 
 const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
-/// Acknowledged by the far end's system within this, or the link is cut.
+/// The link is closed if the peer's system does not acknowledge data within this time.
 const SILENCE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(900);
-/// A link whose far end takes nothing is cut when this many messages wait.
+/// The link is closed when this many messages wait to be sent.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 const MAX_PEER_LINKS: usize = 512;
 
 impl Node {
     pub(crate) fn send_forward_message(&self, link: u64, msg: ForwardMessage) {
-        let is_stuck = self.hands.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
-        if is_stuck {
+        let is_full = self.hands.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
+        if is_full {
             self.hands.borrow_mut().remove(&link);
         }
     }
 
-    pub(crate) async fn connect_peer_link(self, link: u64, place: String) {
-        if let Ok(addr) = place.parse::<std::net::SocketAddr>() {
+    pub(crate) async fn connect_peer_link(self, link: u64, address: String) {
+        if let Ok(addr) = address.parse::<std::net::SocketAddr>() {
             if let Ok(stream) = wv_http::connect(addr, CONNECT_TIMEOUT).await {
                 let receiver = self.register_peer_link(link);
                 self.with(|core, now| core.hand_up(link, now));
@@ -34,7 +34,7 @@
         receiver
     }
 
-    /// Takes in links of other nodes for ever.
+    /// Accepts links from other access nodes; never returns.
     pub async fn accept_peer_links(self, listener: tokio::net::TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -61,8 +61,8 @@
         receiver: tokio::sync::mpsc::Receiver<ForwardMessage>,
     ) {
         wv_http::tune(&stream, SILENCE_TIMEOUT);
-        let hear = |msg| self.with(|core, now| core.handle_forward_message(link, msg, now));
-        wv_process::carry(stream, receiver, SILENCE_TIMEOUT, None, hear).await;
+        let on_message = |msg| self.with(|core, now| core.handle_forward_message(link, msg, now));
+        wv_process::carry(stream, receiver, SILENCE_TIMEOUT, None, on_message).await;
         self.hands.borrow_mut().remove(&link);
     }
 }
--- a/crates/wv-access/src/recorder.rs
+++ b/crates/wv-access/src/recorder.rs
@@ -1,9 +1,9 @@
-//! A recording of who is subscribed to which database and when requests come: never what is in them. Off by default.
-//! The format is `wv-replay`'s, version 1; memory is bounded, and what does not fit is counted.
+//! Records session and request times for replay, never the contents of requests. Off by default.
+//! The format is version 1 of `wv-replay`'s. Memory is bounded; events that do not fit are counted as lost.
 use crate::core::Core;
 use crate::types::Verb;
 
-/// One event takes this much at the most.
+/// Memory that one event takes.
 pub const EVENT_BYTES: usize = std::mem::size_of::<Event>();
 
 #[derive(Clone, Copy)]
@@ -24,7 +24,7 @@
 pub(crate) struct Recorder {
     max_events: usize,
     salt: u64,
-    /// The time of day at this process's zero.
+    /// Unix time of the process's time zero.
     epoch_us: u64,
     events: Vec<Event>,
     hosts: Vec<(String, bool, String)>,
@@ -32,16 +32,16 @@
 }
 
 impl Recorder {
-    fn push(&mut self, at: u64, client: u32, what: EventKind) -> Option<usize> {
+    fn push(&mut self, at: u64, client: u32, kind: EventKind) -> Option<usize> {
         if self.events.len() >= self.max_events {
             self.dropped_events += 1;
             return None;
         }
-        self.events.push(Event { at, client, kind: what });
+        self.events.push(Event { at, client, kind });
         Some(self.events.len() - 1)
     }
 
-    /// A client is known by a salted hash alone.
+    /// Clients are identified by a salted hash only.
     fn client_hash(&self, id: u64, who: &str) -> u32 {
         let seed =
             who.bytes().fold(self.salt ^ id, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
@@ -50,7 +50,7 @@
 }
 
 impl Core {
-    /// Records from now on, up to `max` events; 0 records nothing.
+    /// Records up to `max` events from now on; 0 disables recording.
     pub fn set_recording(&mut self, max: usize, salt: u64, epoch_us: u64) {
         (self.recorder.max_events, self.recorder.salt, self.recorder.epoch_us) = (max, salt, epoch_us);
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A statement of its own, or one more of a transaction, which stands where its first one came.
+    /// Records a single statement, or counts one more of a transaction, which is recorded at its first statement.
     pub(crate) fn record_request(&mut self, id: u64) {
         let (true, Some(name)) = (self.is_recording(), self.recorded_client(id)) else { return };
         let now = self.now;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// What was recorded, as `windvalve replay` reads it; empty where nothing is recorded.
+    /// The recording in the format of `windvalve replay`; empty if recording is disabled.
     pub fn recording(&self) -> String {
         if !self.is_recording() {
             return String::new();
@@ -119,9 +119,9 @@
             format!("recording 1 node={} start={start:.6} lost={}\n", self.hands.node_name, record.dropped_events);
         let mut open = hashbrown::HashSet::new();
         let mut count = 0usize;
-        for noted in &record.events {
-            let (at, client) = (noted.at as f64 / 1e6, noted.client);
-            let line = match noted.kind {
+        for event in &record.events {
+            let (at, client) = (event.at as f64 / 1e6, event.client);
+            let line = match event.kind {
                 EventKind::Open { host } if open.insert(client) => {
                     let Some((host, is_bounded, service)) = record.hosts.get(usize::from(host)) else { continue };
                     let category = if *is_bounded { "bounded" } else { "primary" };
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -1,20 +1,20 @@
-//! Shards that are planned to be split: which service has a slot, which connections a map binds to, what has to wait.
+//! Shards with a planned split: which service holds a slot, which connections match the slot map, which requests wait.
 use crate::core::{Core, Map};
 use crate::types::{Verb, What};
 use std::rc::Rc;
 use wv_health::Spot;
 use wv_internal_protocol::{SlotMap, SplitPhase};
 
-/// A plan that is this young may not have a map yet: its shard is served as before meanwhile.
+/// For this long after a plan appears its shard is served without a slot map.
 const MAP_GRACE_US: u64 = 10_000_000;
-/// Splits of what was split before are followed this far.
+/// Maximum length of a chain of splits that is followed.
 const MAX_SPLIT_HOPS: usize = 8;
 
-/// What this node holds of one planned shard.
+/// State of one shard with a planned split.
 #[derive(Default)]
 pub(crate) struct PlannedShard {
     pub map: SlotMap,
-    /// The try whose holder knows that this node writes.
+    /// The split attempt whose coordinator knows that this node writes.
     pub acked_attempt: u64,
     pub dirty_keys: crate::split_reports::DirtyKeyTracker,
     pub key_sampler: crate::split_reports::KeySampler,
@@ -23,33 +23,33 @@
 #[derive(Default)]
 pub(crate) struct SlotState {
     pub shards: Map<String, PlannedShard>,
-    /// The planned shards that have no map here, and since when they are known to be planned.
+    /// Planned shards whose slot map has not arrived, and since when they are known.
     pub shards_without_map: Map<String, u64>,
-    /// Tells this process from those before it.
+    /// Distinguishes this process from earlier ones of the same node.
     pub incarnation: u64,
     pub is_report_due: bool,
 }
 
-/// What a request has to do with slots: the thing it names, and that thing's slot.
+/// The key that a request names, and the key's slot.
 #[derive(Clone, Default)]
 pub struct RequestKey {
     pub key: Vec<u8>,
     pub slot: Option<u16>,
-    /// The bytes that it writes.
+    /// Size of the written value.
     pub write_bytes: u32,
 }
 
 impl Core {
-    /// Set once, before anything is told: which life of this node it is.
-    pub fn set_incarnation(&mut self, life: u64) {
-        self.slots.incarnation = life;
+    /// Must be set once, before any message is sent.
+    pub fn set_incarnation(&mut self, incarnation: u64) {
+        self.slots.incarnation = incarnation;
     }
 
     pub(crate) fn has_planned_shards(&self) -> bool {
         !self.slots.shards.is_empty() || !self.slots.shards_without_map.is_empty()
     }
 
-    /// The plans of a configuration that came into force.
+    /// Takes over the shard plans of a new configuration.
     pub(crate) fn set_shard_plans(&mut self, conf: &wv_configuration::Conf) {
         let now = self.now;
         let slots = &mut self.slots;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Which service has this slot of `service`'s: the shard itself, or wherever splits have moved it.
+    /// The service that holds this slot of `service`: the shard itself, or the one that splits have moved it to.
     pub(crate) fn service_for_slot(&self, service: &str, slot: Option<u16>) -> Rc<str> {
         let mut place = service;
         for _ in 0..MAX_SPLIT_HOPS {
@@ -83,7 +83,7 @@
         Some(self.service_for_slot(&route.service, slot))
     }
 
-    /// Whether a transaction that began on one shard now names a thing of another.
+    /// Whether a transaction that began on one shard now names a key of another.
     pub(crate) fn is_cross_shard(&self, id: u64) -> bool {
         let Some(client) = self.clients.get(&id).filter(|_| self.has_planned_shards()) else { return false };
         let (Some(route), Some(txn)) = (client.request.route.as_ref(), client.txn.as_ref()) else { return false };
@@ -95,9 +95,9 @@
         })
     }
 
-    /// Whether the request has to wait: a write to what moves while that is sealed, or while it is copied and the holder
-    /// does not know yet that this node writes; the first write to a thing whose name is not kept yet; anything of the
-    /// primary's while the map is missing.
+    /// Whether the request has to wait: a write to a moving slot while it is sealed, or while it is copied and the
+    /// coordinator does not yet know that this node writes; the first write to a key that the coordinator has not yet
+    /// persisted; any request on a primary route while the slot map is overdue.
     pub(crate) fn must_wait_for_split(&mut self, id: u64) -> bool {
         if !self.has_planned_shards() {
             return false;
@@ -111,18 +111,18 @@
         let (named, is_write) = (&client.request.named, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service).filter(|_| is_write) else { return false };
         let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
-        let is_shut = is_moving
+        let is_blocked = is_moving
             && match shard.map.phase {
                 SplitPhase::Resting => false,
                 SplitPhase::Copying => shard.acked_attempt != shard.map.attempt,
                 SplitPhase::Sealed => true,
             };
-        let is_named = named.key.is_empty() || shard.key_sampler.require_acked(&named.key);
-        self.slots.is_report_due |= !is_named && shard.key_sampler.is_report_due();
-        is_shut || !is_named
+        let is_key_acked = named.key.is_empty() || shard.key_sampler.require_acked(&named.key);
+        self.slots.is_report_due |= !is_key_acked && shard.key_sampler.is_report_due();
+        is_blocked || !is_key_acked
     }
 
-    /// What is written to a thing that is being copied is kept in mind before it is sent, and marked when it is over.
+    /// Tracks a write to a key that is being copied, so that the key is reported as dirty when the write is finished.
     pub(crate) fn track_split_write(&mut self, id: u64) {
         if self.slots.shards.is_empty() {
             return;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The term that primary work at this spot is bound to; 0 where it is not bound.
+    /// The term that connections for primary requests to `spot` must have; 0 if any.
     fn required_term(&self, spot: Spot) -> u64 {
         let Some(checker) = self.checks.checker(spot.service).filter(|_| !self.slots.shards.is_empty()) else {
             return 0;
@@ -147,7 +147,7 @@
         self.slots.shards.get(&checker.service).filter(|_| is_lead).map_or(0, |shard| shard.map.term)
     }
 
-    /// Whether databases at this spot are asked for their term when a connection stands.
+    /// Whether a new connection to `spot` has to query the database's term.
     pub(crate) fn needs_term_query(&self, spot: Spot) -> bool {
         let Some(checker) = self.checks.checker(spot.service).filter(|_| self.has_planned_shards()) else {
             return false;
@@ -155,7 +155,7 @@
         self.slots.shards.contains_key(&checker.service) || self.slots.shards_without_map.contains_key(&checker.service)
     }
 
-    /// How a connection stands to the map: fit for use, too old for it, or newer than it.
+    /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
         let Some(held) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
         let bound = self.required_term(held.spot);
@@ -165,7 +165,8 @@
         held.term.cmp(&bound)
     }
 
-    /// The lead or the map of a service changed: idle connections that no longer fit go, early ones may fit now.
+    /// Rechecks unused connections after the leader or slot map of a service changed: outdated ones are closed, and
+    /// those ahead of the map may have become usable.
     pub(crate) fn recheck_connections(&mut self, service: &str) {
         if self.slots.shards.is_empty() {
             return;
@@ -179,11 +180,11 @@
         }
     }
 
-    /// A database said under which term it is.
+    /// Stores the term that a database reported for a connection.
     pub(crate) fn note_reported_term(&mut self, db: u64, row: &[u8]) {
-        // What it said as a replica is not what it leads under: such a connection fits no map.
-        let lead = wv_wire_protocol::parse_status(row).filter(|status| status.is_primary);
-        let term = lead.map_or(0, |status| status.term);
+        // A replica's term is not one that it leads in; term 0 matches no slot map.
+        let primary = wv_wire_protocol::parse_status(row).filter(|status| status.is_primary);
+        let term = primary.map_or(0, |status| status.term);
         self.dbs.get_mut(&db).into_iter().for_each(|held| held.term = term);
     }
 
@@ -195,7 +196,7 @@
         self.acts.push(crate::Act::WriteDb(db));
     }
 
-    /// A map came: what it takes from this node binds at once, and what waited for it goes on.
+    /// Applies a newer slot map; it takes effect at once.
     pub(crate) fn apply_slot_map(&mut self, map: SlotMap) {
         let name = map.shard.clone();
         if self.slots.shards.get(&name).is_some_and(|shard| shard.map.version >= map.version) {
@@ -205,13 +206,13 @@
         let shard = self.slots.shards.entry(name.clone()).or_default();
         let old = std::mem::replace(&mut shard.map, map);
         let map = &shard.map;
-        // The holder hears that this node writes, or that it writes no more.
-        let is_told = old.attempt != map.attempt || old.phase != map.phase;
-        if map.phase != SplitPhase::Resting && is_told {
+        // Tells the coordinator that this node writes, or that it no longer does.
+        let has_changed = old.attempt != map.attempt || old.phase != map.phase;
+        if map.phase != SplitPhase::Resting && has_changed {
             shard.dirty_keys.request_report(map.phase == SplitPhase::Sealed);
             self.slots.is_report_due = true;
         }
-        // Sightings of a target from before rows came to it say nothing of them.
+        // Positions seen on a target before it received the rows do not cover them.
         let gained: Vec<String> =
             map.moved.iter().filter(|range| !old.moved.contains(range)).map(|range| range.target.clone()).collect();
         for target in gained {
--- a/crates/wv-access/src/socket.rs
+++ b/crates/wv-access/src/socket.rs
@@ -1,4 +1,4 @@
-//! One socket: its reads go to a closure, its writes go out at once where the link takes them.
+//! A TCP socket that passes received bytes to a closure and writes without waiting while the send buffer has room.
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
         (reader, Rc::new(sock))
     }
 
-    /// Writes what the link takes now and keeps the rest for later.
+    /// Writes as much as the send buffer accepts and queues the rest.
     pub fn write(self: &Rc<Self>, out: &mut Vec<u8>) {
         let mut at = 0;
         if !self.is_flushing.get() {
@@ -84,24 +84,24 @@
         });
     }
 
-    /// Ends the connection once what is pending went out.
+    /// Closes the connection after the pending bytes are written.
     pub fn close(&self) {
         self.is_closed.set(true);
         self.writer.borrow_mut().take();
         self.closed.notify_one();
     }
 
-    /// Reads until the far end or this side closes; an error that ended it is returned.
+    /// Reads until either side closes, and returns the error that ended the connection, if any.
     pub async fn read(&self, reader: &mut OwnedReadHalf, mut take: impl FnMut(&[u8])) -> Option<std::io::Error> {
         let reading = std::future::poll_fn(|context| loop {
-            // The buffer is shared by all sockets of the worker: nothing stays in it over an await.
+            // All sockets of the thread share the buffer, so no data is left in it across an await.
             let mut bytes = READ_BUFFER.with(|buf| std::mem::take(&mut *buf.borrow_mut()));
             if bytes.is_empty() {
                 bytes = vec![0; READ_BYTES];
             }
             let mut view = ReadBuf::new(&mut bytes);
             let polled = Pin::new(&mut *reader).poll_read(context, &mut view);
-            let is_over = match &polled {
+            let is_done = match &polled {
                 std::task::Poll::Ready(Ok(())) if !view.filled().is_empty() => {
                     take(view.filled());
                     false
@@ -109,7 +109,7 @@
                 _ => true,
             };
             READ_BUFFER.with(|buf| *buf.borrow_mut() = bytes);
-            if is_over {
+            if is_done {
                 break polled.map(|result| result.err());
             }
         });
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -1,5 +1,5 @@
-//! Reports to the node that coordinates a shard split: dirty keys, key samples and key names. At most one report of each
-//! kind is in flight per shard; it is resent until acknowledged.
+//! Reports to the node that coordinates a shard split: dirty keys, key samples and key names. At most one report of
+//! each kind is in flight per shard; it is resent until acknowledged.
 use crate::core::Core;
 use wv_internal_protocol::{Message, ShardReport, SplitPhase, WriteMarks};
 use wv_shard_forecast::{hash, slot_for_key, KeySample, Sample};
@@ -60,14 +60,14 @@
     /// Makes a report due even without dirty keys: it tells that this node writes, or that this is its last report.
     pub fn request_report(&mut self, is_last: bool) {
         (self.is_report_due, self.is_final) = (true, is_last);
-        // Writes that may still take effect are copied again after the shard is sealed.
+        // Keys of unfinished writes are copied again once those writes can no longer take effect.
         if is_last {
             self.keys.extend(self.writes.iter().map(|write| write.key.clone()));
         }
     }
 
-    /// Marks the keys of finished writes dirty, since they may have been copied before the write took effect. Writes with
-    /// an unknown outcome are marked again once `LATE_EFFECT_WINDOW_US` is over.
+    /// Marks the keys of finished writes dirty, since they may have been copied before the write took effect. Writes
+    /// with an unknown outcome are marked again once `LATE_EFFECT_WINDOW_US` is over.
     fn collect_finished(&mut self, now: u64, is_open: impl Fn(&TrackedWrite) -> bool) {
         let mut again = Vec::new();
         self.writes.retain_mut(|write| {
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Returns whether the coordinator has persisted the key, so that a split will not miss it. If not, reports it at once.
+    /// Returns whether the coordinator has persisted the key, so that a split will not miss it. If not, reports it at
+    /// once.
     pub fn require_acked(&mut self, key: &[u8]) -> bool {
         let is_acked = self.acked_keys.contains(&hash(key));
         if !is_acked {
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -1,25 +1,26 @@
-//! This edge's capacity among tenants: sessions, lines to databases, and what may be under way at once.
+//! Shares of this node's capacity among tenants: sessions, open requests, queue places and connections.
 use crate::core::Core;
 use wv_fair_queue::{Tally, Tenants};
 use wv_health::Spot;
 
-/// Requests that one node works on at once before those over their share are refused.
+/// Number of open requests from which tenants over their share are refused.
 const MAX_OPEN_REQUESTS: u32 = 512;
-/// Each tenant may have this many wait for one database at least.
+/// Each tenant may queue at least this many requests per database.
 const MIN_QUEUE_PER_TENANT: usize = 8;
 const MAX_QUEUE: usize = crate::offer::WAITING_MAX;
 
-/// Who uses what of this node.
+/// Capacity in use, by tenant.
 #[derive(Default)]
 pub(crate) struct TenantShares {
     pub tenants: Tenants,
     pub tallies: Vec<Tally>,
-    /// Requests open now, by tenant.
+    /// Number of open requests, by tenant.
     pub open_requests: Vec<u32>,
+    /// Maximum number of sessions of all tenants, 0 if unlimited.
     pub max_clients: usize,
 }
 
-/// What a connection in use is charged to.
+/// The tenant that a connection in use is charged to.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     tenant: u16,
@@ -28,18 +29,17 @@
 }
 
 impl Core {
-    /// How many sessions the node takes at all.
-    pub fn set_max_clients(&mut self, clients_max: usize) {
-        self.shares.max_clients = clients_max;
+    pub fn set_max_clients(&mut self, max_clients: usize) {
+        self.shares.max_clients = max_clients;
     }
 
     pub(crate) fn has_tenants(&self) -> bool {
         !self.shares.tenants.is_empty()
     }
 
-    /// Weights bind from the next start on; what is under way ends as it began.
+    /// New weights apply to requests that start from now on.
     pub(crate) fn set_tenants(&mut self, conf: &wv_configuration::Conf, before: Option<&wv_configuration::Conf>) {
-        // Where nobody has a share, all sessions are alike: they need not be gone through.
+        // Without tenants before and after, no session changes.
         if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
         }
@@ -52,7 +52,7 @@
             if let Some(host) = &client.database {
                 let tenant = self.shares.tenants.find(host, &client.who);
                 self.shares.tallies[tenant as usize].sessions += 1;
-                // A open request is counted where it was opened.
+                // An open request stays with the tenant that it was counted for.
                 if !client.request.is_open {
                     client.tenant = tenant;
                 }
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Seats a session with its tenant. `false` where the node is nearly full and the tenant over its share.
+    /// Assigns a session to its tenant. Returns `false` if the node is nearly full and the tenant is at its share.
     pub(crate) fn admit_session(&mut self, id: u64) -> bool {
-        let seated = self.clients.len();
+        let client_count = self.clients.len();
         let Some(client) = self.clients.get_mut(&id) else { return false };
         let host = client.database.as_deref().unwrap_or_default();
         client.tenant = self.shares.tenants.find(host, &client.who);
@@ -72,7 +72,7 @@
         }
         let max = self.shares.max_clients;
         let sessions = |at: &u16| self.shares.tallies[*at as usize].sessions;
-        let is_full = max > 0 && seated >= max - max / 8;
+        let is_full = max > 0 && client_count >= max - max / 8;
         let present = (0..self.shares.tenants.len() as u16).filter(|at| *at == tenant || sessions(at) > 0);
         let all: u64 = present.map(|at| self.shares.tenants.weight(at)).sum();
         let entitled = max as u64 * self.shares.tenants.weight(tenant) / all.max(1);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A request was opened. `false` where the node has its hands full and the tenant more than its share of them.
+    /// Counts an open request. Returns `false` if the node is at its limit and the tenant over its share.
     pub(crate) fn admit_request(&mut self, tenant: u16) -> bool {
         if self.shares.tenants.is_empty() {
             return true;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether the line to `spot` has room for one more of this tenant: a surge fills no line but its own.
+    /// Whether the tenant may queue one more request for `spot`. A burst of one tenant does not take others' places.
     pub(crate) fn can_queue(&self, spot: Spot, tenant: u16) -> bool {
         let Some(pool) = self.pools.get(&spot) else { return true };
         if !self.has_tenants() {
@@ -132,12 +132,13 @@
         pool.waiting.iter().filter(is_its).count()
     }
 
-    /// Whether this request may take a connection there now. Transactions may rest, and can't be taken back.
+    /// Whether this request may take a connection to `spot` now. Only transactions are limited, since they may hold a
+    /// connection while idle.
     pub(crate) fn can_take_connection(&self, id: u64, spot: Spot) -> bool {
         let Some(client) = self.clients.get(&id).filter(|_| self.has_tenants()) else { return true };
-        let is_short = client.txn.is_none();
+        let is_single = client.txn.is_none();
         let slots = self.cap(spot);
-        is_short
+        is_single
             || self
                 .pools
                 .get(&spot)
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The connection was taken from rest for this request.
+    /// Charges a connection taken from the pool to the request's tenant.
     pub(crate) fn charge_connection(&mut self, id: u64, db: u64, spot: Spot) {
         if !self.has_tenants() {
             return;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// The connection is at rest again, or gone.
+    /// Ends the charge of a connection that was returned to the pool or closed.
     pub(crate) fn release_charge(&mut self, spot: Spot, charge: Option<Charge>) {
         let Some(charge) = charge else { return };
         let held_us = self.now.saturating_sub(charge.since);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Which of those waiting there starts next: the tenant furthest behind its share, within it by precedence.
+    /// Index of the queued request to start next: of the tenant furthest below its share, the highest precedence first.
     pub(crate) fn next_queued_request(&self, spot: Spot) -> Option<usize> {
         let pool = self.pools.get(&spot)?;
         let client = |id: &u64| self.clients.get(id);
@@ -202,7 +203,7 @@
         first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.can_take_connection(*id, spot))
     }
 
-    /// When a refused ask is to come back: once its own tenant's backlog may have gone.
+    /// Retry delay of a refused request: the expected time to work off its tenant's backlog.
     pub(crate) fn retry_after_ms(&mut self, id: u64) -> Option<u64> {
         let client = self.clients.get(&id).filter(|_| self.has_tenants())?;
         let tenant = client.tenant;
@@ -217,7 +218,7 @@
         Some((longest / 1000).clamp(20, 2000))
     }
 
-    /// What each tenant is entitled to and uses, for operators.
+    /// Weight and usage of each tenant, for operators.
     pub fn tenants_json(&self) -> String {
         let waiting =
             |tenant: u16| -> usize { self.pools.values().map(|pool| self.queued_requests(pool, tenant)).sum() };
--- a/crates/wv-access/tests/drain.rs
+++ b/crates/wv-access/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Stories of a database that leaves, at one access node: until when it is given new work.
+//! Draining databases at one access node: until when they receive new work.
 mod common;
 
 use common::{database, Bare, MS};
@@ -10,21 +10,21 @@
 const OK: &str = "COMPLETE stamp-1\r\nIDLE I 3.9\r\n";
 const BEGUN: &str = "COMPLETE -\r\nIDLE T -\r\n";
 
-/// How long new work goes on.
-fn bound() -> u64 {
+/// How long a draining database receives new work.
+fn window_us() -> u64 {
     new_work_window_us(DEFAULT_DRAIN_US, DEFAULT_CONTACT_US)
 }
 
-/// The control side says of the node's only database that it leaves, or that it is in service.
-fn tell(bare: &mut Bare, place: u64, sequence: u64, draining: bool, leaving_us: u64) {
-    let inst = Instance { sequence, draining, leaving_age_us: leaving_us, ..database() };
-    let taken =
-        bare.core.apply_feed_message(Message::Update { position: place, update: FeedUpdate::Instance(inst) }, bare.now);
-    assert!(taken.is_ok(), "the change fits on");
+/// Feeds an update of the node's only database: draining, or in service.
+fn report_database(bare: &mut Bare, position: u64, sequence: u64, draining: bool, draining_age_us: u64) {
+    let inst = Instance { sequence, draining, leaving_age_us: draining_age_us, ..database() };
+    let result =
+        bare.core.apply_feed_message(Message::Update { position, update: FeedUpdate::Instance(inst) }, bare.now);
+    assert!(result.is_ok(), "the update follows the feed position");
     bare.obey();
 }
 
-/// Whether a write of a new client reaches the database; it is answered if it does.
+/// Whether a write of a new client reaches the database, which then answers it.
 fn is_written(bare: &mut Bare, id: &str) -> bool {
     let client = bare.client("shop");
     bare.say(client, &format!("QUERY {id} WRITE k d"));
@@ -38,26 +38,26 @@
 }
 
 #[gtest]
-fn given_a_primary_that_leaves_then_it_is_written_to_until_the_bound_and_not_after() {
+fn given_a_draining_primary_then_it_receives_writes_until_the_window_ends() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, 0);
+    report_database(&mut bare, 8, 2, true, 0);
     expect_that!(is_written(&mut bare, "w1"), eq(true));
-    bare.run(bound() - 100 * MS);
+    bare.run(window_us() - 100 * MS);
     expect_that!(is_written(&mut bare, "w2"), eq(true));
     bare.run(100 * MS);
     expect_that!(is_written(&mut bare, "w3"), eq(false));
-    // Beats that say it again make it no younger.
-    tell(&mut bare, 9, 3, true, 0);
+    // Repeated reports do not restart the window.
+    report_database(&mut bare, 9, 3, true, 0);
     expect_that!(is_written(&mut bare, "w4"), eq(false));
-    // It stays after all.
-    tell(&mut bare, 10, 4, false, 0);
+    // The drain was cancelled.
+    report_database(&mut bare, 10, 4, false, 0);
     expect_that!(is_written(&mut bare, "w5"), eq(true));
 }
 
 #[gtest]
-fn given_a_request_that_nobody_may_take_any_more_then_its_client_is_told_so_in_time() {
+fn given_a_request_without_an_eligible_database_then_the_client_gets_an_error_in_time() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, UNKNOWN_AGE_US);
+    report_database(&mut bare, 8, 2, true, UNKNOWN_AGE_US);
     let client = bare.client("shop");
     bare.say(client, "QUERY w1 WRITE k d");
     bare.run(60 * MS);
@@ -66,40 +66,40 @@
 }
 
 #[gtest]
-fn given_word_of_a_leave_that_is_seconds_old_then_the_bound_counts_from_when_it_was_said() {
+fn given_a_delayed_drain_report_then_the_window_counts_from_the_start_of_the_drain() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, bound() - 50 * MS);
+    report_database(&mut bare, 8, 2, true, window_us() - 50 * MS);
     expect_that!(is_written(&mut bare, "w1"), eq(true));
     bare.run(50 * MS);
     expect_that!(is_written(&mut bare, "w2"), eq(false));
-    // A later word that makes it younger changes nothing.
-    tell(&mut bare, 9, 3, true, 0);
+    // A later report with a smaller age has no effect.
+    report_database(&mut bare, 9, 3, true, 0);
     expect_that!(is_written(&mut bare, "w3"), eq(false));
 }
 
 #[gtest]
-fn given_a_copy_that_is_no_news_but_says_that_the_leave_is_older_then_it_counts() {
+fn given_an_outdated_report_with_an_earlier_drain_start_then_the_earlier_start_counts() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 5, true, 0);
+    report_database(&mut bare, 8, 5, true, 0);
     expect_that!(is_written(&mut bare, "w1"), eq(true));
-    tell(&mut bare, 9, 2, true, bound());
+    report_database(&mut bare, 9, 2, true, window_us());
     expect_that!(is_written(&mut bare, "w2"), eq(false));
 }
 
 #[gtest]
-fn given_a_node_that_stood_still_when_word_of_a_leave_came_then_it_counts_as_having_waited_as_long() {
+fn given_a_node_that_stalled_before_it_read_a_drain_report_then_the_stall_counts_towards_the_window() {
     let mut bare = Bare::new();
     bare.run(200 * MS);
-    // Nothing happens here for as long as new work may go on; then the word is read first.
-    bare.now += bound();
-    tell(&mut bare, 8, 2, true, 0);
+    // The node stalls for the whole window and then reads the report first.
+    bare.now += window_us();
+    report_database(&mut bare, 8, 2, true, 0);
     expect_that!(is_written(&mut bare, "w1"), eq(false));
 }
 
 #[gtest]
-fn given_a_transaction_begun_in_advance_when_the_bound_passes_then_its_first_statement_is_not_sent() {
+fn given_a_transaction_begun_ahead_when_the_window_ends_then_its_first_statement_is_not_sent() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, bound() - 20 * MS);
+    report_database(&mut bare, 8, 2, true, window_us() - 20 * MS);
     let client = bare.client("shop");
     bare.say(client, "QUERY t1 BEGIN\r\nQUERY t2 WRITE k d");
     let db = bare.ran.last().expect("the transaction is begun").0;
@@ -113,12 +113,12 @@
 }
 
 #[gtest]
-fn given_a_single_read_of_the_primary_whose_begin_returns_past_the_bound_then_it_is_not_sent() {
+fn given_a_single_primary_read_whose_begin_is_answered_after_the_window_then_it_is_not_sent() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, bound() - 20 * MS);
+    report_database(&mut bare, 8, 2, true, window_us() - 20 * MS);
     let client = bare.client("shop");
     bare.say(client, "QUERY r1 READ k");
-    let db = bare.ran.last().expect("a transaction of our own is begun around it").0;
+    let db = bare.ran.last().expect("the read is wrapped in a transaction").0;
     bare.run(30 * MS);
     bare.db_says(db, BEGUN, 1);
     bare.run(100 * MS);
@@ -127,9 +127,9 @@
 }
 
 #[gtest]
-fn given_a_transaction_that_runs_when_the_bound_passes_then_it_goes_on() {
+fn given_a_running_transaction_when_the_window_ends_then_it_continues() {
     let mut bare = Bare::new();
-    tell(&mut bare, 8, 2, true, bound() - 20 * MS);
+    report_database(&mut bare, 8, 2, true, window_us() - 20 * MS);
     let client = bare.client("shop");
     bare.say(client, "QUERY t1 BEGIN\r\nQUERY t2 WRITE k d");
     let db = bare.ran.last().expect("the transaction is begun").0;
@@ -143,10 +143,10 @@
 }
 
 #[gtest]
-fn given_bounds_of_other_settings_then_they_are_followed() {
+fn given_other_timeout_settings_then_the_window_follows_them() {
     let mut bare = Bare::new();
     bare.core.set_drain_timeouts(800 * MS, 4_000 * MS);
-    tell(&mut bare, 8, 2, true, 0);
+    report_database(&mut bare, 8, 2, true, 0);
     bare.run(580 * MS);
     expect_that!(is_written(&mut bare, "w1"), eq(true));
     bare.run(20 * MS);
@@ -154,10 +154,10 @@
 }
 
 #[gtest]
-fn given_machines_that_are_soon_in_touch_again_then_new_work_ends_before_a_late_word_could_matter() {
+fn given_a_contact_time_shorter_than_the_drain_timeout_then_the_window_ends_by_the_contact_time() {
     let mut bare = Bare::new();
     bare.core.set_drain_timeouts(7_000 * MS, 800 * MS);
-    tell(&mut bare, 8, 2, true, 0);
+    report_database(&mut bare, 8, 2, true, 0);
     bare.run(680 * MS);
     expect_that!(is_written(&mut bare, "w1"), eq(true));
     bare.run(20 * MS);
