--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -110,13 +110,13 @@
 
     /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool for ever.
     fn close_unanswered(&mut self) {
-        let is_own = |expect: &Expect| !matches!(expect.what, What::Request { .. } | What::Begin { .. });
-        let is_lost = |held: &Db| {
+        let is_internal = |expect: &Expect| !matches!(expect.what, What::Request { .. } | What::Begin { .. });
+        let is_overdue = |held: &Db| {
             held.expects.front().is_some_and(|expect| expect.sent + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
-                && held.expects.iter().all(is_own)
+                && held.expects.iter().all(is_internal)
         };
-        let lost: Vec<u64> = self.dbs.iter().filter(|(_, held)| is_lost(held)).map(|(db, _)| *db).collect();
-        lost.into_iter().for_each(|db| self.break_db(db));
+        let overdue: Vec<u64> = self.dbs.iter().filter(|(_, held)| is_overdue(held)).map(|(db, _)| *db).collect();
+        overdue.into_iter().for_each(|db| self.break_db(db));
     }
 
     /// Opens warm connections and probes.
@@ -134,14 +134,14 @@
                 let state = checker.state(seat, now);
                 let is_next =
                     self.promoting.get(&service).is_some_and(|(until, id)| *until > now && *id == member.inst.id);
-                let is_near = member.inst.zone == self.zone;
+                let is_same_zone = member.inst.zone == self.zone;
                 match state {
                     State::Writer if !member.is_suspect() && self.has_recent_writes(service, spot) => {
                         wanted.push((spot, warm))
                     }
                     // Connections to the database being promoted are opened before it leads.
                     State::Online if is_next && self.has_recent_writes(service, spot) => wanted.push((spot, warm)),
-                    State::Online if is_near && !self.is_many && !member.is_suspect() => {
+                    State::Online if is_same_zone && !self.is_many && !member.is_suspect() => {
                         wanted.push((spot, WARM_REPLICA_CONNECTIONS))
                     }
                     // Isolated and suspect databases are probed with one connection at a time.
@@ -153,11 +153,11 @@
         }
         for (spot, count) in wanted {
             let is_isolated = self.checks.member(spot).is_some_and(|member| member.is_isolated());
-            let (opening, standing) = self
+            let (opening, available) = self
                 .pools
                 .get(&spot)
                 .map_or((0, 0), |pool| (pool.opening, (pool.idle.len() + pool.early.len()) as u32 + pool.opening));
-            let is_wanted = if is_isolated { opening == 0 } else { standing < count };
+            let is_wanted = if is_isolated { opening == 0 } else { available < count };
             let is_opened = is_wanted && if is_isolated { self.open_look(spot) } else { self.open_db(spot) };
             if is_opened {
                 self.checks.member_mut(spot).into_iter().for_each(|member| member.looked(now));
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -20,7 +20,7 @@
 
     /// Limits new requests to a recovered database until its slow start is over.
     pub(crate) fn begin_slow_start(&mut self, spot: Spot, outages: u32) {
-        let is_running = self.eases.get(&spot).is_some_and(|held| !held.is_over(self.now));
+        let is_running = self.eases.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now));
         // A recovery seen here and reported by the control plane starts only one slow start.
         if !self.plan.is_on || is_running {
             return;
@@ -30,19 +30,21 @@
     }
 
     pub fn is_in_slow_start(&self, id: &str) -> bool {
-        self.checks.spot(id).is_some_and(|spot| self.eases.get(&spot).is_some_and(|held| !held.is_over(self.now)))
+        self.checks
+            .spot(id)
+            .is_some_and(|spot| self.eases.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now)))
     }
 
     pub(crate) fn end_finished_slow_starts(&mut self) {
         let now = self.now;
-        self.eases.retain(|_, held| !held.is_over(now));
+        self.eases.retain(|_, slow_start| !slow_start.is_over(now));
     }
 
     pub(crate) fn can_start_request(&self, spot: Spot) -> bool {
-        self.eases.get(&spot).is_none_or(|held| {
+        self.eases.get(&spot).is_none_or(|slow_start| {
             // Idle transactions do not count as in flight.
             let in_flight = self.dbs.values().filter(|db| db.spot == spot && !db.expects.is_empty()).count() as u32;
-            held.has(&self.slow_start_scale(spot), in_flight)
+            slow_start.has(&self.slow_start_scale(spot), in_flight)
         })
     }
 
@@ -51,15 +53,15 @@
             return;
         }
         let scale = self.slow_start_scale(spot);
-        self.eases.get_mut(&spot).into_iter().for_each(|held| held.take(&scale));
+        self.eases.get_mut(&spot).into_iter().for_each(|slow_start| slow_start.take(&scale));
     }
 
     /// Schedules a wake-up of the wait queue for when the next request may start.
     pub(crate) fn schedule_next_start(&mut self, spot: Spot) {
         let scale = self.slow_start_scale(spot);
-        let Some(held) = self.eases.get(&spot) else { return };
+        let Some(slow_start) = self.eases.get(&spot) else { return };
         // Requests held back by the in-flight limit are served by responses; the timer covers the rate limit.
-        let at = held.next(&scale).max(scale.now + MIN_WAKE_INTERVAL_US);
+        let at = slow_start.next(&scale).max(scale.now + MIN_WAKE_INTERVAL_US);
         // One pending wake-up serves the whole queue.
         let Some(pool) = self.pools.get_mut(&spot).filter(|pool| pool.wake_at <= scale.now) else { return };
         pool.wake_at = at;
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -128,8 +128,8 @@
     }
 
     fn queued_requests(&self, pool: &crate::core::Pool, tenant: u16) -> usize {
-        let is_its = |id: &&u64| self.clients.get(*id).is_some_and(|client| client.tenant == tenant);
-        pool.waiting.iter().filter(is_its).count()
+        let is_of_tenant = |id: &&u64| self.clients.get(*id).is_some_and(|client| client.tenant == tenant);
+        pool.waiting.iter().filter(is_of_tenant).count()
     }
 
     /// Whether this request may take a connection to `spot` now. Only transactions are limited, since they may hold a
@@ -159,13 +159,14 @@
         let Some(tenant) = self.clients.get(&id).map(|client| client.tenant) else { return };
         let weight = self.shares.tenants.weight(tenant);
         let Some(pool) = self.pools.get_mut(&spot) else { return };
-        let others = pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
+        let has_other_waiting =
+            pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
         let expected_us = pool.line.start(tenant, weight);
         if let Some(tally) = self.shares.tallies.get_mut(tenant as usize) {
             tally.started += 1;
             let held = pool.line.held.get(tenant as usize).copied().unwrap_or(0);
             let is_over = |slots| held > pool.line.entitled(&self.shares.tenants, tenant, slots, self.now);
-            tally.borrowed += u64::from(others || is_over(pool.all.max(1)));
+            tally.borrowed += u64::from(has_other_waiting || is_over(pool.all.max(1)));
         }
         if let Some(held) = self.dbs.get_mut(&db) {
             held.charge = Some(Charge { tenant, since: self.now, expected_us });
@@ -191,9 +192,9 @@
         let client = |id: &u64| self.clients.get(id);
         let precedence =
             |id: &u64| client(id).and_then(|client| client.request.route.as_ref()).map(|route| route.precedence);
-        let first = |is_fit: &dyn Fn(&u64) -> bool| {
-            let fit = pool.waiting.iter().enumerate().filter(|(_, id)| is_fit(id));
-            fit.min_by_key(|(at, id)| (precedence(id), *at)).map(|(at, _)| at)
+        let first = |is_eligible: &dyn Fn(&u64) -> bool| {
+            let eligible = pool.waiting.iter().enumerate().filter(|(_, id)| is_eligible(id));
+            eligible.min_by_key(|(at, id)| (precedence(id), *at)).map(|(at, _)| at)
         };
         if !self.has_tenants() {
             return first(&|_| true);
@@ -230,7 +231,8 @@
             .map(|(tenant, tally)| {
                 serde_json::json!({
                     "label": self.shares.tenants.label(tenant), "weight": self.shares.tenants.weight(tenant),
-                    "sessions": tally.sessions, "open": self.shares.open_requests[tenant as usize], "held": held(tenant),
+                    "sessions": tally.sessions, "open": self.shares.open_requests[tenant as usize],
+                    "held": held(tenant),
                     "waiting": waiting(tenant), "started": tally.started, "borrowed": tally.borrowed,
                     "refused": tally.refused, "usedShare": tally.held_us as f64 / all_us.max(1) as f64,
                 })
