--- /dev/null
+++ b/crates/wv-access/src/maintenance.rs
@@ -0,0 +1,169 @@
+//! Periodic maintenance of connection pools, and activation of new configurations.
+use crate::core::Core;
+use crate::types::{Db, Expect, Phase, What};
+use std::rc::Rc;
+use wv_health::{DatabaseKey, State};
+
+/// Idle connections kept open to a primary and to a replica in this node's zone.
+const WARM_PRIMARY_CONNECTIONS: u32 = 2;
+const WARM_REPLICA_CONNECTIONS: u32 = 1;
+/// With more databases than this, idle connections are kept only to recently used primaries, one each, so that their
+/// failure is noticed and the number of connections follows the node's own traffic.
+const MANY_DATABASES: usize = 16;
+const RECENT_USE_US: u64 = 30_000_000;
+/// The same where the node's connection share is small; idle connections are also closed after this, to free them for
+/// other nodes.
+const RECENT_USE_SMALL_SHARE_US: u64 = 10_000_000;
+/// A database with outstanding requests that sends nothing for this long is probed.
+const SILENCE_LIMIT_US: u64 = 250_000;
+/// Timeout of statements that this node sends on its own behalf, connection setup included.
+const INTERNAL_STATEMENT_TIMEOUT_US: u64 = 3_000_000;
+
+impl Core {
+    pub(crate) fn apply_configuration(&mut self, version: u64, body: Result<Vec<u8>, wv_compression::CompressionError>) {
+        let held = self.conf.clone();
+        // The configuration version never decreases within a process.
+        if held.as_ref().is_some_and(|held| held.version > version) {
+            return;
+        }
+        let Ok(body) = body else { return };
+        // A resubscribed feed repeats the current version.
+        if self.body.0 == version {
+            if self.body.1[..] != body[..] {
+                // Consensus decides each version once, so this indicates a fault in the control plane.
+                log::error!("configuration version {version} was received with two different bodies");
+            }
+            return;
+        }
+        let read = held
+            .as_ref()
+            .map_or_else(|| wv_configuration::Configuration::parse(&body), |held| held.parse_incremental(&body));
+        // The control plane validates configurations; one that this node cannot parse is ignored.
+        let Ok(conf) = read else {
+            self.body = (version, body.into());
+            return;
+        };
+        self.body = (version, conf.body().clone());
+        if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &conf.services)) {
+            conf.services.keys().for_each(|name| {
+                self.checks.intern_service(name);
+            });
+        }
+        self.set_tenants(&conf, held.as_deref());
+        self.set_shard_plans(&conf);
+        self.conf = Some(Rc::new(conf));
+        self.set_up_awaited();
+    }
+
+    /// Runs periodically: keeps warm connections, probes isolated databases, ends sessions during shutdown.
+    pub fn run_maintenance(&mut self, now: u64) {
+        self.now = self.now.max(now);
+        self.drain.stall_detector.observe(self.now);
+        let settled = self.checks.apply_fallback_leaders(now);
+        settled.iter().for_each(|service| self.recheck_connections(service));
+        self.maintain_pools();
+        self.end_finished_slow_starts();
+        self.close_excess_idle();
+        self.probe_silent_databases();
+        self.close_unanswered();
+        self.serve_stranded();
+        self.serve_waiting_anywhere();
+        self.continue_shutdown();
+    }
+
+    /// Closes idle connections above this node's share, which shrinks when nodes join, and unused ones where the share
+    /// is small.
+    fn close_excess_idle(&mut self) {
+        let over = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
+            let is_unused = self.is_many && self.is_tight(*spot) && pool.used + RECENT_USE_SMALL_SHARE_US < self.now;
+            let count = if is_unused { pool.idle.len() } else { pool.all.saturating_sub(self.cap(*spot)) as usize };
+            pool.idle.iter().take(count).copied().collect::<Vec<u64>>()
+        };
+        let over: Vec<u64> = self.pools.iter().flat_map(over).collect();
+        over.into_iter().for_each(|db| self.close_db(db));
+    }
+
+    /// Whether this node recently sent requests to the service's primary; always true with few databases.
+    fn has_recent_writes(&self, service: u16, spot: DatabaseKey) -> bool {
+        let span = if self.is_tight(spot) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
+        !self.is_many || self.written.get(&service).is_some_and(|at| at + span > self.now)
+    }
+
+    /// Probes databases that are silent on all connections by opening a new one: a slow database accepts it, an
+    /// unreachable one does not. The silence counts as the first failure observation, the failed probe as the second.
+    fn probe_silent_databases(&mut self) {
+        let now = self.now;
+        let mut silent: Vec<DatabaseKey> = Vec::new();
+        for db in self.dbs.values().filter(|db| db.phase == Phase::Busy) {
+            let is_waiting = db.expects.front().is_some_and(|expect| expect.sent + SILENCE_LIMIT_US < now);
+            let is_quiet =
+                self.pools.get(&db.spot).is_some_and(|pool| pool.heard + SILENCE_LIMIT_US < now && pool.opening == 0);
+            if is_waiting && is_quiet && !silent.contains(&db.spot) {
+                silent.push(db.spot);
+            }
+        }
+        for spot in silent {
+            if self.open_look(spot) {
+                self.checks.database_mut(spot).into_iter().for_each(|member| member.on_timeout(now));
+                self.sights_due = true;
+            }
+        }
+    }
+
+    /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool for ever.
+    fn close_unanswered(&mut self) {
+        let is_internal = |expect: &Expect| !matches!(expect.what, What::Request { .. } | What::Begin { .. });
+        let is_overdue = |held: &Db| {
+            held.expects.front().is_some_and(|expect| expect.sent + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
+                && held.expects.iter().all(is_internal)
+        };
+        let overdue: Vec<u64> = self.dbs.iter().filter(|(_, held)| is_overdue(held)).map(|(db, _)| *db).collect();
+        overdue.into_iter().for_each(|db| self.break_db(db));
+    }
+
+    /// Opens warm connections and probes.
+    pub(crate) fn maintain_pools(&mut self) {
+        if self.conf.is_none() {
+            return;
+        }
+        let now = self.now;
+        self.is_many = self.checks.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
+        let warm = if self.is_many { 1 } else { WARM_PRIMARY_CONNECTIONS };
+        let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
+        for (service, checker) in self.checks.iter() {
+            for (seat, member) in checker.databases() {
+                let spot = DatabaseKey { service, index: seat };
+                let state = checker.state(seat, now);
+                let is_next =
+                    self.promoting.get(&service).is_some_and(|(until, id)| *until > now && *id == member.instance.id);
+                let is_same_zone = member.instance.zone == self.zone;
+                match state {
+                    State::Writer if !member.is_suspect() && self.has_recent_writes(service, spot) => {
+                        wanted.push((spot, warm))
+                    }
+                    // Connections to the database being promoted are opened before it leads.
+                    State::Online if is_next && self.has_recent_writes(service, spot) => wanted.push((spot, warm)),
+                    State::Online if is_same_zone && !self.is_many && !member.is_suspect() => {
+                        wanted.push((spot, WARM_REPLICA_CONNECTIONS))
+                    }
+                    // Isolated and suspect databases are probed with one connection at a time.
+                    State::Isolated if member.next_probe_at <= now => wanted.push((spot, 1)),
+                    State::Writer | State::Online if member.is_suspect() => wanted.push((spot, 1)),
+                    _ => {}
+                }
+            }
+        }
+        for (spot, count) in wanted {
+            let is_isolated = self.checks.database(spot).is_some_and(|member| member.is_isolated());
+            let (opening, available) = self
+                .pools
+                .get(&spot)
+                .map_or((0, 0), |pool| (pool.opening, (pool.idle.len() + pool.early.len()) as u32 + pool.opening));
+            let is_wanted = if is_isolated { opening == 0 } else { available < count };
+            let is_opened = is_wanted && if is_isolated { self.open_look(spot) } else { self.open_db(spot) };
+            if is_opened {
+                self.checks.database_mut(spot).into_iter().for_each(|member| member.on_probe(now));
+            }
+        }
+    }
+}
--- a/crates/wv-access/src/share.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -1,25 +1,26 @@
-//! This edge's capacity among tenants: sessions, lines to databases, and what may be under way at once.
+//! Shares of this node's capacity among tenants: sessions, open requests, queue places and connections.
 use crate::core::Core;
 use wv_fair_queue::{TenantUsage, Tenants};
 use wv_health::DatabaseKey;
 
-/// Requests that one node works on at once before those over their share are refused.
-const REQUESTS_MAX: u32 = 512;
-/// Each tenant may have this many wait for one database at least.
-const LINE_LEAST: usize = 8;
-const WAITING_MAX: usize = crate::offer::WAITING_MAX;
+/// Number of open requests from which tenants over their share are refused.
+const MAX_OPEN_REQUESTS: u32 = 512;
+/// Each tenant may queue at least this many requests per database.
+const MIN_QUEUE_PER_TENANT: usize = 8;
+const MAX_QUEUE: usize = crate::offer::WAITING_MAX;
 
-/// Who uses what of this node.
+/// Capacity in use, by tenant.
 #[derive(Default)]
-pub(crate) struct Shares {
+pub(crate) struct TenantShares {
     pub tenants: Tenants,
     pub tallies: Vec<TenantUsage>,
-    /// Requests open now, by tenant.
-    pub open: Vec<u32>,
-    pub clients_max: usize,
+    /// Number of open requests, by tenant.
+    pub open_requests: Vec<u32>,
+    /// Maximum number of sessions of all tenants, 0 if unlimited.
+    pub max_clients: usize,
 }
 
-/// What a connection in use is charged to.
+/// The tenant that a connection in use is charged to.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     tenant: u16,
@@ -28,35 +29,34 @@
 }
 
 impl Core {
-    /// How many sessions the node takes at all.
-    pub fn set_clients_max(&mut self, clients_max: usize) {
-        self.shares.clients_max = clients_max;
+    pub fn set_max_clients(&mut self, max_clients: usize) {
+        self.shares.max_clients = max_clients;
     }
 
     pub(crate) fn has_tenants(&self) -> bool {
         !self.shares.tenants.is_empty()
     }
 
-    /// Weights bind from the next start on; what is under way ends as it began.
+    /// New weights apply to requests that start from now on.
     pub(crate) fn set_tenants(
         &mut self,
         conf: &wv_configuration::Configuration,
         before: Option<&wv_configuration::Configuration>,
     ) {
-        // Where nobody has a share, all sessions are alike: they need not be gone through.
+        // Without tenants before and after, no session changes.
         if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
         }
         self.shares.tenants = Tenants::new(&conf.tenants, &self.shares.tenants);
         let count = self.shares.tenants.len();
         self.shares.tallies.resize(count, TenantUsage::default());
-        self.shares.open.resize(count, 0);
+        self.shares.open_requests.resize(count, 0);
         self.shares.tallies.iter_mut().for_each(|tally| tally.sessions = 0);
         for client in self.clients.values_mut() {
             if let Some(host) = &client.database {
                 let tenant = self.shares.tenants.tenant_of(host, &client.who);
                 self.shares.tallies[tenant as usize].sessions += 1;
-                // A open request is counted where it was opened.
+                // An open request stays with the tenant that it was counted for.
                 if !client.request.is_open {
                     client.tenant = tenant;
                 }
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Seats a session with its tenant. `false` where the node is nearly full and the tenant over its share.
-    pub(crate) fn seat_session(&mut self, id: u64) -> bool {
-        let seated = self.clients.len();
+    /// Assigns a session to its tenant. Returns `false` if the node is nearly full and the tenant is at its share.
+    pub(crate) fn admit_session(&mut self, id: u64) -> bool {
+        let client_count = self.clients.len();
         let Some(client) = self.clients.get_mut(&id) else { return false };
         let host = client.database.as_deref().unwrap_or_default();
         client.tenant = self.shares.tenants.tenant_of(host, &client.who);
@@ -74,9 +74,9 @@
         if self.shares.tenants.is_empty() {
             return true;
         }
-        let max = self.shares.clients_max;
+        let max = self.shares.max_clients;
         let sessions = |at: &u16| self.shares.tallies[*at as usize].sessions;
-        let is_full = max > 0 && seated >= max - max / 8;
+        let is_full = max > 0 && client_count >= max - max / 8;
         let present = (0..self.shares.tenants.len() as u16).filter(|at| *at == tenant || sessions(at) > 0);
         let all: u64 = present.map(|at| self.shares.tenants.weight(at)).sum();
         let entitled = max as u64 * self.shares.tenants.weight(tenant) / all.max(1);
@@ -89,94 +89,96 @@
         true
     }
 
-    pub(crate) fn unseat_session(&mut self, tenant: u16) {
+    pub(crate) fn release_session(&mut self, tenant: u16) {
         if let Some(tally) = self.shares.tallies.get_mut(tenant as usize) {
             tally.sessions = tally.sessions.saturating_sub(1);
         }
     }
 
-    /// A request was opened. `false` where the node has its hands full and the tenant more than its share of them.
-    pub(crate) fn open_share(&mut self, tenant: u16) -> bool {
+    /// Counts an open request. Returns `false` if the node is at its limit and the tenant over its share.
+    pub(crate) fn admit_request(&mut self, tenant: u16) -> bool {
         if self.shares.tenants.is_empty() {
             return true;
         }
-        let all: u32 = self.shares.open.iter().sum();
-        let Some(open) = self.shares.open.get_mut(tenant as usize) else { return true };
+        let all: u32 = self.shares.open_requests.iter().sum();
+        let Some(open) = self.shares.open_requests.get_mut(tenant as usize) else { return true };
         *open += 1;
         let own = u64::from(*open);
-        if all < REQUESTS_MAX {
+        if all < MAX_OPEN_REQUESTS {
             return true;
         }
-        let has_open = |at: &u16| self.shares.open[*at as usize] > 0;
+        let has_open = |at: &u16| self.shares.open_requests[*at as usize] > 0;
         let present = (0..self.shares.tenants.len() as u16).filter(has_open);
         let weights: u64 = present.map(|at| self.shares.tenants.weight(at)).sum();
-        own <= u64::from(REQUESTS_MAX) * self.shares.tenants.weight(tenant) / weights.max(1)
+        own <= u64::from(MAX_OPEN_REQUESTS) * self.shares.tenants.weight(tenant) / weights.max(1)
     }
 
-    pub(crate) fn close_share(&mut self, tenant: u16) {
-        if let Some(open) = self.shares.open.get_mut(tenant as usize) {
+    pub(crate) fn release_request(&mut self, tenant: u16) {
+        if let Some(open) = self.shares.open_requests.get_mut(tenant as usize) {
             *open = open.saturating_sub(1);
         }
     }
 
-    /// Whether the line to `spot` has room for one more of this tenant: a surge fills no line but its own.
-    pub(crate) fn may_wait(&self, spot: DatabaseKey, tenant: u16) -> bool {
+    /// Whether the tenant may queue one more request for `spot`. A burst of one tenant does not take others' places.
+    pub(crate) fn can_queue(&self, spot: DatabaseKey, tenant: u16) -> bool {
         let Some(pool) = self.pools.get(&spot) else { return true };
         if !self.has_tenants() {
-            return pool.waiting.len() < WAITING_MAX;
+            return pool.waiting.len() < MAX_QUEUE;
         }
         let tenants = &self.shares.tenants;
         let all: u64 = (0..tenants.len() as u16).map(|at| tenants.weight(at)).sum();
-        let bound = (WAITING_MAX as u64 * tenants.weight(tenant) / all.max(1)) as usize;
-        self.waiting_of(pool, tenant) < bound.max(LINE_LEAST)
+        let bound = (MAX_QUEUE as u64 * tenants.weight(tenant) / all.max(1)) as usize;
+        self.queued_requests(pool, tenant) < bound.max(MIN_QUEUE_PER_TENANT)
     }
 
-    fn waiting_of(&self, pool: &crate::core::Pool, tenant: u16) -> usize {
-        let is_its = |id: &&u64| self.clients.get(*id).is_some_and(|client| client.tenant == tenant);
-        pool.waiting.iter().filter(is_its).count()
+    fn queued_requests(&self, pool: &crate::core::Pool, tenant: u16) -> usize {
+        let is_of_tenant = |id: &&u64| self.clients.get(*id).is_some_and(|client| client.tenant == tenant);
+        pool.waiting.iter().filter(is_of_tenant).count()
     }
 
-    /// Whether this request may take a connection there now. Transactions may rest, and can't be taken back.
-    pub(crate) fn may_take(&self, id: u64, spot: DatabaseKey) -> bool {
+    /// Whether this request may take a connection to `spot` now. Only transactions are limited, since they may hold a
+    /// connection while idle.
+    pub(crate) fn can_take_connection(&self, id: u64, spot: DatabaseKey) -> bool {
         let Some(client) = self.clients.get(&id).filter(|_| self.has_tenants()) else { return true };
-        let is_short = client.txn.is_none();
+        let is_single = client.txn.is_none();
         let slots = self.cap(spot);
-        is_short
+        is_single
             || self
                 .pools
                 .get(&spot)
                 .is_none_or(|pool| pool.line.may_hold_slot(&self.shares.tenants, client.tenant, slots, self.now))
     }
 
-    pub(crate) fn note_requested(&mut self, id: u64, spot: DatabaseKey) {
+    pub(crate) fn note_connection_demand(&mut self, id: u64, spot: DatabaseKey) {
         if let (true, Some(client)) = (self.has_tenants(), self.clients.get(&id)) {
             self.pools.entry(spot).or_default().line.record_request(client.tenant, self.now);
         }
     }
 
-    /// The connection was taken from rest for this request.
-    pub(crate) fn charge(&mut self, id: u64, db: u64, spot: DatabaseKey) {
+    /// Charges a connection taken from the pool to the request's tenant.
+    pub(crate) fn charge_connection(&mut self, id: u64, db: u64, spot: DatabaseKey) {
         if !self.has_tenants() {
             return;
         }
         let Some(tenant) = self.clients.get(&id).map(|client| client.tenant) else { return };
         let weight = self.shares.tenants.weight(tenant);
         let Some(pool) = self.pools.get_mut(&spot) else { return };
-        let others = pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
+        let has_other_waiting =
+            pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
         let expected_us = pool.line.start(tenant, weight);
         if let Some(tally) = self.shares.tallies.get_mut(tenant as usize) {
             tally.started += 1;
             let held = pool.line.held_slots.get(tenant as usize).copied().unwrap_or(0);
             let is_over = |slots| held > pool.line.entitled_slots(&self.shares.tenants, tenant, slots, self.now);
-            tally.borrowed += u64::from(others || is_over(pool.all.max(1)));
+            tally.borrowed += u64::from(has_other_waiting || is_over(pool.all.max(1)));
         }
         if let Some(held) = self.dbs.get_mut(&db) {
             held.charge = Some(Charge { tenant, since: self.now, expected_us });
         }
     }
 
-    /// The connection is at rest again, or gone.
-    pub(crate) fn uncharge(&mut self, spot: DatabaseKey, charge: Option<Charge>) {
+    /// Ends the charge of a connection that was returned to the pool or closed.
+    pub(crate) fn release_charge(&mut self, spot: DatabaseKey, charge: Option<Charge>) {
         let Some(charge) = charge else { return };
         let held_us = self.now.saturating_sub(charge.since);
         let weight = self.shares.tenants.weight(charge.tenant);
@@ -188,26 +190,26 @@
         }
     }
 
-    /// Which of those waiting there starts next: the tenant furthest behind its share, within it by precedence.
-    pub(crate) fn nominate_waiting(&self, spot: DatabaseKey) -> Option<usize> {
+    /// Index of the queued request to start next: of the tenant furthest below its share, the highest precedence first.
+    pub(crate) fn next_queued_request(&self, spot: DatabaseKey) -> Option<usize> {
         let pool = self.pools.get(&spot)?;
         let client = |id: &u64| self.clients.get(id);
         let precedence =
             |id: &u64| client(id).and_then(|client| client.request.route.as_ref()).map(|route| route.precedence);
-        let first = |is_fit: &dyn Fn(&u64) -> bool| {
-            let fit = pool.waiting.iter().enumerate().filter(|(_, id)| is_fit(id));
-            fit.min_by_key(|(at, id)| (precedence(id), *at)).map(|(at, _)| at)
+        let first = |is_eligible: &dyn Fn(&u64) -> bool| {
+            let eligible = pool.waiting.iter().enumerate().filter(|(_, id)| is_eligible(id));
+            eligible.min_by_key(|(at, id)| (precedence(id), *at)).map(|(at, _)| at)
         };
         if !self.has_tenants() {
             return first(&|_| true);
         }
-        let ready = pool.waiting.iter().filter(|id| self.may_take(**id, spot));
+        let ready = pool.waiting.iter().filter(|id| self.can_take_connection(**id, spot));
         let tenant = pool.line.scheduler.select(ready.filter_map(|id| client(id).map(|client| client.tenant)))?;
-        first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.may_take(*id, spot))
+        first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.can_take_connection(*id, spot))
     }
 
-    /// When a refused ask is to come back: once its own tenant's backlog may have gone.
-    pub(crate) fn come_back_ms(&mut self, id: u64) -> Option<u64> {
+    /// Retry delay of a refused request: the expected time to work off its tenant's backlog.
+    pub(crate) fn retry_after_ms(&mut self, id: u64) -> Option<u64> {
         let client = self.clients.get(&id).filter(|_| self.has_tenants())?;
         let tenant = client.tenant;
         let route = client.request.route.clone()?;
@@ -215,15 +217,16 @@
         let service = self.checks.service_index(&route.service)?;
         let backlog = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
             let slots = pool.line.entitled_slots(&self.shares.tenants, tenant, self.cap(*spot), self.now);
-            self.waiting_of(pool, tenant) as u64 * pool.line.expected_us() / u64::from(slots)
+            self.queued_requests(pool, tenant) as u64 * pool.line.expected_us() / u64::from(slots)
         };
         let longest = self.pools.iter().filter(|(spot, _)| spot.service == service).map(backlog).max().unwrap_or(0);
         Some((longest / 1000).clamp(20, 2000))
     }
 
-    /// What each tenant is entitled to and uses, for operators.
+    /// Weight and usage of each tenant, for operators.
     pub fn tenants_json(&self) -> String {
-        let waiting = |tenant: u16| -> usize { self.pools.values().map(|pool| self.waiting_of(pool, tenant)).sum() };
+        let waiting =
+            |tenant: u16| -> usize { self.pools.values().map(|pool| self.queued_requests(pool, tenant)).sum() };
         let held = |tenant: u16| -> u32 {
             self.pools.values().filter_map(|pool| pool.line.held_slots.get(tenant as usize)).sum()
         };
@@ -233,7 +236,8 @@
             .map(|(tenant, tally)| {
                 serde_json::json!({
                     "label": self.shares.tenants.label(tenant), "weight": self.shares.tenants.weight(tenant),
-                    "sessions": tally.sessions, "open": self.shares.open[tenant as usize], "held": held(tenant),
+                    "sessions": tally.sessions, "open": self.shares.open_requests[tenant as usize],
+                    "held": held(tenant),
                     "waiting": waiting(tenant), "started": tally.started, "borrowed": tally.borrowed,
                     "refused": tally.refused, "usedShare": tally.held_us as f64 / all_us.max(1) as f64,
                 })
