--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -20,7 +20,11 @@
 const INTERNAL_STATEMENT_TIMEOUT_US: u64 = 3_000_000;
 
 impl Core {
-    pub(crate) fn apply_configuration(&mut self, version: u64, body: Result<Vec<u8>, wv_compression::CompressionError>) {
+    pub(crate) fn apply_configuration(
+        &mut self,
+        version: u64,
+        body: Result<Vec<u8>, wv_compression::CompressionError>,
+    ) {
         let held = self.conf.clone();
         // The configuration version never decreases within a process.
         if held.as_ref().is_some_and(|held| held.version > version) {
@@ -127,7 +131,8 @@
             return;
         }
         let now = self.now;
-        self.is_many = self.checks.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
+        self.is_many =
+            self.checks.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
         let warm = if self.is_many { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
         for (service, checker) in self.checks.iter() {
