--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
-/// Pings older than `FRESH_US` are forgotten; of links that come up in a rush no more than this many are known.
+/// Pings older than `CONTACT_TTL_US` are forgotten; of links that come up in a rush no more than this many are known.
 const PINGS_MAX: usize = 256;
 /// A voter that has not told what it holds in memory by then is not waited for; a thin link takes a while.
 const RECAP_US: u64 = 800_000;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a majority of voters answered something that was asked less than `FRESH_US` ago, this node counted where
+    /// Whether a majority of voters answered something that was asked less than `CONTACT_TTL_US` ago, this node counted where
     /// it votes.
     pub fn is_fresh(&self) -> bool {
         self.now < self.contact.until
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -16,7 +16,7 @@
 /// Spaces the calls to the platform so that all nodes together stay within its rate limit.
 #[derive(Default)]
 struct RateLimiter {
-    gap_us: u64,
+    interval_us: u64,
     next: u64,
 }
 
@@ -24,7 +24,7 @@
     /// Reserves the next slot and returns the delay until it.
     fn reserve(&mut self, now: u64) -> u64 {
         let at = self.next.max(now);
-        self.next = at + self.gap_us;
+        self.next = at + self.interval_us;
         at - now
     }
 }
@@ -53,8 +53,8 @@
 
 impl Core {
     /// Sets the minimum interval between platform calls of this node.
-    pub fn set_call_interval(&mut self, gap_us: u64) {
-        self.calls.limiter.gap_us = gap_us;
+    pub fn set_call_interval(&mut self, interval_us: u64) {
+        self.calls.limiter.interval_us = interval_us;
     }
 
     pub(crate) fn request_promotion(&mut self, service: &str, id: String, fence: u64) {
--- a/crates/wv-control/tests/contact.rs
+++ b/crates/wv-control/tests/contact.rs
@@ -2,7 +2,7 @@
 mod single_node;
 
 use googletest::prelude::*;
-use single_node::{is_ping, reply, Node, MS, S, WHO};
+use single_node::{is_ping, reply, Node, MS, REQUESTER_ID, S};
 use wv_internal_protocol::Message;
 
 const BEAT: &str = r#"{"destination":"s","address":"10.9.0.1:1","state":"in_service","sequence":9}"#;
@@ -57,7 +57,7 @@
         node.receive(
             &from,
             Message::Pong {
-                requester: WHO + 1,
+                requester: REQUESTER_ID + 1,
                 request,
                 version: conf,
                 disk,
--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -5,7 +5,7 @@
 use wv_promotion::StatusReply;
 use wv_wire_protocol::{DatabaseStatus, LogPosition};
 
-const ME: &str = "10.0.0.1:80";
+const ADDRESS: &str = "10.0.0.1:80";
 const MS: u64 = 1_000;
 const CONF: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
   "targetMs":200,"destination":"s"}],"services":[{"label":"s","syncReplicas":1}]}"#;
@@ -22,7 +22,7 @@
 impl Node {
     fn new(seeds: &[&str]) -> Node {
         let start = Start {
-            address: ME.to_owned(),
+            address: ADDRESS.to_owned(),
             node: "c0".to_owned(),
             zone: "z0".to_owned(),
             incarnation: 5,
@@ -108,7 +108,7 @@
 
 /// A node that replaces a leaving primary, with the status queries that it sent.
 fn start_queries() -> (Node, Vec<(u64, String, String)>) {
-    let mut node = Node::new(&[ME]);
+    let mut node = Node::new(&[ADDRESS]);
     node.run(1_000 * MS);
     node.call("PUT", "/configuration", CONF);
     for id in ["d1", "d2", "d3"] {
--- a/crates/wv-control/tests/single_node/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -5,8 +5,8 @@
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
-pub const ME: &str = "10.0.0.1:80";
-pub const WHO: u64 = 77;
+pub const ADDRESS: &str = "10.0.0.1:80";
+pub const REQUESTER_ID: u64 = 77;
 
 pub struct Node {
     pub core: Core,
@@ -26,7 +26,7 @@
 
     /// A node that has to tolerate the loss of this many machines.
     pub fn with_tolerance(tolerated_machines: usize) -> Node {
-        Node::start(ME, tolerated_machines, true)
+        Node::start(ADDRESS, tolerated_machines, true)
     }
 
     /// Starts a node at an address, with or without a disk; the three seeds are the voters.
@@ -42,7 +42,7 @@
             has_disk,
             tolerated_machines,
             disk_id: 1,
-            requester_id: WHO,
+            requester_id: REQUESTER_ID,
         };
         let store = wv_consensus::Store::open(Box::new(wv_consensus::MemFiles::default())).expect("an empty store");
         let core = Core::new(start, store).expect("a control node");
--- a/crates/wv-promotion/tests/fence_model/mod.rs
+++ b/crates/wv-promotion/tests/fence_model/mod.rs
@@ -1,7 +1,7 @@
 //! Duty and fence as a model: the real duties (`Duty`) of several nodes, one register that is decided at once (its own
 //! model is the register's), and a platform. Claims, confirmations, answers and calls each wait as long as they like:
 //! a node that is frozen is one of which nothing happens. What the register's answers mean stands for `duties.rs` of
-//! wv-control, the wait before a call for `request.rs`.
+//! wv-control, the wait before a call for `database_calls.rs`.
 mod steps;
 use wv_promotion::{Database, Duty, Effect, Event, Silent, View};
 use wv_wire_protocol::{DatabaseStatus, LogPosition};
