--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
-/// Bounds the pings remembered within `FRESH_US`, also when many links come up at once.
+/// Bounds the pings remembered within `CONTACT_TTL_US`, also when many links come up at once.
 const PINGS_MAX: usize = 256;
 /// How long to wait for a voter's `ResyncDone` before the next voter is asked.
 const RESYNC_TIMEOUT_US: u64 = 800_000;
--- a/crates/wv-promotion/tests/fence_model/mod.rs
+++ b/crates/wv-promotion/tests/fence_model/mod.rs
@@ -1,6 +1,6 @@
 //! Model of promotions under fences: the real coordinators of several nodes, an atomic register and a platform. Claims,
 //! confirmations, replies and calls may be delayed arbitrarily, which also models paused nodes. Handling of register
-//! replies stands for `duties.rs` of wv-control, the delay before a call for `request.rs`.
+//! replies stands for `duties.rs` of wv-control, the delay before a call for `database_calls.rs`.
 mod steps;
 use wv_promotion::{Database, Effect, Event, PromotionCoordinator, ServiceView, StatusError};
 use wv_wire_protocol::{DatabaseStatus, LogPosition};
