--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -64,8 +64,8 @@
     }
 
     /// The departures that still matter under the current leader: databases that have not ended, and per service the
-    /// last one to end, because the conditions on a candidate for its sake cover earlier ones. These are kept without
-    /// time limit.
+    /// last one to end, since the conditions that a candidate must meet because of it cover earlier ones. These are
+    /// kept without time limit.
     pub(crate) fn required_departures(&self) -> BTreeSet<String> {
         let mut last: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
         let mut needed = BTreeSet::new();
--- a/crates/wv-control/src/outages.rs
+++ b/crates/wv-control/src/outages.rs
@@ -1,4 +1,4 @@
-//! Databases that recover from an outage: all access nodes are told to slow-start them together.
+//! Databases that recover from an outage: all access nodes slow-start them at the same time.
 use crate::core::Core;
 use crate::types::Fall;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Message};
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -14,7 +14,8 @@
         Some(Outlook::Known(Forecast { rows_per_day, bytes_per_day, crossing, is_by_bytes, days, .. })) => {
             let Crossing { early_us, likely_us, late_us } = *crossing;
             serde_json::json!({
-                "state": "known", "days": days, "rowsPerDay": rows_per_day.round(), "bytesPerDay": bytes_per_day.round(),
+                "state": "known", "days": days,
+                "rowsPerDay": rows_per_day.round(), "bytesPerDay": bytes_per_day.round(),
                 "reachedFirst": if *is_by_bytes { "bytes" } else { "rows" },
                 "early": time(early_us), "likely": time(likely_us), "late": time(late_us), "confidence": 0.9,
             })
@@ -60,7 +61,9 @@
             "split": {
                 "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.step_name(),
                 "number": map.map_or(0, |map| map.version), "term": map.map_or(0, |map| map.term),
-                "moving": moving.map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })),
+                "moving": moving.map(|range| {
+                    serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })
+                }),
                 "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.why,
             },
         })
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -206,7 +206,7 @@
         let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
         // A majority of the previous set, each member having left it before it answered, holds everything acknowledged
         // in it. So does any voter of the newest set, which copied it from such a majority. Anything acknowledged in
-        // the newest set is stored on a majority of it that does not need this disk.
+        // the newest set is stored on a majority of it without counting this disk.
         if held.set != voters.number && !has_before {
             return self.run_catch_up();
         }
