--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a majority of the voters, including this node if it votes, replied to pings sent within `FRESH_US`.
+    /// Whether a majority of the voters, including this node if it votes, replied to pings sent within `CONTACT_TTL_US`.
     pub fn has_majority(&self) -> bool {
         self.now < self.contact.valid_until
     }
