--- a/crates/wv-change-feed/src/instance_table.rs
+++ b/crates/wv-change-feed/src/instance_table.rs
@@ -46,7 +46,7 @@
     }
 
     /// Merges an instance received by heartbeat or from a peer. Returns the entries that changed in more than their
-    /// sequence and ages.
+    /// sequence and relative times.
     pub fn merge(&mut self, inst: Instance) -> Vec<Instance> {
         let is_new = !self.instances.contains_key(&inst.id);
         if is_new && self.instances.len() >= MAX_INSTANCES {
--- a/crates/wv-configuration/src/lib.rs
+++ b/crates/wv-configuration/src/lib.rs
@@ -36,7 +36,7 @@
     TooManySectionEntries(String, usize),
     #[error("{0}: {1} is not defined in this configuration")]
     UnknownName(String, String),
-    #[error("{0}: duplicate {1}")]
+    #[error("{0}: {1} is defined twice")]
     DuplicateLabel(String, String),
     #[error("{0}: {1}")]
     Calendar(String, String),
