--- a/crates/wv-access/src/control_session.rs
+++ b/crates/wv-access/src/control_session.rs
@@ -184,7 +184,7 @@
                 }
                 encode_split_reports(node, &mut out, false);
             }
-            _ = node.sights.notified() => {
+            _ = node.health_changed.notified() => {
                 let reports = node.core.borrow_mut().take_health_reports(ReportScope::Changes);
                 if !reports.is_empty() {
                     wv_internal_protocol::encode_frame(&mut out, &Message::HealthReports(reports));
--- a/crates/wv-access/src/drain.rs
+++ b/crates/wv-access/src/drain.rs
@@ -37,7 +37,8 @@
 
     /// Whether the client's request is new work for a database: a single statement, or the first one of a transaction.
     pub(crate) fn is_new_work(&self, client: u64) -> bool {
-        let has_begun = |client: &crate::types::Client| client.txn.as_ref().is_some_and(|txn| txn.is_begun);
+        let has_begun =
+            |client: &crate::types::Client| client.txn.as_ref().is_some_and(|txn| txn.has_completed_statement);
         self.clients.get(&client).is_some_and(|client| !has_begun(client))
     }
 
@@ -50,7 +51,7 @@
     pub(crate) fn restart_txn_elsewhere(&mut self, db: u64, client: u64) {
         let txn = self.clients.get_mut(&client).and_then(|client| client.txn.as_mut());
         txn.into_iter().for_each(|txn| txn.db = None);
-        self.abort_db(db);
+        self.roll_back_db(db);
         self.retry(client, None);
     }
 }
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -22,7 +22,7 @@
         let updates = self.follower.receive(msg);
         let result =
             updates.and_then(|updates| updates.into_iter().try_for_each(|update| self.apply_feed_update(update)));
-        self.serve_stranded();
+        self.dispatch_unplaced();
         self.maintain_pools();
         // Requests one snapshot, not one for each update already in flight.
         result.or_else(|gap| if self.follower.request_snapshot(self.now) { Err(gap) } else { Ok(()) })
@@ -37,14 +37,14 @@
             }
             FeedUpdate::ConfigurationDelta { base, version, delta } => {
                 // The held configuration is as new or newer: the delta is skipped and the feed continues.
-                if version <= self.body.0 {
+                if version <= self.conf_body.0 {
                     return Ok(());
                 }
                 // The delta applies to a different base version: a snapshot is needed.
-                if self.body.0 != base {
+                if self.conf_body.0 != base {
                     return Err(wv_change_feed::Gap);
                 }
-                let body = wv_compression::apply_delta(&self.body.1, &delta, wv_configuration::MAX_BODY_BYTES);
+                let body = wv_compression::apply_delta(&self.conf_body.1, &delta, wv_configuration::MAX_BODY_BYTES);
                 if body.is_err() {
                     return Err(wv_change_feed::Gap);
                 }
@@ -80,7 +80,7 @@
             }
             FeedUpdate::Owner(owner) => self.set_owner(owner),
             FeedUpdate::Slots(map) => self.apply_slot_map(map),
-            FeedUpdate::NodeCount(nodes) => self.nodes = nodes.max(1),
+            FeedUpdate::NodeCount(nodes) => self.node_count = nodes.max(1),
         }
         Ok(())
     }
@@ -93,7 +93,7 @@
     /// Version of the newest configuration received, 0 if there is none. It may differ from the one in force if that
     /// version could not be parsed.
     pub fn held_configuration_version(&self) -> u64 {
-        self.body.0
+        self.conf_body.0
     }
 
     /// Incarnation and position of the feed, for the next subscription.
@@ -146,15 +146,16 @@
     fn expire_now(&mut self, id: u64) {
         let now = self.now;
         let Some(request) = self.clients.get_mut(&id).map(|client| &mut client.request) else { return };
-        (request.limit, request.patience) = (now, now);
-        let number = request.number;
-        self.expire(id, number);
+        (request.deadline, request.client_deadline) = (now, now);
+        let number = request.sequence;
+        self.expire_request(id, number);
     }
 
     /// Closes one idle connection that exceeds the maximum age, so that state on either side stays bounded.
     pub fn recycle_connection(&mut self, now: u64) {
         self.now = self.now.max(now);
-        let is_old = |db: &&u64| self.dbs.get(*db).is_some_and(|held| held.opened + MAX_CONNECTION_AGE_US < self.now);
+        let is_old =
+            |db: &&u64| self.dbs.get(*db).is_some_and(|held| held.opened_at + MAX_CONNECTION_AGE_US < self.now);
         let old = self.pools.values().flat_map(|pool| pool.idle.iter()).find(is_old).copied();
         old.into_iter().for_each(|db| self.close_db(db));
     }
--- a/crates/wv-access/src/forwarded_sessions.rs
+++ b/crates/wv-access/src/forwarded_sessions.rs
@@ -1,7 +1,7 @@
 //! Inbound forwarding: sessions of other nodes' clients, served like this node's own clients but never forwarded again.
 use crate::core::Core;
-use crate::types::Act;
-use crate::types::Guest;
+use crate::types::Effect;
+use crate::types::ForwardOrigin;
 use wv_internal_protocol::{ForwardMessage, ForwardedSessionId};
 use wv_wire_protocol::{ErrorCode, Statement};
 
@@ -11,7 +11,7 @@
     /// Returns the id of a new link from another access node.
     pub fn accept_peer_link(&mut self, now: u64) -> u64 {
         self.now = self.now.max(now);
-        self.fresh_id()
+        self.allocate_id()
     }
 
     pub fn handle_forward_message(&mut self, link: u64, msg: ForwardMessage, now: u64) {
@@ -24,18 +24,19 @@
             ForwardMessage::Response { session, request, bytes } => {
                 self.find_outbound_session(link, session)
                     .into_iter()
-                    .for_each(|number| self.hand_returned(number, request, &bytes));
+                    .for_each(|number| self.forwarded_data(number, request, &bytes));
             }
             ForwardMessage::Rejected { session, request } => {
                 self.find_outbound_session(link, session)
                     .into_iter()
-                    .for_each(|number| self.hand_refused(number, request));
+                    .for_each(|number| self.forwarded_request_refused(number, request));
             }
-            ForwardMessage::Close { session } => match self.hands.inbound.get(&(link, session)).copied() {
-                Some(client) => self.client_gone(client, now),
-                None => {
-                    self.find_outbound_session(link, session).into_iter().for_each(|number| self.hand_ended(number))
-                }
+            ForwardMessage::Close { session } => match self.forwarding.inbound.get(&(link, session)).copied() {
+                Some(client) => self.client_closed(client, now),
+                None => self
+                    .find_outbound_session(link, session)
+                    .into_iter()
+                    .for_each(|number| self.forwarded_session_closed(number)),
             },
         }
     }
@@ -43,49 +44,53 @@
     /// Finds a session that this process opened on this link. Sessions of other nodes, of earlier incarnations or on
     /// other links may have the same number.
     fn find_outbound_session(&self, link: u64, session: ForwardedSessionId) -> Option<u64> {
-        let is_own = |number: &u64| self.hands.outbound.get(number).is_some_and(|session| session.link == link);
+        let is_own = |number: &u64| self.forwarding.outbound.get(number).is_some_and(|session| session.link == link);
         Some(session.number).filter(|number| session.incarnation == self.slots.incarnation && is_own(number))
     }
 
     fn open_forwarded_session(&mut self, link: u64, session: ForwardedSessionId, host: String, user: String) {
-        if self.hands.inbound.contains_key(&(link, session)) {
+        if self.forwarding.inbound.contains_key(&(link, session)) {
             return;
         }
         let is_known = self.conf.as_ref().is_some_and(|conf| conf.route(&host).is_some());
-        if !is_known || self.hands.inbound.len() >= MAX_FORWARDED_SESSIONS {
-            return self.acts.push(Act::SendHand { link, msg: ForwardMessage::Rejected { session, request: 0 } });
+        if !is_known || self.forwarding.inbound.len() >= MAX_FORWARDED_SESSIONS {
+            return self
+                .effects
+                .push(Effect::SendToPeer { link, message: ForwardMessage::Rejected { session, request: 0 } });
         }
-        let id = self.client_open(self.now);
+        let id = self.client_opened(self.now);
         if let Some(client) = self.clients.get_mut(&id) {
-            (client.database, client.who, client.guest) =
-                (Some(host), user, Some(Guest { link, hand: session, ask: 0 }));
+            (client.database, client.login, client.forward_origin) =
+                (Some(host), user, Some(ForwardOrigin { link, session, request: 0 }));
         }
-        self.hands.inbound.insert((link, session), id);
+        self.forwarding.inbound.insert((link, session), id);
         if !self.admit_session(id) {
             self.reject_forwarded_session(link, (session, 0), id);
         }
     }
 
     fn reject_forwarded_session(&mut self, link: u64, (session, request): (ForwardedSessionId, u64), id: u64) {
-        self.acts.push(Act::SendHand { link, msg: ForwardMessage::Rejected { session, request } });
+        self.effects.push(Effect::SendToPeer { link, message: ForwardMessage::Rejected { session, request } });
         // Cleared first, so that closing the client sends no `Close` after the rejection.
-        self.clients.get_mut(&id).into_iter().for_each(|client| client.guest = None);
-        self.hands.inbound.remove(&(link, session));
-        self.client_gone(id, self.now);
+        self.clients.get_mut(&id).into_iter().for_each(|client| client.forward_origin = None);
+        self.forwarding.inbound.remove(&(link, session));
+        self.client_closed(id, self.now);
     }
 
     fn handle_forwarded_request(&mut self, link: u64, (session, request): (ForwardedSessionId, u64), lines: &[u8]) {
-        let Some(id) = self.hands.inbound.get(&(link, session)).copied() else {
+        let Some(id) = self.forwarding.inbound.get(&(link, session)).copied() else {
             // Rejected before, or unknown: no part of this request has been or will be executed.
-            return self.acts.push(Act::SendHand { link, msg: ForwardMessage::Rejected { session, request } });
+            return self
+                .effects
+                .push(Effect::SendToPeer { link, message: ForwardMessage::Rejected { session, request } });
         };
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let Some(guest) = client.guest.as_mut().filter(|guest| guest.ask < request) else { return };
+        let Some(guest) = client.forward_origin.as_mut().filter(|guest| guest.request < request) else { return };
         // Requests must arrive in sequence, one at a time: executing one out of order could overtake or skip another.
-        if guest.ask + 1 != request || client.request.is_open || !client.inbuf.is_empty() {
+        if guest.request + 1 != request || client.request.is_open || !client.inbuf.is_empty() {
             return self.close_client(id);
         }
-        guest.ask = request;
+        guest.request = request;
         let is_idle = |client: &crate::types::Client| client.txn.is_none() && !client.request.is_open;
         let is_new = self.clients.get(&id).is_some_and(is_idle);
         // An open transaction continues here; new work is rejected if another node owns the shard now.
@@ -101,7 +106,7 @@
         let text = line.strip_prefix(b"QUERY - ").unwrap_or_default();
         match Statement::parse(text) {
             Statement::Assign { .. } | Statement::Define { .. } | Statement::Abort => self.query(id, b"-", text),
-            _ => self.end_with(id, ErrorCode::Malformed, "not understood"),
+            _ => self.close_with_error(id, ErrorCode::Malformed, "not understood"),
         }
     }
 
@@ -112,15 +117,16 @@
             .get(&id)
             .and_then(|client| client.database.as_ref())
             .and_then(|host| self.conf.as_ref().and_then(|conf| conf.route(host)));
-        let owner =
-            route.and_then(|route| self.checks.service_index(&route.service)).and_then(|at| self.hands.owners.get(&at));
-        owner.is_none_or(|owner| owner.node == self.hands.node_name)
+        let owner = route
+            .and_then(|route| self.checks.service_index(&route.service))
+            .and_then(|at| self.forwarding.owners.get(&at));
+        owner.is_none_or(|owner| owner.node == self.forwarding.node_name)
     }
 
     /// Returns the output of a forwarded session as a response to the node that forwarded it.
     pub fn take_forwarded_response(&mut self, id: u64) -> Option<(u64, ForwardMessage)> {
         let client = self.clients.get_mut(&id)?;
-        let Guest { link, hand: session, ask: request } = client.guest?;
+        let ForwardOrigin { link, session, request } = client.forward_origin?;
         Some((link, ForwardMessage::Response { session, request, bytes: std::mem::take(&mut client.out) }))
     }
 }
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -1,7 +1,7 @@
 //! Outbound forwarding: requests to the primary of a shard owned by another node are forwarded to the owner at most
 //! once; if that is not possible, they are executed here.
 use crate::core::{Core, Map};
-use crate::types::{Act, Verb};
+use crate::types::{Effect, Verb};
 use wv_configuration::Category;
 use wv_internal_protocol::{ForwardMessage, ForwardedSessionId, Owner};
 use wv_wire_protocol::write_query;
@@ -52,8 +52,8 @@
 impl Core {
     /// Sets the name under which this node appears as an owner.
     pub fn set_node_name(&mut self, name: &str) {
-        self.hands.node_name = name.to_owned();
-        self.salt = name.bytes().fold(7u16, |sum, byte| sum.wrapping_mul(31).wrapping_add(u16::from(byte)));
+        self.forwarding.node_name = name.to_owned();
+        self.tie_break_salt = name.bytes().fold(7u16, |sum, byte| sum.wrapping_mul(31).wrapping_add(u16::from(byte)));
     }
 
     pub fn is_shutting_down(&self) -> bool {
@@ -62,67 +62,67 @@
 
     pub(crate) fn set_owner(&mut self, owner: Owner) {
         let service = self.checks.intern_service(&owner.service);
-        let is_newer = self.hands.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
+        let is_newer = self.forwarding.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
         if is_newer {
-            self.hands.owners.insert(service, owner);
+            self.forwarding.owners.insert(service, owner);
         }
     }
 
     /// Number of requests forwarded since the start of the process.
     pub fn forwarded_request_count(&self) -> u64 {
-        self.hands.request_count
+        self.forwarding.request_count
     }
 
     /// Known shard owners as (service, node, epoch).
     pub fn shard_owners(&self) -> Vec<(String, String, u64)> {
-        let list = self.hands.owners.values();
+        let list = self.forwarding.owners.values();
         list.map(|owner| (owner.service.clone(), owner.node.clone(), owner.epoch)).collect()
     }
 
     /// The owner to forward this request to, or `None` to execute it here.
     fn forwarding_target(&self, id: u64) -> Option<&Owner> {
         let conf = self.conf.as_ref().filter(|conf| !conf.partners.is_empty())?;
-        let client = self.clients.get(&id).filter(|client| client.guest.is_none())?;
+        let client = self.clients.get(&id).filter(|client| client.forward_origin.is_none())?;
         let route = client.request.route.as_ref().filter(|route| route.category == Category::Primary)?;
-        let is_here =
-            client.request.is_direct || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.is_begun);
+        let is_here = client.request.is_local_only
+            || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.has_completed_statement);
         conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
-        let owner = self.hands.owners.get(&self.checks.service_index(&route.service)?)?;
+        let owner = self.forwarding.owners.get(&self.checks.service_index(&route.service)?)?;
         let is_failed = self
-            .hands
+            .forwarding
             .owner_links
             .get(&owner.handover_address)
             .is_some_and(|owner_link| owner_link.failed_until > self.now);
-        (owner.node != self.hands.node_name && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
+        (owner.node != self.forwarding.node_name && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
     }
 
     /// Forwards the open request if another node owns its shard. Returns `false` if it is to be executed here.
     pub(crate) fn try_forward(&mut self, id: u64) -> bool {
-        if let Some(session) = self.clients.get(&id).and_then(|client| client.txn.as_ref()?.hand) {
+        if let Some(session) = self.clients.get(&id).and_then(|client| client.txn.as_ref()?.forwarded_session) {
             self.forward_request(id, session);
             return true;
         }
         let Some(address) = self.forwarding_target(id).map(|owner| owner.handover_address.clone()) else {
             return false;
         };
-        let link = match self.hands.owner_links.get(&address).filter(|owner_link| owner_link.link > 0) {
+        let link = match self.forwarding.owner_links.get(&address).filter(|owner_link| owner_link.link > 0) {
             Some(owner_link) => owner_link.link,
             None => {
-                let link = self.fresh_id();
-                self.hands.owner_links.insert(address.clone(), OwnerLink { link, ..OwnerLink::default() });
-                self.acts.push(Act::DialHand { link, place: address.clone() });
+                let link = self.allocate_id();
+                self.forwarding.owner_links.insert(address.clone(), OwnerLink { link, ..OwnerLink::default() });
+                self.effects.push(Effect::DialPeer { link, address: address.clone() });
                 link
             }
         };
-        let Some(owner_link) = self.hands.owner_links.get_mut(&address) else { return false };
+        let Some(owner_link) = self.forwarding.owner_links.get_mut(&address) else { return false };
         if !owner_link.is_up {
             owner_link.waiting.push(id);
-            self.give_time(id);
+            self.schedule_wait_limit(id);
             return true;
         }
-        let held = self.clients.get(&id).and_then(|client| client.hand);
+        let held = self.clients.get(&id).and_then(|client| client.forwarded_session);
         let session = match held
-            .filter(|session| self.hands.outbound.get(session).is_some_and(|outbound| outbound.link == link))
+            .filter(|session| self.forwarding.outbound.get(session).is_some_and(|outbound| outbound.link == link))
         {
             Some(session) => session,
             None => self.open_outbound_session(id, link),
@@ -133,7 +133,7 @@
 
     fn open_outbound_session(&mut self, id: u64, link: u64) -> u64 {
         self.close_client_outbound_session(id);
-        let session = self.fresh_id();
+        let session = self.allocate_id();
         let (connection_state, pending) = Default::default();
         let outbound = OutboundSession {
             client: id,
@@ -144,12 +144,12 @@
             buf: Vec::new(),
             error: None,
         };
-        self.hands.outbound.insert(session, outbound);
+        self.forwarding.outbound.insert(session, outbound);
         if let Some(client) = self.clients.get_mut(&id) {
-            client.hand = Some(session);
-            let (host, user) = (client.database.clone().unwrap_or_default(), client.who.clone());
+            client.forwarded_session = Some(session);
+            let (host, user) = (client.database.clone().unwrap_or_default(), client.login.clone());
             let session = self.forwarded_session_id(session);
-            self.acts.push(Act::SendHand { link, msg: ForwardMessage::Open { session, host, user } });
+            self.effects.push(Effect::SendToPeer { link, message: ForwardMessage::Open { session, host, user } });
         }
         session
     }
@@ -163,31 +163,32 @@
     /// request.
     fn forward_request(&mut self, id: u64, session: u64) {
         let session_id = self.forwarded_session_id(session);
-        let (Some(client), Some(outbound)) = (self.clients.get_mut(&id), self.hands.outbound.get_mut(&session)) else {
-            return self.retry_here(id);
+        let (Some(client), Some(outbound)) = (self.clients.get_mut(&id), self.forwarding.outbound.get_mut(&session))
+        else {
+            return self.dispatch_locally(id);
         };
         let request = &mut client.request;
-        (request.hand, request.queued) = (Some(session), None);
-        request.ret.clear();
+        (request.forwarded_session, request.queue) = (Some(session), None);
+        request.response.clear();
         let mut lines = Vec::new();
         let mut internal_responses = wv_session_state::sync_connection(
             &mut lines,
             &mut outbound.connection_state,
             &client.session,
-            request.shape,
-            &self.shapes,
+            request.statement_id,
+            &self.statements,
         ) as u32;
         if let Some(txn) = client.txn.as_mut() {
-            if txn.hand.is_none() {
-                let begin: &[u8] = if txn.only_reads { b"BEGIN READ" } else { b"BEGIN" };
+            if txn.forwarded_session.is_none() {
+                let begin: &[u8] = if txn.is_read_only { b"BEGIN READ" } else { b"BEGIN" };
                 write_query(&mut lines, &txn.begin_id, &[begin]);
                 internal_responses += 1;
-                txn.hand = Some(session);
+                txn.forwarded_session = Some(session);
             }
             txn.may_have_written |= request.verb() == Verb::Write;
         }
-        write_query(&mut lines, &request.id, &[&request.text]);
-        self.hands.request_count += 1;
+        write_query(&mut lines, &request.query_id, &[&request.text]);
+        self.forwarding.request_count += 1;
         outbound.last_request += 1;
         outbound.pending.push_back(PendingRequest {
             request: outbound.last_request,
@@ -195,26 +196,26 @@
             has_client_response: true,
         });
         let message = ForwardMessage::Request { session: session_id, request: outbound.last_request, lines };
-        self.acts.push(Act::SendHand { link: outbound.link, msg: message });
+        self.effects.push(Effect::SendToPeer { link: outbound.link, message });
     }
 
     /// Closes the client's session at the owner, which rolls back its open transaction.
     pub(crate) fn close_client_outbound_session(&mut self, id: u64) {
-        let session = self.clients.get_mut(&id).and_then(|client| client.hand.take());
+        let session = self.clients.get_mut(&id).and_then(|client| client.forwarded_session.take());
         session.into_iter().for_each(|session| self.close_outbound_session(session));
     }
 
     pub(crate) fn close_outbound_session(&mut self, session: u64) {
-        if let Some(outbound) = self.hands.outbound.remove(&session) {
+        if let Some(outbound) = self.forwarding.outbound.remove(&session) {
             let session = self.forwarded_session_id(session);
-            self.acts.push(Act::SendHand { link: outbound.link, msg: ForwardMessage::Close { session } });
+            self.effects.push(Effect::SendToPeer { link: outbound.link, message: ForwardMessage::Close { session } });
         }
     }
 
     /// Rolls back a forwarded transaction and keeps the session at the owner.
     pub(crate) fn abort_forwarded_txn(&mut self, session: u64) {
         let session_id = self.forwarded_session_id(session);
-        if let Some(outbound) = self.hands.outbound.get_mut(&session) {
+        if let Some(outbound) = self.forwarding.outbound.get_mut(&session) {
             let mut lines = Vec::new();
             write_query(&mut lines, b"-", &[b"ABORT"]);
             outbound.last_request += 1;
@@ -224,7 +225,7 @@
                 has_client_response: false,
             });
             let message = ForwardMessage::Request { session: session_id, request: outbound.last_request, lines };
-            self.acts.push(Act::SendHand { link: outbound.link, msg: message });
+            self.effects.push(Effect::SendToPeer { link: outbound.link, message });
         }
     }
 }
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -21,13 +21,13 @@
 
 impl Core {
     pub fn take_health_reports(&mut self, scope: ReportScope) -> Vec<HealthReport> {
-        if !std::mem::take(&mut self.sights_due) && scope == ReportScope::Changes {
+        if !std::mem::take(&mut self.is_health_report_due) && scope == ReportScope::Changes {
             return Vec::new();
         }
         if scope == ReportScope::Full {
-            self.told.clear();
+            self.reported_health.clear();
         }
-        self.round += u64::from(scope == ReportScope::Periodic);
+        self.maintenance_round += u64::from(scope == ReportScope::Periodic);
         let (now, pools) = (self.now, &self.pools);
         let leader_count =
             self.checks.iter().filter(|(_, checker)| checker.fenced_positions.newest().is_some()).count() as u64;
@@ -43,7 +43,7 @@
                 if is_leader_removed { checker.fenced_positions.newest() } else { checker.fenced_positions.settled() };
             for (seat, member) in checker.databases() {
                 let spot = DatabaseKey { service, index: seat };
-                let is_connected = pools.get(&spot).is_some_and(|pool| pool.all > pool.opening);
+                let is_connected = pools.get(&spot).is_some_and(|pool| pool.total > pool.opening);
                 // Reports only observations: down once the checks agree, up if a connection is established.
                 let is_silent = !member.is_isolated() && member.health == Health::Unreachable;
                 let health = match (member.instance.gone, member.is_isolated(), is_silent) {
@@ -53,10 +53,11 @@
                     _ if is_connected => Health::Up,
                     _ => Health::Unknown,
                 };
-                let last_reported = self.told.get(&spot).copied().unwrap_or(Health::Unknown);
+                let last_reported = self.reported_health.get(&spot).copied().unwrap_or(Health::Unknown);
                 let is_leader = checker.leader_or_departed() == Some(seat);
                 // Leaders take turns in periodic reports; other nodes report the same ones.
-                let is_turn = scope != ReportScope::Periodic || (u64::from(service) + self.round).is_multiple_of(turns);
+                let is_turn = scope != ReportScope::Periodic
+                    || (u64::from(service) + self.maintenance_round).is_multiple_of(turns);
                 let expires = match health {
                     // The last fenced position of a removed leader still decides which replica may be promoted.
                     Health::Unknown => is_leader && fenced.is_some() && member.instance.gone,
@@ -68,7 +69,7 @@
                 if health == last_reported && !(expires && scope >= min_scope) {
                     continue;
                 }
-                self.told.insert(spot, health);
+                self.reported_health.insert(spot, health);
                 let fenced = fenced.filter(|_| is_leader);
                 reports.push(HealthReport {
                     id: member.instance.id.clone(),
@@ -76,8 +77,8 @@
                     health_age_us: now.saturating_sub(member.health_since),
                     last_heard_age_us: pools
                         .get(&spot)
-                        .filter(|pool| pool.heard > 0)
-                        .map_or(u64::MAX, |pool| now.saturating_sub(pool.heard)),
+                        .filter(|pool| pool.last_data_at > 0)
+                        .map_or(u64::MAX, |pool| now.saturating_sub(pool.last_data_at)),
                     fenced_position: fenced.map(|(_, pos)| pos.to_string()).unwrap_or_default(),
                     fenced_age_us: fenced.map_or(0, |(sent, _)| now.saturating_sub(sent)),
                 });
--- a/crates/wv-access/src/lib.rs
+++ b/crates/wv-access/src/lib.rs
@@ -1,25 +1,25 @@
-//! The access role: clients' sessions over pooled connections. Logic without sockets; `run` executes.
-mod answer;
+//! The access role: client sessions over pooled database connections. The core does no I/O; `run` executes its effects.
 mod client;
 mod control_session;
 mod core;
 mod db;
+mod dispatch;
 mod drain;
-mod ends;
 mod exec;
 mod feed;
+mod forward_response;
 mod forwarded_sessions;
 mod forwarding;
 mod health_reports;
 mod load_test_node;
 mod maintenance;
 mod metrics;
-mod offer;
-mod open;
 mod peer_links;
 mod pool;
 mod recorder;
-mod returns;
+mod release;
+mod request;
+mod response;
 mod run;
 mod send;
 mod slots;
@@ -36,7 +36,7 @@
 pub use load_test_node::LoadTestNode;
 pub use recorder::EVENT_BYTES;
 pub use run::{run, Options};
-pub use types::{Act, Lost};
+pub use types::{ConnectionLoss, Effect};
 
 #[derive(thiserror::Error, Debug)]
 pub enum AccessError {
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -1,6 +1,6 @@
 //! Periodic maintenance of connection pools, and activation of new configurations.
 use crate::core::Core;
-use crate::types::{Db, Expect, Phase, What};
+use crate::types::{DbConnection, Pending, Phase, Reply};
 use std::rc::Rc;
 use wv_health::{DatabaseKey, State};
 
@@ -32,8 +32,8 @@
         }
         let Ok(body) = body else { return };
         // A resubscribed feed repeats the current version.
-        if self.body.0 == version {
-            if self.body.1[..] != body[..] {
+        if self.conf_body.0 == version {
+            if self.conf_body.1[..] != body[..] {
                 // Consensus decides each version once, so this indicates a fault in the control plane.
                 log::error!("configuration version {version} was received with two different bodies");
             }
@@ -44,10 +44,10 @@
             .map_or_else(|| wv_configuration::Configuration::parse(&body), |held| held.parse_incremental(&body));
         // The control plane validates configurations; one that this node cannot parse is ignored.
         let Ok(conf) = read else {
-            self.body = (version, body.into());
+            self.conf_body = (version, body.into());
             return;
         };
-        self.body = (version, conf.body().clone());
+        self.conf_body = (version, conf.body().clone());
         if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &conf.services)) {
             conf.services.keys().for_each(|name| {
                 self.checks.intern_service(name);
@@ -56,7 +56,7 @@
         self.set_tenants(&conf, held.as_deref());
         self.set_shard_plans(&conf);
         self.conf = Some(Rc::new(conf));
-        self.set_up_awaited();
+        self.complete_pending_setups();
     }
 
     /// Runs periodically: keeps warm connections, probes isolated databases, ends sessions during shutdown.
@@ -70,8 +70,8 @@
         self.close_excess_idle();
         self.probe_silent_databases();
         self.close_unanswered();
-        self.serve_stranded();
-        self.serve_waiting_anywhere();
+        self.dispatch_unplaced();
+        self.serve_all_queues();
         self.continue_shutdown();
     }
 
@@ -79,8 +79,14 @@
     /// is small.
     fn close_excess_idle(&mut self) {
         let over = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
-            let is_unused = self.is_many && self.is_tight(*spot) && pool.used + RECENT_USE_SMALL_SHARE_US < self.now;
-            let count = if is_unused { pool.idle.len() } else { pool.all.saturating_sub(self.cap(*spot)) as usize };
+            let is_unused = self.has_many_databases
+                && self.has_small_share(*spot)
+                && pool.last_used_at + RECENT_USE_SMALL_SHARE_US < self.now;
+            let count = if is_unused {
+                pool.idle.len()
+            } else {
+                pool.total.saturating_sub(self.connection_limit(*spot)) as usize
+            };
             pool.idle.iter().take(count).copied().collect::<Vec<u64>>()
         };
         let over: Vec<u64> = self.pools.iter().flat_map(over).collect();
@@ -89,8 +95,8 @@
 
     /// Whether this node recently sent requests to the service's primary; always true with few databases.
     fn has_recent_writes(&self, service: u16, spot: DatabaseKey) -> bool {
-        let span = if self.is_tight(spot) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
-        !self.is_many || self.written.get(&service).is_some_and(|at| at + span > self.now)
+        let span = if self.has_small_share(spot) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
+        !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + span > self.now)
     }
 
     /// Probes databases that are silent on all connections by opening a new one: a slow database accepts it, an
@@ -99,30 +105,32 @@
         let now = self.now;
         let mut silent: Vec<DatabaseKey> = Vec::new();
         for db in self.dbs.values().filter(|db| db.phase == Phase::Busy) {
-            let is_waiting = db.expects.front().is_some_and(|expect| expect.sent + SILENCE_LIMIT_US < now);
-            let is_quiet =
-                self.pools.get(&db.spot).is_some_and(|pool| pool.heard + SILENCE_LIMIT_US < now && pool.opening == 0);
+            let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
+            let is_quiet = self
+                .pools
+                .get(&db.spot)
+                .is_some_and(|pool| pool.last_data_at + SILENCE_LIMIT_US < now && pool.opening == 0);
             if is_waiting && is_quiet && !silent.contains(&db.spot) {
                 silent.push(db.spot);
             }
         }
         for spot in silent {
-            if self.open_look(spot) {
+            if self.open_probe(spot) {
                 self.checks.database_mut(spot).into_iter().for_each(|member| member.on_timeout(now));
-                self.sights_due = true;
+                self.is_health_report_due = true;
             }
         }
     }
 
     /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool for ever.
     fn close_unanswered(&mut self) {
-        let is_internal = |expect: &Expect| !matches!(expect.what, What::Request { .. } | What::Begin { .. });
-        let is_overdue = |held: &Db| {
-            held.expects.front().is_some_and(|expect| expect.sent + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
-                && held.expects.iter().all(is_internal)
+        let is_internal = |expect: &Pending| !matches!(expect.kind, Reply::Request { .. } | Reply::Begin { .. });
+        let is_overdue = |held: &DbConnection| {
+            held.pending.front().is_some_and(|expect| expect.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
+                && held.pending.iter().all(is_internal)
         };
         let overdue: Vec<u64> = self.dbs.iter().filter(|(_, held)| is_overdue(held)).map(|(db, _)| *db).collect();
-        overdue.into_iter().for_each(|db| self.break_db(db));
+        overdue.into_iter().for_each(|db| self.fail_db(db));
     }
 
     /// Opens warm connections and probes.
@@ -131,9 +139,9 @@
             return;
         }
         let now = self.now;
-        self.is_many =
+        self.has_many_databases =
             self.checks.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
-        let warm = if self.is_many { 1 } else { WARM_PRIMARY_CONNECTIONS };
+        let warm = if self.has_many_databases { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
         for (service, checker) in self.checks.iter() {
             for (seat, member) in checker.databases() {
@@ -148,7 +156,7 @@
                     }
                     // Connections to the database being promoted are opened before it leads.
                     State::Online if is_next && self.has_recent_writes(service, spot) => wanted.push((spot, warm)),
-                    State::Online if is_same_zone && !self.is_many && !member.is_suspect() => {
+                    State::Online if is_same_zone && !self.has_many_databases && !member.is_suspect() => {
                         wanted.push((spot, WARM_REPLICA_CONNECTIONS))
                     }
                     // Isolated and suspect databases are probed with one connection at a time.
@@ -163,9 +171,9 @@
             let (opening, available) = self
                 .pools
                 .get(&spot)
-                .map_or((0, 0), |pool| (pool.opening, (pool.idle.len() + pool.early.len()) as u32 + pool.opening));
+                .map_or((0, 0), |pool| (pool.opening, (pool.idle.len() + pool.newer_term.len()) as u32 + pool.opening));
             let is_wanted = if is_isolated { opening == 0 } else { available < count };
-            let is_opened = is_wanted && if is_isolated { self.open_look(spot) } else { self.open_db(spot) };
+            let is_opened = is_wanted && if is_isolated { self.open_probe(spot) } else { self.open_db(spot) };
             if is_opened {
                 self.checks.database_mut(spot).into_iter().for_each(|member| member.on_probe(now));
             }
--- a/crates/wv-access/src/peer_links.rs
+++ b/crates/wv-access/src/peer_links.rs
@@ -11,9 +11,9 @@
 
 impl Node {
     pub(crate) fn send_forward_message(&self, link: u64, msg: ForwardMessage) {
-        let is_full = self.hands.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
+        let is_full = self.peer_links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
         if is_full {
-            self.hands.borrow_mut().remove(&link);
+            self.peer_links.borrow_mut().remove(&link);
         }
     }
 
@@ -21,16 +21,16 @@
         if let Ok(addr) = address.parse::<std::net::SocketAddr>() {
             if let Ok(stream) = wv_http::connect(addr, CONNECT_TIMEOUT).await {
                 let receiver = self.register_peer_link(link);
-                self.with(|core, now| core.hand_up(link, now));
+                self.with(|core, now| core.peer_link_up(link, now));
                 self.run_peer_link(link, stream, receiver).await;
             }
         }
-        self.with(|core, now| core.hand_down(link, now));
+        self.with(|core, now| core.peer_link_down(link, now));
     }
 
     fn register_peer_link(&self, link: u64) -> tokio::sync::mpsc::Receiver<ForwardMessage> {
         let (sender, receiver) = tokio::sync::mpsc::channel(MAX_QUEUED_MESSAGES);
-        self.hands.borrow_mut().insert(link, sender);
+        self.peer_links.borrow_mut().insert(link, sender);
         receiver
     }
 
@@ -41,7 +41,7 @@
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 continue;
             };
-            if self.hands.borrow().len() >= MAX_PEER_LINKS {
+            if self.peer_links.borrow().len() >= MAX_PEER_LINKS {
                 continue;
             }
             let link = self.core.borrow_mut().accept_peer_link(self.now());
@@ -49,7 +49,7 @@
             let node = self.clone();
             tokio::task::spawn_local(async move {
                 node.run_peer_link(link, stream, receiver).await;
-                node.with(|core, now| core.hand_down(link, now));
+                node.with(|core, now| core.peer_link_down(link, now));
             });
         }
     }
@@ -63,6 +63,6 @@
         wv_http::tune(&stream, SILENCE_TIMEOUT);
         let on_message = |msg| self.with(|core, now| core.handle_forward_message(link, msg, now));
         wv_process::carry(stream, receiver, SILENCE_TIMEOUT, None, on_message).await;
-        self.hands.borrow_mut().remove(&link);
+        self.peer_links.borrow_mut().remove(&link);
     }
 }
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -140,8 +140,8 @@
         let clients = &self.clients;
         let is_open = |write: &TrackedWrite| {
             clients.get(&write.client).is_some_and(|client| match write.txn_started_at {
-                Some(at) => client.txn.as_ref().is_some_and(|txn| txn.at == at),
-                None => client.request.is_open && client.request.number == write.request_number,
+                Some(at) => client.txn.as_ref().is_some_and(|txn| txn.first_byte_at == at),
+                None => client.request.is_open && client.request.sequence == write.request_number,
             })
         };
         for (name, shard) in self.slots.shards.iter_mut() {
@@ -205,7 +205,7 @@
             held.acked_attempt = attempt;
             self.slots.is_report_due |= held.dirty_keys.is_report_due;
         }
-        self.serve_stranded();
+        self.dispatch_unplaced();
     }
 
     /// The coordinator has persisted the keys of a report: writes that waited for them proceed.
@@ -221,7 +221,7 @@
         }
         sampler.acked_keys.extend(sent.keys.iter().map(|key| hash(key.as_bytes())));
         self.slots.is_report_due |= sampler.is_report_due();
-        self.serve_stranded();
+        self.dispatch_unplaced();
     }
 
     /// Samples the keys of a successful request; writes of a transaction are sampled at its commit.
@@ -231,15 +231,17 @@
         }
         let Some(service) = self.service_for_request(id) else { return };
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let (named, verb) = (client.request.named.clone(), client.request.verb());
+        let (named, verb) = (client.request.target_key.clone(), client.request.verb());
         let mut done: Vec<(Vec<u8>, Option<u32>)> = Vec::new();
         match (client.txn.as_mut(), verb) {
-            (Some(txn), crate::types::Verb::Write) => txn.written.push((named.key, named.write_bytes)),
+            (Some(txn), crate::types::Verb::Write) => txn.writes.push((named.key, named.write_bytes)),
             (Some(txn), _) if is_commit => {
-                done.extend(std::mem::take(&mut txn.written).into_iter().map(|(key, bytes)| (key, Some(bytes))));
+                done.extend(std::mem::take(&mut txn.writes).into_iter().map(|(key, bytes)| (key, Some(bytes))));
             }
             (None, crate::types::Verb::Write) => done.push((named.key, Some(named.write_bytes))),
-            (_, crate::types::Verb::Read) if client.request.ret.starts_with(b"ROW") => done.push((named.key, None)),
+            (_, crate::types::Verb::Read) if client.request.response.starts_with(b"ROW") => {
+                done.push((named.key, None))
+            }
             _ => {}
         }
         let Some(shard) = self.slots.shards.get_mut(&*service) else { return };
