--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -168,7 +168,7 @@
         pool.total += 1;
         pool.opening += 1;
         let db = self.allocate_id();
-        let held = DbConnection {
+        let conn = DbConnection {
             spot,
             id,
             phase: Phase::Opening,
@@ -186,7 +186,7 @@
             phase_since: self.now,
             opened_at: self.now,
         };
-        self.dbs.insert(db, held);
+        self.dbs.insert(db, conn);
         self.effects.push(Effect::OpenDb { db, addr });
         true
     }
@@ -207,44 +207,44 @@
     }
 
     pub(crate) fn remove_db(&mut self, db: u64) -> Option<DbConnection> {
-        let held = self.dbs.remove(&db)?;
-        self.uncharge(held.spot, held.charge);
-        if let Some(pool) = self.pools.get_mut(&held.spot) {
+        let conn = self.dbs.remove(&db)?;
+        self.uncharge(conn.spot, conn.charge);
+        if let Some(pool) = self.pools.get_mut(&conn.spot) {
             pool.total = pool.total.saturating_sub(1);
-            if held.phase == Phase::Opening {
+            if conn.phase == Phase::Opening {
                 pool.opening = pool.opening.saturating_sub(1);
             }
             pool.idle.retain(|idle| *idle != db);
             pool.newer_term.retain(|early| *early != db);
         }
-        Some(held)
+        Some(conn)
     }
 
     /// A connection was closed or could not be opened.
     pub fn db_lost(&mut self, db: u64, loss: ConnectionLoss, now: u64) {
         self.now = self.now.max(now);
-        let Some(held) = self.remove_db(db) else { return };
+        let Some(conn) = self.remove_db(db) else { return };
         // Without a connection, the reported health is out of date.
-        self.is_health_report_due |= self.pools.get(&held.spot).is_some_and(|pool| pool.total == 0);
-        if held.phase == Phase::Opening {
-            self.back_off_opening(held.spot);
+        self.is_health_report_due |= self.pools.get(&conn.spot).is_some_and(|pool| pool.total == 0);
+        if conn.phase == Phase::Opening {
+            self.back_off_opening(conn.spot);
         }
         let health = match loss {
             ConnectionLoss::Refused => Some(Health::Refused),
             ConnectionLoss::Unreachable => Some(Health::Unreachable),
             ConnectionLoss::Closed => None,
         };
-        if let (Some(health), Some(member)) = (health, self.checks.member_mut(held.spot)) {
+        if let (Some(health), Some(member)) = (health, self.checks.member_mut(conn.spot)) {
             let is_changed = member.down(health, self.now);
             if is_changed {
-                log::info!("saw {} {}", held.id, if health == Health::Unreachable { "dark" } else { "refused" });
+                log::info!("saw {} {}", conn.id, if health == Health::Unreachable { "dark" } else { "refused" });
             }
             self.is_health_report_due = true;
             if is_changed {
-                self.redispatch_queue(held.spot);
+                self.redispatch_queue(conn.spot);
             }
         }
-        self.connection_lost(held);
+        self.connection_lost(conn);
         self.serve_all_queues();
     }
 }
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -12,20 +12,20 @@
     /// The connection is open: sends `SETUP` with the expected instance id.
     pub fn db_opened(&mut self, db: u64, now: u64) {
         self.now = self.now.max(now);
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        let service = self.checks.checker(held.spot.service).map(|checker| checker.service.clone()).unwrap_or_default();
-        wv_wire_protocol::write_line(&mut held.out, &[b"SETUP", service.as_bytes(), b"windvalve", held.id.as_bytes()]);
-        held.pending.push_back(Pending { kind: Reply::Setup, sent_at: self.now, is_fenced: false });
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        let service = self.checks.checker(conn.spot.service).map(|checker| checker.service.clone()).unwrap_or_default();
+        wv_wire_protocol::write_line(&mut conn.out, &[b"SETUP", service.as_bytes(), b"windvalve", conn.id.as_bytes()]);
+        conn.pending.push_back(Pending { kind: Reply::Setup, sent_at: self.now, is_fenced: false });
         self.effects.push(Effect::WriteDb(db));
     }
 
     pub fn db_data(&mut self, db: u64, bytes: &[u8], now: u64) {
         self.now = self.now.max(now);
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        if let Some(pool) = self.pools.get_mut(&held.spot) {
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        if let Some(pool) = self.pools.get_mut(&conn.spot) {
             pool.last_data_at = self.now;
         }
-        let mut buf = std::mem::take(&mut held.inbuf);
+        let mut buf = std::mem::take(&mut conn.inbuf);
         let whole = if buf.is_empty() {
             bytes
         } else {
@@ -35,7 +35,7 @@
         let mut at = 0;
         while let Some((line, len)) = split_line(&whole[at..]) {
             at += len;
-            self.dbs.get_mut(&db).into_iter().for_each(|held| held.has_trailing_bytes = at < whole.len());
+            self.dbs.get_mut(&db).into_iter().for_each(|conn| conn.has_trailing_bytes = at < whole.len());
             self.db_line(db, line, &whole[at - len..at]);
             if !self.dbs.contains_key(&db) {
                 return;
@@ -46,25 +46,25 @@
             return self.fail_db(db);
         }
         let rest = rest.to_vec();
-        if let Some(held) = self.dbs.get_mut(&db) {
-            held.inbuf = rest;
+        if let Some(conn) = self.dbs.get_mut(&db) {
+            conn.inbuf = rest;
         }
     }
 
     fn db_line(&mut self, db: u64, line: &[u8], raw: &[u8]) {
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        let Some(reply) = held.pending.front().copied() else { return self.fail_db(db) };
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        let Some(reply) = conn.pending.front().copied() else { return self.fail_db(db) };
         match (DatabaseLine::parse(line), reply.kind) {
             (DatabaseLine::Idle(state, pos), _) => {
-                held.pending.pop_front();
+                conn.pending.pop_front();
                 // Surplus data may be a duplicate reply; no later user of the connection may receive it.
-                held.is_tainted |= held.has_trailing_bytes && held.pending.is_empty();
-                let code = held.error.take();
+                conn.is_tainted |= conn.has_trailing_bytes && conn.pending.is_empty();
+                let code = conn.error.take();
                 self.finish(db, reply, code, state, pos);
             }
             (DatabaseLine::Error(code, _), Reply::Setup) => self.setup_failed(db, code),
             (DatabaseLine::Error(code, text), _) => {
-                held.error = Some(code);
+                conn.error = Some(code);
                 if let Reply::Request { client, sequence } = reply.kind {
                     let client = self.clients.get_mut(&client).filter(|client| client.request.sequence == sequence);
                     if let Some(client) = client {
@@ -80,7 +80,7 @@
             (received @ (DatabaseLine::Row(_) | DatabaseLine::Complete(_)), Reply::Request { client, sequence }) => {
                 // A stamp is a single word; a space means that two lines were merged.
                 if let DatabaseLine::Complete(stamp) = received {
-                    held.has_stamp = !stamp.is_empty() && !stamp.contains(&b' ');
+                    conn.has_stamp = !stamp.is_empty() && !stamp.contains(&b' ');
                 }
                 let Some(held) = self.clients.get_mut(&client).filter(|held| held.request.sequence == sequence) else {
                     return;
@@ -105,42 +105,42 @@
     /// Closes a connection that violated the protocol.
     pub(crate) fn fail_db(&mut self, db: u64) {
         self.effects.push(Effect::CloseDb(db));
-        self.remove_db(db).into_iter().for_each(|held| self.connection_lost(held));
+        self.remove_db(db).into_iter().for_each(|conn| self.connection_lost(conn));
         self.serve_all_queues();
     }
 
     fn setup_failed(&mut self, db: u64, code: ErrorCode) {
         self.effects.push(Effect::CloseDb(db));
-        let Some(held) = self.remove_db(db) else { return };
-        self.back_off_opening(held.spot);
-        let waiting = self.pools.get_mut(&held.spot).and_then(|pool| pool.waiting.pop_front());
+        let Some(conn) = self.remove_db(db) else { return };
+        self.back_off_opening(conn.spot);
+        let waiting = self.pools.get_mut(&conn.spot).and_then(|pool| pool.waiting.pop_front());
         // The instance accepts no connection or another one has its address: dispatch elsewhere.
         if let Some(id) = waiting {
-            if let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.queue == Some(held.spot)) {
-                client.request.refused_by.push(held.spot);
+            if let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.queue == Some(conn.spot)) {
+                client.request.refused_by.push(conn.spot);
                 self.retry(id, Some(code));
             }
         }
         if code == ErrorCode::WrongNode {
-            if let Some(member) = self.checks.member_mut(held.spot) {
+            if let Some(member) = self.checks.member_mut(conn.spot) {
                 member.down(wv_internal_protocol::Health::Refused, self.now);
             }
         }
     }
 
     fn finish(&mut self, db: u64, reply: Pending, code: Option<ErrorCode>, state: u8, pos: Option<LogPosition>) {
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        let spot = held.spot;
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        let spot = conn.spot;
         match reply.kind {
             Reply::Setup => {
-                held.phase = crate::types::Phase::Busy;
+                conn.phase = crate::types::Phase::Busy;
                 if let Some(pool) = self.pools.get_mut(&spot) {
                     pool.opening = pool.opening.saturating_sub(1);
                     (pool.open_failures, pool.open_not_before) = (0, 0);
                 }
                 let is_back = self.checks.member_mut(spot).is_some_and(|member| member.up(true, self.now));
                 if is_back {
-                    let id = self.dbs.get(&db).map(|held| held.id.as_str()).unwrap_or_default();
+                    let id = self.dbs.get(&db).map(|conn| conn.id.as_str()).unwrap_or_default();
                     log::info!("saw {id} up");
                     self.ease_in(spot, 1);
                     self.is_health_report_due = true;
@@ -156,19 +156,19 @@
                 self.release_db(db);
             }
             Reply::Probe => {
-                held.is_tainted |= code.is_some();
+                conn.is_tainted |= code.is_some();
                 self.release_db(db);
             }
-            Reply::Sync => held.is_tainted |= code.is_some(),
+            Reply::Sync => conn.is_tainted |= code.is_some(),
             Reply::Begin { client, sequence } => self.begin_returned(db, client, sequence, code, state),
             Reply::Abort => {
-                held.is_tainted |= state != b'I';
+                conn.is_tainted |= state != b'I';
                 self.release_db(db);
             }
             Reply::Request { client, sequence } => {
-                let has_stamp = std::mem::take(&mut held.has_stamp);
+                let has_stamp = std::mem::take(&mut conn.has_stamp);
                 // The session values were wrong or the reply is incomplete, so the result is unreliable.
-                if held.is_tainted || (code.is_none() && !has_stamp) {
+                if conn.is_tainted || (code.is_none() && !has_stamp) {
                     self.fail_db(db);
                     return self.request_lost(client, sequence);
                 }
@@ -202,10 +202,10 @@
         if code == Some(ErrorCode::ReadOnly) {
             self.taint_leader(db);
         }
-        let (now, is_last) = (self.now, self.dbs.get(&db).is_some_and(|held| held.pending.is_empty()));
-        let spot = self.dbs.get(&db).map(|held| held.spot);
+        let (now, is_last) = (self.now, self.dbs.get(&db).is_some_and(|conn| conn.pending.is_empty()));
+        let spot = self.dbs.get(&db).map(|conn| conn.spot);
         let Some(client) =
-            self.clients.get_mut(&id).filter(|held| held.request.is_open && held.request.sequence == sequence)
+            self.clients.get_mut(&id).filter(|client| client.request.is_open && client.request.sequence == sequence)
         else {
             return self.discard_db(db);
         };
--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -106,7 +106,7 @@
             .filter_map(|(at, db)| {
                 self.dbs
                     .get(db)
-                    .map(|held| (held.session_state.sync_cost(&client.session, client.request.statement_id), at))
+                    .map(|conn| (conn.session_state.sync_cost(&client.session, client.request.statement_id), at))
             })
             .min_by_key(|(cost, _)| *cost);
         if let Some((_, at)) = fitting.filter(|_| is_free && may_take) {
@@ -179,7 +179,7 @@
         self.dispatch(id);
     }
 
-    /// Gives free connections to queued requests, by tenant priority, and opens more if needed.
+    /// Gives free connections to queued requests, by tenant share and route precedence, and opens more if needed.
     pub(crate) fn serve_queue(&mut self, spot: Spot) {
         loop {
             let Some(pool) = self.pools.get_mut(&spot) else { return };
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -57,12 +57,12 @@
 
     /// Passes `event` to the core and executes the resulting effects.
     pub fn with<T>(&self, event: impl FnOnce(&mut Core, u64) -> T) -> T {
-        let (ret, effects, next, has_sights) = {
+        let (ret, effects, next, has_health_reports) = {
             let mut core = self.core.borrow_mut();
             let ret = event(&mut core, self.now());
             (ret, core.take_effects(), core.next_timer_at(), core.has_health_reports())
         };
-        if has_sights {
+        if has_health_reports {
             self.health_changed.notify_one();
         }
         effects.into_iter().for_each(|effect| self.execute(effect));
--- a/crates/wv-access/src/forward_response.rs
+++ b/crates/wv-access/src/forward_response.rs
@@ -61,7 +61,7 @@
     fn forwarded_session_lost(&mut self, session: u64) {
         let Some(out) = self.forwarding.out.remove(&session) else { return };
         let Some(client) = self.clients.get_mut(&out.client) else { return };
-        client.forwarded_session = client.forwarded_session.filter(|held| *held != session);
+        client.forwarded_session = client.forwarded_session.filter(|current| *current != session);
         let is_pending = client.request.is_open && client.request.forwarded_session == Some(session);
         client.request.is_local_only = true;
         if let Some(txn) = client.txn.as_mut().filter(|txn| txn.forwarded_session == Some(session)) {
@@ -97,7 +97,7 @@
         }
         let Some(out) = self.forwarding.out.remove(&session) else { return };
         let Some(client) = self.clients.get_mut(&out.client) else { return };
-        client.forwarded_session = client.forwarded_session.filter(|held| *held != session);
+        client.forwarded_session = client.forwarded_session.filter(|current| *current != session);
         if client.request.forwarded_session == Some(session)
             || client.txn.as_ref().is_some_and(|txn| txn.forwarded_session == Some(session))
         {
--- a/crates/wv-access/src/release.rs
+++ b/crates/wv-access/src/release.rs
@@ -7,27 +7,27 @@
 impl Core {
     /// Returns a clean connection to the pool, or closes it.
     pub(crate) fn release_db(&mut self, db: u64) {
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        let (spot, charge) = (held.spot, held.charge.take());
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        let (spot, charge) = (conn.spot, conn.charge.take());
         self.uncharge(spot, charge);
-        let Some(held) = self.dbs.get(&db) else { return };
-        let is_gone = self.checks.member(spot).is_none_or(|member| member.inst.gone || member.inst.id != held.id);
+        let Some(conn) = self.dbs.get(&db) else { return };
+        let is_gone = self.checks.member(spot).is_none_or(|member| member.inst.gone || member.inst.id != conn.id);
         let is_over = self
             .pools
             .get(&spot)
             .is_some_and(|pool| pool.total > self.connection_limit(spot) && pool.waiting.is_empty());
         let fitness = self.fitness(db);
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        if held.is_tainted || !held.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        if conn.is_tainted || !conn.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
             self.close_db(db);
         } else if fitness.is_gt() {
             // Keeps the connection until the slot map for its newer term arrives.
-            (held.phase, held.txn_client) = (Phase::Idle, None);
+            (conn.phase, conn.txn_client) = (Phase::Idle, None);
             self.pools.entry(spot).or_default().newer_term.push(db);
         } else {
-            held.phase = Phase::Idle;
-            held.txn_client = None;
-            held.phase_since = self.now;
+            conn.phase = Phase::Idle;
+            conn.txn_client = None;
+            conn.phase_since = self.now;
             self.pools.entry(spot).or_default().idle.push(db);
         }
         self.serve_queue(spot);
@@ -36,28 +36,28 @@
     /// The leader refused a write on this connection. It may have lost and regained leadership since the connection was
     /// opened and then accepts writes only on newer connections.
     pub(crate) fn taint_leader(&mut self, db: u64) {
-        let Some(spot) = self.dbs.get(&db).map(|held| held.spot) else { return };
+        let Some(spot) = self.dbs.get(&db).map(|conn| conn.spot) else { return };
         let is_lead = self.checks.checker(spot.service).and_then(|checker| checker.leader()) == Some(spot.seat);
-        self.dbs.get_mut(&db).filter(|_| is_lead).into_iter().for_each(|held| held.is_tainted = true);
+        self.dbs.get_mut(&db).filter(|_| is_lead).into_iter().for_each(|conn| conn.is_tainted = true);
     }
 
     /// Rolls back the connection's transaction and returns it to the pool.
     pub(crate) fn roll_back_db(&mut self, db: u64) {
         let now = self.now;
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        held.txn_client = None;
+        let Some(conn) = self.dbs.get_mut(&db) else { return };
+        conn.txn_client = None;
         // With a response pending, only closing the connection ensures a rollback.
-        if held.pending.iter().any(|reply| matches!(reply.kind, Reply::Request { .. })) {
+        if conn.pending.iter().any(|reply| matches!(reply.kind, Reply::Request { .. })) {
             return self.discard_db(db);
         }
-        write_query(&mut held.out, b"-", &[b"ABORT"]);
-        held.pending.push_back(Pending { kind: Reply::Abort, sent_at: now, is_fenced: false });
+        write_query(&mut conn.out, b"-", &[b"ABORT"]);
+        conn.pending.push_back(Pending { kind: Reply::Abort, sent_at: now, is_fenced: false });
         self.effects.push(Effect::WriteDb(db));
     }
 
     /// Closes a connection with a pending response that no client waits for.
     pub(crate) fn discard_db(&mut self, db: u64) {
-        let spot = self.dbs.get(&db).map(|held| held.spot);
+        let spot = self.dbs.get(&db).map(|conn| conn.spot);
         self.close_db(db);
         spot.into_iter().for_each(|spot| self.serve_queue(spot));
     }
--- a/crates/wv-access/src/request.rs
+++ b/crates/wv-access/src/request.rs
@@ -46,8 +46,9 @@
         let time = answer_limit_us(route.expiry_us);
         (request.verb, request.statement_id, request.opened_at, request.deadline) =
             (Some(verb), shape, now, now + time);
-        let since =
-            client.retry_window.filter(|(first, told)| told + RETRY_WINDOW_US > now && first + route.expiry_us > now);
+        let since = client
+            .retry_window
+            .filter(|(first, refused_at)| refused_at + RETRY_WINDOW_US > now && first + route.expiry_us > now);
         client.retry_window = since;
         request.client_deadline = since.map_or(now, |(first, _)| first) + time;
         (request.attempts, request.db, request.queue, request.last_code, request.is_streamed) =
--- a/crates/wv-access/src/response.rs
+++ b/crates/wv-access/src/response.rs
@@ -123,8 +123,8 @@
     }
 
     /// Resolves the pending requests of a lost connection.
-    pub(crate) fn connection_lost(&mut self, held: DbConnection) {
-        let begun = held.pending.iter().find_map(|reply| match reply.kind {
+    pub(crate) fn connection_lost(&mut self, conn: DbConnection) {
+        let begun = conn.pending.iter().find_map(|reply| match reply.kind {
             Reply::Begin { client, sequence } => Some((client, sequence)),
             _ => None,
         });
@@ -138,14 +138,14 @@
             }
             return;
         }
-        if let Some(client) = held.txn_client {
+        if let Some(client) = conn.txn_client {
             if let Some(txn) = self.clients.get_mut(&client).and_then(|client| client.txn.as_mut()) {
                 txn.db = None;
                 // No request is open: the next statement reports the failure.
                 txn.failure = txn.failure.or(Some(TxnFailure::Unreported));
             }
         }
-        let requests = held.pending.iter().filter_map(|reply| match reply.kind {
+        let requests = conn.pending.iter().filter_map(|reply| match reply.kind {
             Reply::Request { client, sequence } => Some((client, sequence)),
             _ => None,
         });
@@ -193,11 +193,11 @@
         let Some(db) = client.request.db else { return self.refuse_request(id) };
         // A late response may still arrive, so the connection cannot be reused.
         self.effects.push(Effect::CloseDb(db));
-        let held = self.remove_db(db);
+        let conn = self.remove_db(db);
         if is_single_read(self, id) {
             return self.fail(id, ErrorCode::Expired, "over the route's limit", b'I');
         }
-        held.into_iter().for_each(|held| self.connection_lost(held));
+        conn.into_iter().for_each(|conn| self.connection_lost(conn));
         // A request is always answered at its deadline.
         self.request_lost(id, sequence);
     }
--- a/crates/wv-access/src/timer.rs
+++ b/crates/wv-access/src/timer.rs
@@ -68,11 +68,11 @@
             Timer::Expiry { client, sequence }
             | Timer::WaitLimit { client, sequence }
             | Timer::Overdue { client, sequence } => {
-                clients.get(client).is_some_and(|held| held.request.is_open && held.request.sequence == *sequence)
+                clients.get(client).is_some_and(|client| client.request.is_open && client.request.sequence == *sequence)
             }
-            Timer::TxnIdle { client, .. } => clients.get(client).is_some_and(|held| held.txn.is_some()),
+            Timer::TxnIdle { client, .. } => clients.get(client).is_some_and(|client| client.txn.is_some()),
             Timer::SlowStart { spot } => pools.get(spot).is_some_and(|pool| !pool.waiting.is_empty()),
-            Timer::Setup { client } => clients.get(client).is_some_and(|held| held.database.is_none()),
+            Timer::Setup { client } => clients.get(client).is_some_and(|client| client.database.is_none()),
         })
     }
 
@@ -86,7 +86,7 @@
                 Timer::TxnIdle { client, since } => self.expire_idle_txn(client, since),
                 Timer::SlowStart { spot } => self.serve_queue(spot),
                 Timer::Setup { client } => {
-                    if self.clients.get(&client).is_some_and(|held| held.database.is_none()) {
+                    if self.clients.get(&client).is_some_and(|client| client.database.is_none()) {
                         self.close_client(client);
                     }
                 }
