--- a/crates/wv-simulation/tests/deregistered_replicas.rs
+++ b/crates/wv-simulation/tests/deregistered_replicas.rs
@@ -15,10 +15,10 @@
 }
 
 /// Starts another instance at the same address with the log of the previous one.
-fn restart_under_new_id(world: &mut World, base: usize, id: &str) {
-    world.bases[base].id = id.to_owned();
-    world.bases[base].is_left = false;
-    world.revive(base);
+fn restart_under_new_id(world: &mut World, db: usize, id: &str) {
+    world.bases[db].id = id.to_owned();
+    world.bases[db].is_left = false;
+    world.revive(db);
 }
 
 fn finish_and_check(world: &mut World) -> Vec<String> {
@@ -126,19 +126,19 @@
         world.load(10, "p");
         world.run(3 * S);
         // Both replicas are replaced in turn by instances at the same addresses.
-        for base in [1, 2] {
-            world.bases[base].is_draining = true;
+        for db in [1, 2] {
+            world.bases[db].is_draining = true;
             world.run(600 * MS);
-            deregister(&mut world, base);
+            deregister(&mut world, db);
             world.run(step * 70 * MS);
-            world.crash(base);
-            if base == 2 {
+            world.crash(db);
+            if db == 2 {
                 world.crash(0);
             }
             world.run(step * 30 * MS);
             // The new instance must not start out reporting `draining`.
-            world.bases[base].is_draining = false;
-            restart_under_new_id(&mut world, base, &format!("i-heir{base}"));
+            world.bases[db].is_draining = false;
+            restart_under_new_id(&mut world, db, &format!("i-heir{db}"));
             world.run(400 * MS);
         }
         world.run(4 * S);
--- a/crates/wv-simulation/tests/deregistration.rs
+++ b/crates/wv-simulation/tests/deregistration.rs
@@ -6,12 +6,12 @@
 use wv_simulation::{World, MS, S};
 
 /// Deregisters the database, then stops it.
-fn deregister_and_crash(world: &mut World, base: usize) {
-    let id = world.bases[base].id.clone();
-    world.bases[base].is_left = true;
+fn deregister_and_crash(world: &mut World, db: usize) {
+    let id = world.bases[db].id.clone();
+    world.bases[db].is_left = true;
     world.call(1, "DELETE", &format!("/instances/{id}"), b"");
     world.run(20 * MS);
-    world.crash(base);
+    world.crash(db);
 }
 
 #[gtest]
--- a/crates/wv-simulation/tests/drain_timeout.rs
+++ b/crates/wv-simulation/tests/drain_timeout.rs
@@ -6,8 +6,8 @@
 use wv_simulation::{World, DRAIN, MS, S};
 
 /// The database reports `draining`.
-fn start_drain(world: &mut World, base: usize) {
-    world.bases[base].is_draining = true;
+fn start_drain(world: &mut World, db: usize) {
+    world.bases[db].is_draining = true;
     world.run(1300 * MS);
 }
 
@@ -25,11 +25,11 @@
 #[gtest]
 fn given_a_draining_database_without_replicas_then_it_gets_no_new_work_after_the_timeout() {
     let mut world = serving_under_load(4, 3);
-    for base in [1, 2] {
-        world.bases[base].is_left = true;
-        let id = world.bases[base].id.clone();
-        world.call(base, "DELETE", &format!("/instances/{id}"), b"");
-        world.crash(base);
+    for db in [1, 2] {
+        world.bases[db].is_left = true;
+        let id = world.bases[db].id.clone();
+        world.call(db, "DELETE", &format!("/instances/{id}"), b"");
+        world.crash(db);
     }
     world.run(4 * S);
     start_drain(&mut world, 0);
--- a/crates/wv-simulation/tests/failover.rs
+++ b/crates/wv-simulation/tests/failover.rs
@@ -128,7 +128,7 @@
         expect_that!(world.primary(), not(eq(0)), "killed after {delay_ms} ms");
         world.revive(0);
         world.run(2 * S);
-        expect_that!(world.bases.iter().all(|base| base.held == 0), eq(true), "killed after {delay_ms} ms");
+        expect_that!(world.bases.iter().all(|db| db.held == 0), eq(true), "killed after {delay_ms} ms");
         expect_that!(finish_and_check(&mut world), is_empty(), "killed after {delay_ms} ms");
     }
 }
@@ -157,13 +157,13 @@
     world.is_platform_down = true;
     world.crash(0);
     world.run(6 * S);
-    expect_that!(world.bases.iter().filter(|base| base.is_primary && base.is_up).count(), eq(0));
+    expect_that!(world.bases.iter().filter(|db| db.is_primary && db.is_up).count(), eq(0));
     world.is_platform_down = false;
     world.run(5 * S);
     expect_that!(world.primary(), not(eq(0)));
     world.revive(0);
     world.run(2 * S);
-    expect_that!(world.bases.iter().all(|base| base.held == 0), eq(true));
+    expect_that!(world.bases.iter().all(|db| db.held == 0), eq(true));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
--- a/crates/wv-simulation/tests/scale.rs
+++ b/crates/wv-simulation/tests/scale.rs
@@ -42,7 +42,7 @@
 #[gtest]
 fn given_nodes_that_fail_then_the_others_do_not_take_over_their_connection_shares() {
     let mut world = World::serving(6, 3);
-    world.bases.iter_mut().for_each(|base| base.work_us = 60 * MS);
+    world.bases.iter_mut().for_each(|db| db.work_us = 60 * MS);
     world.load(240, "p");
     world.run(2 * S);
     let share = 100 * 9 / 10 / 6;
@@ -91,13 +91,12 @@
 #[gtest]
 fn given_many_databases_then_a_node_opens_connections_only_to_those_it_uses() {
     let mut world = many_services();
-    let opened = |world: &World| -> u64 { world.bases.iter().map(|base| base.setups).sum() };
+    let opened = |world: &World| -> u64 { world.bases.iter().map(|db| db.setups).sum() };
     expect_that!(opened(&world), eq(0));
     world.load(4, "p.m3");
     world.load(4, "b.m3");
     world.run(10 * S);
-    let contacted: Vec<&str> =
-        world.bases.iter().filter(|base| base.setups > 0).map(|base| base.service.as_str()).collect();
+    let contacted: Vec<&str> = world.bases.iter().filter(|db| db.setups > 0).map(|db| db.service.as_str()).collect();
     expect_that!(contacted, each(eq(&"m3")));
     expect_that!(opened(&world), lt(40));
     let (done, failed) = world.load_done();
@@ -118,7 +117,7 @@
     let primary = world.base("i-m50").unwrap_or(0);
     world.crash(primary);
     world.run(4 * S);
-    let promoted = world.bases.iter().position(|base| base.service == "m5" && base.is_primary && base.is_up);
+    let promoted = world.bases.iter().position(|db| db.service == "m5" && db.is_primary && db.is_up);
     expect_that!(promoted, some(not(eq(primary))));
 }
 
@@ -136,7 +135,7 @@
     world.run(300 * MS);
     world.crash(primary);
     world.run(4 * S);
-    let promoted = world.bases.iter().position(|base| base.service == "m7" && base.is_primary && base.is_up);
+    let promoted = world.bases.iter().position(|db| db.service == "m7" && db.is_primary && db.is_up);
     expect_that!(promoted, some(eq(world.base("i-m71").unwrap_or(0))));
     world.revive(primary);
     world.revive(crashed);
--- a/crates/wv-simulation/tests/scenario/mod.rs
+++ b/crates/wv-simulation/tests/scenario/mod.rs
@@ -47,9 +47,9 @@
 }
 
 /// Deregisters a database that did not report `draining` before.
-pub fn deregister(world: &mut World, base: usize) {
-    let id = world.bases[base].id.clone();
-    world.bases[base].is_left = true;
+pub fn deregister(world: &mut World, db: usize) {
+    let id = world.bases[db].id.clone();
+    world.bases[db].is_left = true;
     world.call(1, "DELETE", &format!("/instances/{id}"), b"");
     world.run(20 * MS);
 }
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -17,8 +17,8 @@
     expect_that!((map.moved[0].from, map.moved[0].until), eq((512, 1024)));
     split.world.run(3 * S);
     // Both shards serve writes, and lookups were answered throughout.
-    let target = split.world.bases.iter().find(|base| base.service == "t" && base.is_primary);
-    expect_that!(target.map_or(0, |base| base.log.iter().filter(|entry| entry.write.tag != "-").count()), gt(10));
+    let target = split.world.bases.iter().find(|db| db.service == "t" && db.is_primary);
+    expect_that!(target.map_or(0, |db| db.log.iter().filter(|entry| entry.write.tag != "-").count()), gt(10));
     expect_that!(split.world.load_done().0, gt(before + 400));
     expect_that!(split.world.slowest("b"), lt(800 * MS));
     expect_that!(split.finish_and_check(), is_empty());
@@ -42,7 +42,7 @@
 #[gtest]
 fn given_an_overloaded_source_then_copying_pauses_and_a_cancelled_request_changes_nothing() {
     let mut split = SplitTest::start();
-    split.world.bases.iter_mut().for_each(|base| base.work_us = 40 * MS);
+    split.world.bases.iter_mut().for_each(|db| db.work_us = 40 * MS);
     split.world.load(60, "p");
     split.world.run(S);
     split.request_split();
@@ -73,7 +73,7 @@
     expect_that!(received[0], starts_with("ERROR ABORTED rolled back: a transaction stays within one shard"));
     expect_that!(received[1], starts_with("IDLE E"));
     let is_kept =
-        |base: &wv_simulation::Base| base.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
+        |db: &wv_simulation::Base| db.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
     expect_that!(split.world.bases.iter().any(is_kept), eq(false));
     expect_that!(split.finish_and_check(), is_empty());
 }
--- a/crates/wv-simulation/tests/split_faults.rs
+++ b/crates/wv-simulation/tests/split_faults.rs
@@ -60,8 +60,8 @@
         let received = split.world.take(client);
         let is_acknowledged = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
         let has_write = |service: &str| {
-            let mut primaries = split.world.bases.iter().filter(|base| base.service == service && base.is_primary);
-            primaries.any(|base| base.log.iter().any(|entry| entry.write.tag == "late"))
+            let mut primaries = split.world.bases.iter().filter(|db| db.service == service && db.is_primary);
+            primaries.any(|db| db.log.iter().any(|entry| entry.write.tag == "late"))
         };
         expect_that!(has_write("s"), eq(false), "{received:?}");
         expect_that!(has_write("t"), eq(is_acknowledged), "{received:?}");
@@ -77,7 +77,7 @@
         let mut split = SplitTest::start();
         split.request_split();
         expect_that!(split.wait_for_phase(phase, 20 * S), eq(true));
-        let primary = split.world.bases.iter().position(|base| base.service == service && base.is_primary);
+        let primary = split.world.bases.iter().position(|db| db.service == service && db.is_primary);
         split.world.crash(primary.unwrap_or(0));
         split.world.run(4 * S);
         split.world.revive(primary.unwrap_or(0));
@@ -122,7 +122,7 @@
             split.world.run(5 * MS);
         }
         split.world.run(wait_ms * MS);
-        let primary = split.world.bases.iter().position(|base| base.service == "s" && base.is_primary).unwrap_or(0);
+        let primary = split.world.bases.iter().position(|db| db.service == "s" && db.is_primary).unwrap_or(0);
         split.world.stop_load();
         split.world.run(60 * MS);
         split.world.bases[primary].lose = 1;
@@ -172,8 +172,8 @@
     split.world.kill_access(1);
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    let primary = split.world.bases.iter().find(|base| base.service == "t" && base.is_primary);
-    let row = primary.and_then(|base| base.rows.get(&name));
+    let primary = split.world.bases.iter().find(|db| db.service == "t" && db.is_primary);
+    let row = primary.and_then(|db| db.rows.get(&name));
     // Either acknowledged and moved, or reported as not applied.
     let is_kept = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
     expect_that!(row.is_some(), eq(is_kept), "{received:?}");
--- a/crates/wv-simulation/tests/tenants.rs
+++ b/crates/wv-simulation/tests/tenants.rs
@@ -24,7 +24,7 @@
     let token = world.call(0, "PUT", "/configuration", &config(2, shares));
     world.run(S);
     assert_eq!(world.returns.get(&token).map(|ret| ret.0), Some(200), "shares accepted");
-    world.bases.iter_mut().for_each(|base| base.work_us = 8 * MS);
+    world.bases.iter_mut().for_each(|db| db.work_us = 8 * MS);
     world
 }
 
