--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -1,16 +1,16 @@
-//! What one small change of a configuration costs a control node and an access node, by the length of the configuration.
-//! `cargo run --release -p windvalve --example change [ROUTES|ROUTES/SERVICES...]` prints a line of JSON for each length;
-//! 120 services where none are named.
+//! Measures the time a small configuration change takes on a control node and an access node, by configuration size.
+//! `cargo run --release -p windvalve --example change [ROUTES|ROUTES/SERVICES...]` prints one line of JSON for
+//! each size. The default is 120 services.
 use std::time::Instant;
 
 const CHANGES: u64 = 40;
 
-/// A configuration of so many routes and services, as long as the users' own; `version` changes one time-out.
-fn conf(version: u64, (routes, services): (usize, usize)) -> Vec<u8> {
+/// A configuration with realistic entry sizes; `version` changes one timeout.
+fn configuration(version: u64, (routes, services): (usize, usize)) -> Vec<u8> {
     let name = |at: usize| format!("{:07x}", (at as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 36);
     let route = |at: usize| {
         let expiry = 800 + u64::from(at as u64 == version % routes as u64) * version;
-        // Ten thousand fit into the bound only with the shortest entries.
+        // Large configurations need short entries to stay below the maximum body size.
         if routes > 5000 {
             return serde_json::json!({"label": name(at), "host": name(at), "expiryMs": expiry,
                 "destination": format!("s{}", at % services)});
@@ -28,21 +28,21 @@
         .into_bytes()
 }
 
-/// Microseconds of one call.
-fn timed(call: impl FnOnce()) -> f64 {
+/// Duration of one call in microseconds.
+fn time_us(call: impl FnOnce()) -> f64 {
     let start = Instant::now();
     call();
     start.elapsed().as_secs_f64() * 1e6
 }
 
-/// The least, which other work on the machine disturbs least, and the one in the middle.
-fn shown(mut all: Vec<f64>) -> (f64, f64) {
-    all.sort_by(f64::total_cmp);
-    (all[0].round(), all[all.len() / 2].round())
+/// Minimum and median. The minimum is the least affected by other load on the machine.
+fn min_and_median(mut values: Vec<f64>) -> (f64, f64) {
+    values.sort_by(f64::total_cmp);
+    (values[0].round(), values[values.len() / 2].round())
 }
 
-/// A control node that is its own majority.
-fn control() -> wv_control::Core {
+/// A control node that is the only voter.
+fn single_control_node() -> wv_control::Core {
     let me = "10.0.0.1:80".to_owned();
     let start = wv_control::Start {
         address: me.clone(),
@@ -63,8 +63,8 @@
 }
 
 fn run((routes, services): (usize, usize)) -> serde_json::Value {
-    let bodies: Vec<Vec<u8>> = (1..=CHANGES + 1).map(|version| conf(version, (routes, services))).collect();
-    let (mut control, mut access) = (control(), wv_access::Core::new("z", 6_000_000));
+    let bodies: Vec<Vec<u8>> = (1..=CHANGES + 1).map(|version| configuration(version, (routes, services))).collect();
+    let (mut control, mut access) = (single_control_node(), wv_access::Core::new("z", 6_000_000));
     let link = control.accept_link(2);
     let hello = wv_internal_protocol::Message::Hello {
         node: "a".to_owned(),
@@ -76,12 +76,12 @@
     control.handle_message(link, hello, 3);
     control.handle_message(link, wv_internal_protocol::Message::Subscribe { incarnation: 0, position: 0 }, 4);
     control.tick(200_000);
-    let (mut puts, mut takes, mut bytes, mut now) = (Vec::new(), Vec::new(), 0, 300_000);
+    let (mut put_times, mut apply_times, mut bytes, mut now) = (Vec::new(), Vec::new(), 0, 300_000);
     for (at, body) in bodies.iter().enumerate() {
         now += 1_000_000;
-        let put = timed(|| control.handle_call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
+        let put_time = time_us(|| control.handle_call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
         control.tick(now + 1);
-        let sent = control.take_actions().into_iter().filter_map(|act| match act {
+        let sent = control.take_actions().into_iter().filter_map(|action| match action {
             wv_control::Action::Send {
                 msg: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
                 ..
@@ -91,38 +91,39 @@
         for msg in sent {
             let mut frame = Vec::new();
             wv_internal_protocol::encode_frame(&mut frame, &msg);
-            let take = timed(|| access.apply_feed_message(msg, now).expect("no gap"));
+            let apply_time = time_us(|| access.apply_feed_message(msg, now).expect("no gap"));
             if at > 0 {
                 bytes += frame.len();
-                takes.push(take);
+                apply_times.push(apply_time);
             }
         }
         if at > 0 {
-            puts.push(put);
+            put_times.push(put_time);
         }
     }
-    let told = takes.len();
-    let ((control, control_middle), (access, access_middle)) = (shown(puts), shown(takes));
-    serde_json::json!({"routes": routes, "services": services, "body_bytes": bodies[1].len(), "changes": CHANGES, "told": told,
-        "control_us": control, "control_us_middle": control_middle, "access_us": access,
-        "access_us_middle": access_middle, "bytes_a_change": bytes as u64 / CHANGES})
+    let applied = apply_times.len();
+    let (control_us, control_median_us) = min_and_median(put_times);
+    let (access_us, access_median_us) = min_and_median(apply_times);
+    serde_json::json!({"routes": routes, "services": services, "body_bytes": bodies[1].len(), "changes": CHANGES,
+        "told": applied, "control_us": control_us, "control_us_middle": control_median_us, "access_us": access_us,
+        "access_us_middle": access_median_us, "bytes_a_change": bytes as u64 / CHANGES})
 }
 
-/// `ROUTES` or `ROUTES/SERVICES`.
-fn length(arg: &str) -> Option<(usize, usize)> {
+/// Parses `ROUTES` or `ROUTES/SERVICES`.
+fn parse_size(arg: &str) -> Option<(usize, usize)> {
     let (routes, services) = arg.split_once('/').unwrap_or((arg, "120"));
     let number = |text: &str| text.parse().ok().filter(|number| (1..=10_000).contains(number));
     number(routes).zip(number(services))
 }
 
 fn main() {
-    let given: Option<Vec<(usize, usize)>> = std::env::args().skip(1).map(|arg| length(&arg)).collect();
-    let Some(mut lengths) = given else {
-        eprintln!("change: lengths are ROUTES or ROUTES/SERVICES, whole numbers of 1 to 10000");
+    let parsed: Option<Vec<(usize, usize)>> = std::env::args().skip(1).map(|arg| parse_size(&arg)).collect();
+    let Some(mut sizes) = parsed else {
+        eprintln!("change: expected ROUTES or ROUTES/SERVICES, integers from 1 to 10000");
         std::process::exit(2);
     };
-    if lengths.is_empty() {
-        lengths = vec![(20, 120), (2000, 120), (10_000, 120)];
+    if sizes.is_empty() {
+        sizes = vec![(20, 120), (2000, 120), (10_000, 120)];
     }
-    lengths.into_iter().for_each(|length| println!("{}", run(length)));
+    sizes.into_iter().for_each(|size| println!("{}", run(size)));
 }
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -1,8 +1,8 @@
-//! windvalve: a database pooler with failover. One program; the role is a subcommand.
+//! windvalve, a database pooler with failover. The subcommand selects the role of the process.
 mod cli;
-mod hour;
-mod hunt;
-mod ring;
+mod fuzz;
+mod log_buffer;
+mod recording;
 
 use clap::ArgMatches;
 use cli::text;
@@ -14,23 +14,23 @@
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
     #[error("configuration {0}: {1}")]
-    Conf(String, wv_configuration::ConfigurationError),
-    #[error("data folder {0}: {1}")]
-    Data(String, wv_consensus::RegisterError),
+    Configuration(String, wv_configuration::ConfigurationError),
+    #[error("data directory {0}: {1}")]
+    DataDir(String, wv_consensus::RegisterError),
     #[error("{0}: {1}")]
     Replay(String, wv_replay::ReplayError),
     #[error("{0}: {1}")]
-    Nemesis(String, wv_simulation::nemesis::DayError),
+    Scenario(String, wv_simulation::nemesis::DayError),
     #[error("--out {0}: {1}")]
     Write(String, std::io::Error),
     #[error(transparent)]
-    Hour(#[from] wv_replay::HourError),
+    Recording(#[from] wv_replay::HourError),
     #[error("--{0}: {1} is not within {2}")]
-    Flag(&'static str, f64, &'static str),
+    OutOfRange(&'static str, f64, &'static str),
     #[error("--calendar: {0}")]
-    When(#[from] wv_calendar::WhenError),
+    Calendar(#[from] wv_calendar::CalendarError),
     #[error("a rule was broken")]
-    Broken,
+    RuleViolation,
     #[error(transparent)]
     Access(#[from] wv_access::AccessError),
     #[error(transparent)]
@@ -40,10 +40,10 @@
 }
 
 impl MainError {
-    /// 2 for what the caller wrote, 1 for what went wrong while running.
+    /// 2 for invalid arguments or files, 1 for failures at run time and rule violations.
     fn exit_code(&self) -> u8 {
         match self {
-            MainError::Access(_) | MainError::Control(_) | MainError::Log(_) | MainError::Broken => 1,
+            MainError::Access(_) | MainError::Control(_) | MainError::Log(_) | MainError::RuleViolation => 1,
             _ => 2,
         }
     }
@@ -53,32 +53,32 @@
     std::fs::read(path).map_err(|error| MainError::Read(path.to_owned(), error))
 }
 
-fn check(found: &ArgMatches) -> Result<(), MainError> {
-    if let Some(dir) = text(found, "data") {
+fn check(args: &ArgMatches) -> Result<(), MainError> {
+    if let Some(dir) = text(args, "data") {
         return check_data(dir);
     }
-    if let Some(path) = text(found, "configuration") {
+    if let Some(path) = text(args, "configuration") {
         let conf = wv_configuration::Configuration::parse(&read(path)?)
-            .map_err(|error| MainError::Conf(path.to_owned(), error))?;
+            .map_err(|error| MainError::Configuration(path.to_owned(), error))?;
         println!("valid: issue {}, {} routes, {} services", conf.version, conf.routes.len(), conf.services.len());
         conf.tenants.iter().for_each(|tenant| println!("tenant {} of weight {}", tenant.label, tenant.weight));
         conf.partners.iter().for_each(|partner| println!("partner {} with portion {}", partner.label, partner.portion));
         return Ok(());
     }
-    let settings = wv_settings::Settings::load(&wv_settings::Settings::resolve_path(text(found, "settings"))?)?;
+    let settings = wv_settings::Settings::load(&wv_settings::Settings::resolve_path(text(args, "settings"))?)?;
     println!("valid: node {} in zone {}", settings.node_name, settings.zone);
     Ok(())
 }
 
-/// Says what a data folder holds, and changes nothing in it.
+/// Prints the contents of a data directory without modifying it.
 fn check_data(dir: &str) -> Result<(), MainError> {
-    let named = |error| MainError::Data(dir.to_owned(), error);
-    let (state, seat) = wv_consensus::inspect_data_dir(std::path::Path::new(dir)).map_err(named)?;
+    let to_error = |error| MainError::DataDir(dir.to_owned(), error);
+    let (state, seat) = wv_consensus::inspect_data_dir(std::path::Path::new(dir)).map_err(to_error)?;
     println!("disk {:x} of {}", seat.disk, state.addr);
     println!("votes in set {}, newest set {}:", seat.installed_set, seat.voters.number);
     seat.voters.members.iter().for_each(|member| println!("  {} disk {:x}", member.addr, member.disk));
-    let shown = state.registers.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL_KEY_PREFIX));
-    for (key, held) in shown {
+    let replicated = state.registers.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL_KEY_PREFIX));
+    for (key, held) in replicated {
         println!(
             "{key}: version {}, {} bytes, round {}",
             held.value.version,
@@ -89,84 +89,87 @@
     Ok(())
 }
 
-fn replay(found: &ArgMatches) -> Result<(), MainError> {
-    if let Some(users) = text(found, "generate") {
-        return hour::generate(found, users);
+fn replay(args: &ArgMatches) -> Result<(), MainError> {
+    if let Some(users) = text(args, "generate") {
+        return recording::generate(args, users);
     }
-    if let Some(days) = found.get_one::<u64>("hunt").copied() {
-        return hunt::run(found, days);
+    if let Some(days) = args.get_one::<u64>("hunt").copied() {
+        return fuzz::run(args, days);
     }
-    let paths: Vec<String> = found.get_many::<String>("file").unwrap_or_default().cloned().collect();
+    let paths: Vec<String> = args.get_many::<String>("file").unwrap_or_default().cloned().collect();
     let path = paths.first().map(String::as_str).unwrap_or_default();
-    if !found.get_flag("from-log") && hour::is_hour(path)? {
-        return hour::run(found, &paths);
+    if !args.get_flag("from-log") && recording::is_recording(path)? {
+        return recording::run(args, &paths);
     }
-    if !found.get_flag("from-log") && hunt::is_day(path)? {
-        return hunt::play(found, path);
+    if !args.get_flag("from-log") && fuzz::is_scenario(path)? {
+        return fuzz::play(args, path);
     }
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
-    if found.get_flag("from-log") {
+    if args.get_flag("from-log") {
         print!("{}", wv_replay::from_ring(&body));
         return Ok(());
     }
-    let until = found.get_one::<f64>("until").copied();
-    if let Some(wrong) = until.filter(|until| !(0.0..=86_400.0).contains(until)) {
-        return Err(MainError::Flag("until", wrong, "0 to 86400 seconds"));
+    let until = args.get_one::<f64>("until").copied();
+    if let Some(invalid) = until.filter(|until| !(0.0..=86_400.0).contains(until)) {
+        return Err(MainError::OutOfRange("until", invalid, "0 to 86400 seconds"));
     }
     let until_us = until.map(|until| (until * 1e6) as u64);
     let report = wv_replay::Day::parse(&body)
-        .and_then(|day| wv_replay::play(&day, until_us, text(found, "service")))
+        .and_then(|day| wv_replay::play(&day, until_us, text(args, "service")))
         .map_err(|error| MainError::Replay(path.to_owned(), error))?;
-    if found.get_flag("json") {
+    if args.get_flag("json") {
         println!("{}", report.json());
     } else {
         print!("{}", report.text());
     }
-    report.is_sound().then_some(()).ok_or(MainError::Broken)
+    report.is_sound().then_some(()).ok_or(MainError::RuleViolation)
 }
 
-fn calendar(found: &ArgMatches) -> Result<wv_calendar::Calendar, MainError> {
-    Ok(text(found, "calendar").map(wv_calendar::Calendar::parse).transpose()?.unwrap_or_default())
+fn calendar(args: &ArgMatches) -> Result<wv_calendar::Calendar, MainError> {
+    Ok(text(args, "calendar").map(wv_calendar::Calendar::parse).transpose()?.unwrap_or_default())
 }
 
-fn access_options(found: &ArgMatches) -> Result<wv_access::Options, MainError> {
-    let mut ease = wv_slow_start::Plan { is_on: text(found, "ease") != Some("off"), ..wv_slow_start::Plan::default() };
-    if let Some(ms) = found.get_one::<f64>("ease-ms").copied() {
+fn access_options(args: &ArgMatches) -> Result<wv_access::Options, MainError> {
+    let mut slow_start = wv_slow_start::SlowStartConfig {
+        is_enabled: text(args, "ease") != Some("off"),
+        ..wv_slow_start::SlowStartConfig::default()
+    };
+    if let Some(ms) = args.get_one::<f64>("ease-ms").copied() {
         if !(1.0..=600_000.0).contains(&ms) {
-            return Err(MainError::Flag("ease-ms", ms, "1 to 600000"));
+            return Err(MainError::OutOfRange("ease-ms", ms, "1 to 600000"));
         }
-        ease.span_us = (ms * 1000.0) as u64;
+        slow_start.duration_us = (ms * 1000.0) as u64;
     }
-    if let Some(first) = found.get_one::<f64>("ease-first").copied() {
-        if !(0.01..=2.0).contains(&first) {
-            return Err(MainError::Flag("ease-first", first, "0.01 to 2"));
+    if let Some(initial_share) = args.get_one::<f64>("ease-first").copied() {
+        if !(0.01..=2.0).contains(&initial_share) {
+            return Err(MainError::OutOfRange("ease-first", initial_share, "0.01 to 2"));
         }
-        ease.first = first;
+        slow_start.initial_share = initial_share;
     }
-    let record = found.get_one::<f64>("record").copied().unwrap_or(0.0);
+    let record = args.get_one::<f64>("record").copied().unwrap_or(0.0);
     if !(0.0..=1e8).contains(&record) {
-        return Err(MainError::Flag("record", record, "0 to 100000000 events"));
+        return Err(MainError::OutOfRange("record", record, "0 to 100000000 events"));
     }
-    Ok(wv_access::Options { ease, calendar: calendar(found)?, record: record as usize })
+    Ok(wv_access::Options { ease: slow_start, calendar: calendar(args)?, record: record as usize })
 }
 
-fn load_settings(found: &ArgMatches) -> Result<(wv_settings::Settings, String), MainError> {
-    ring::start(text(found, "log").unwrap_or("warn"))?;
-    let path = wv_settings::Settings::resolve_path(text(found, "settings"))?;
+fn load_settings(args: &ArgMatches) -> Result<(wv_settings::Settings, String), MainError> {
+    log_buffer::start(text(args, "log").unwrap_or("warn"))?;
+    let path = wv_settings::Settings::resolve_path(text(args, "settings"))?;
     Ok((wv_settings::Settings::load(&path)?, path))
 }
 
 fn main() -> std::process::ExitCode {
-    let found = cli::command().get_matches();
-    let result = match found.subcommand() {
-        Some(("check", found)) => check(found),
-        Some(("replay", found)) => replay(found),
-        Some(("access", found)) => access_options(found).and_then(|options| {
-            let (settings, path) = load_settings(found)?;
+    let matches = cli::command().get_matches();
+    let result = match matches.subcommand() {
+        Some(("check", args)) => check(args),
+        Some(("replay", args)) => replay(args),
+        Some(("access", args)) => access_options(args).and_then(|options| {
+            let (settings, path) = load_settings(args)?;
             Ok(wv_access::run(settings, &path, options)?)
         }),
-        Some((_, found)) => calendar(found).and_then(|calendar| {
-            let (settings, path) = load_settings(found)?;
+        Some((_, args)) => calendar(args).and_then(|calendar| {
+            let (settings, path) = load_settings(args)?;
             Ok(wv_control::run(settings, &path, calendar)?)
         }),
         None => Ok(()),
--- a/crates/wv-access/src/control_session.rs
+++ b/crates/wv-access/src/control_session.rs
@@ -127,7 +127,7 @@
         (settings.borrow().node_name.clone(), settings.borrow().zone.clone(), settings.borrow().internal_port);
     let address = SocketAddr::new(control.ip(), port);
     let Ok(mut stream) = wv_http::connect(address, CONNECT_TIMEOUT).await else { return SessionEnd::NoResponse };
-    wv_http::tune(&stream, SILENCE_TIMEOUT);
+    wv_http::configure_stream(&stream, SILENCE_TIMEOUT);
     let (feed_incarnation, position) = node.core.borrow().feed_position();
     let mut out = Vec::new();
     let hello = Message::Hello {
--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -44,7 +44,7 @@
     pub(crate) stranded: Vec<u64>,
     /// Services whose next writer is near, and until when that is believed.
     pub(crate) promoting: Map<u16, (u64, String)>,
-    pub(crate) plan: wv_slow_start::Plan,
+    pub(crate) plan: wv_slow_start::SlowStartConfig,
     /// The request that is just being taken out of a waiting line.
     pub(crate) served: Option<u64>,
     /// When this node last had work for each service's writer.
@@ -54,7 +54,7 @@
     /// There are more databases than connections are kept ready to unasked.
     pub(crate) is_many: bool,
     pub(crate) round: u64,
-    pub(crate) eases: Map<DatabaseKey, wv_slow_start::Ease>,
+    pub(crate) eases: Map<DatabaseKey, wv_slow_start::SlowStart>,
     pub(crate) shares: crate::tenant_shares::TenantShares,
     pub(crate) hands: crate::forwarding::Forwarding,
     pub(crate) slots: crate::slots::SlotState,
@@ -85,7 +85,7 @@
             drain: Default::default(),
             stranded: Vec::new(),
             promoting: Map::default(),
-            plan: wv_slow_start::Plan::default(),
+            plan: wv_slow_start::SlowStartConfig::default(),
             served: None,
             written: Map::default(),
             salt: 0,
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -175,9 +175,9 @@
                 }
                 let kind = self.clients.get(&client).map_or(0, |client| client.request.kind());
                 if let Some(pool) = self.pools.get_mut(&spot) {
-                    pool.slowest[kind].note(self.now.saturating_sub(expect.sent));
+                    pool.slowest[kind].record(self.now.saturating_sub(expect.sent));
                     pool.returned = pool.returned.max(expect.sent);
-                    pool.work.note(self.now.saturating_sub(expect.sent));
+                    pool.work.record(self.now.saturating_sub(expect.sent));
                 }
                 if code.is_none() && expect.is_fenced {
                     if let (Some(pos), Some(checker)) = (pos, self.checks.service_mut(spot.service)) {
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -118,7 +118,7 @@
             Ok(stream) => stream,
             Err(error) => return self.with(|core, now| core.db_lost(id, lost(&error), now)),
         };
-        wv_http::tune(&stream, SILENT_DB);
+        wv_http::configure_stream(&stream, SILENT_DB);
         let (mut reader, sock) = Socket::split(stream);
         // Given up while it was being opened: nobody is to be told.
         if self.core.borrow_mut().db_out(id).is_none() {
@@ -146,7 +146,7 @@
             if self.clients.borrow().len() >= clients_max {
                 continue;
             }
-            wv_http::tune(&stream, SILENT_CLIENT);
+            wv_http::configure_stream(&stream, SILENT_CLIENT);
             let (mut reader, sock) = Socket::split(stream);
             let id = self.core.borrow_mut().client_open(self.now());
             self.clients.borrow_mut().insert(id, sock.clone());
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of this node for `GET /metrics` at the readiness address. They do not influence routing.
 use crate::core::Core;
 use wv_health::DatabaseKey;
-use wv_metrics::{MetricsError, Page};
+use wv_metrics::{MetricsError, MetricsPage};
 
 impl Core {
     /// Counts new work sent to a draining database, and logs the first case after the platform's drain timeout, which
@@ -19,36 +19,36 @@
 
     /// The metrics page.
     pub fn metrics(&self) -> Result<Vec<u8>, MetricsError> {
-        let mut page = Page::default();
-        page.figure(
+        let mut page = MetricsPage::default();
+        page.add_gauge(
             ("windvalve_configuration_version", "The configuration in force here"),
             self.held_configuration_version(),
         )?;
-        page.figure(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
-        page.figure(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
+        page.add_gauge(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
+        page.add_gauge(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
         let members =
             || self.checks.iter().flat_map(|(_, checker)| checker.databases().map(move |held| (checker, held)));
         let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (seat, member))| {
             let state = format!("{:?}", checker.state(seat, self.now)).to_lowercase();
             (vec![member.instance.id.clone(), checker.service.clone(), state], 1)
         });
-        page.figures(
+        page.add_gauges(
             ("windvalve_database_state", "The routing state of each database here"),
             &["id", "service", "state"],
             states,
         )?;
         let leaving = || members().filter_map(|(_, (_, member))| member.leaving.map(|leaving| (member, leaving)));
-        page.figures(
+        page.add_gauges(
             ("windvalve_database_leaving_ms", "How long ago a database is known here to have said that it leaves"),
             &["id"],
             leaving()
                 .map(|(member, leaving)| (vec![member.instance.id.clone()], leaving.since.age_us(self.now) / 1000)),
         )?;
-        page.figures(
+        page.add_gauges(
             ("windvalve_new_work_while_leaving", "Statements and transactions begun at a database that leaves"),
             &["id"],
             leaving().map(|(member, leaving)| (vec![member.instance.id.clone()], leaving.new_work_count)),
         )?;
-        page.text()
+        page.encode()
     }
 }
--- a/crates/wv-access/src/peer_links.rs
+++ b/crates/wv-access/src/peer_links.rs
@@ -60,9 +60,9 @@
         stream: tokio::net::TcpStream,
         receiver: tokio::sync::mpsc::Receiver<ForwardMessage>,
     ) {
-        wv_http::tune(&stream, SILENCE_TIMEOUT);
+        wv_http::configure_stream(&stream, SILENCE_TIMEOUT);
         let on_message = |msg| self.with(|core, now| core.handle_forward_message(link, msg, now));
-        wv_process::carry(stream, receiver, SILENCE_TIMEOUT, None, on_message).await;
+        wv_process::run_link(stream, receiver, SILENCE_TIMEOUT, None, on_message).await;
         self.hands.borrow_mut().remove(&link);
     }
 }
--- a/crates/wv-access/src/pool.rs
+++ b/crates/wv-access/src/pool.rs
@@ -15,9 +15,9 @@
     /// The newest sending time among the statements that have returned.
     pub returned: u64,
     /// How long statements take there.
-    pub work: wv_slow_start::Work,
+    pub work: wv_slow_start::LatencyEstimate,
     /// The slowest of late, of routes that read on replicas and of the others.
-    pub slowest: [wv_slow_start::Slowest; 2],
+    pub slowest: [wv_slow_start::MaxLatency; 2],
     /// When a request was last offered here.
     pub used: u64,
     /// Connections that said a newer term than this node's slot map binds to.
--- a/crates/wv-access/src/run.rs
+++ b/crates/wv-access/src/run.rs
@@ -22,7 +22,7 @@
 
 impl Access {
     fn reread(&mut self) {
-        if let Some(settings) = self.file.reread() {
+        if let Some(settings) = self.file.reload() {
             let mut place = self.place.borrow_mut();
             (place.seeds, place.internal_port) = (settings.seeds, settings.internal_port);
             let mut core = self.node.core.borrow_mut();
@@ -63,8 +63,8 @@
 
     fn handle(&mut self, signal: Signal, _: &mut Context<Self>) {
         match signal {
-            Signal::Leave => self.node.with(|core, now| core.begin_shutdown(now)),
-            Signal::Reread => self.reread(),
+            Signal::Terminate => self.node.with(|core, now| core.begin_shutdown(now)),
+            Signal::Reload => self.reread(),
         }
     }
 }
@@ -72,23 +72,23 @@
 /// What the command line sets.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    pub ease: wv_slow_start::Plan,
+    pub ease: wv_slow_start::SlowStartConfig,
     pub calendar: wv_calendar::Calendar,
     /// How many events of clients are recorded, 0 for none.
     pub record: usize,
 }
 
-fn recording(text: String) -> wv_http::Return {
+fn recording(text: String) -> wv_http::Response {
     match text.is_empty() {
-        true => wv_http::Return::new(404, "{\"cause\":\"nothing is recorded here: start with --record\"}"),
-        false => wv_http::Return::new(200, text),
+        true => wv_http::Response::json(404, "{\"cause\":\"nothing is recorded here: start with --record\"}"),
+        false => wv_http::Response::json(200, text),
     }
 }
 
-fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Return {
+fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Response {
     page.map_or_else(
-        |error| wv_http::Return::new(500, serde_json::json!({ "cause": error.to_string() }).to_string()),
-        |text| wv_http::Return::text(200, text),
+        |error| wv_http::Response::json(500, serde_json::json!({ "cause": error.to_string() }).to_string()),
+        |text| wv_http::Response::text(200, text),
     )
 }
 
@@ -98,7 +98,7 @@
     let readiness = settings.readiness_addr.ok_or(AccessError::NoAddress("readiness"))?;
     // Nodes begin with different seeds, so that their sessions are spread.
     let spread = settings.node_name.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
-    let life = wv_process::life().wrapping_add(spread);
+    let life = wv_process::new_incarnation().wrapping_add(spread);
     let system = System::new();
     system.block_on(async {
         let front_listener = wv_http::listen(front).map_err(|error| AccessError::Listen(front, error))?;
@@ -108,9 +108,9 @@
         core.set_max_clients(settings.max_clients());
         core.set_node_name(&settings.node_name);
         core.set_drain_timeouts(settings.drain_timeout_us, settings.contact_timeout_us);
-        core.set_incarnation(wv_process::draw());
+        core.set_incarnation(wv_process::random_u64());
         let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        core.set_recording(options.record, wv_process::draw(), epoch.map_or(0, |since| since.as_micros() as u64));
+        core.set_recording(options.record, wv_process::random_u64(), epoch.map_or(0, |since| since.as_micros() as u64));
         let node = Node::new(core);
         let hands = settings.handover_addr();
         let place = ControlSessionSettings {
@@ -132,10 +132,10 @@
                 std::future::ready(match (call.path.as_str(), is_ready) {
                     ("/recording", _) => recording(probed.core.borrow().recording()),
                     ("/metrics", _) => metrics(probed.core.borrow().metrics()),
-                    ("/tenants", _) => wv_http::Return::new(200, probed.core.borrow().tenants_json()),
-                    ("/readiness", true) => wv_http::Return::new(200, "{\"ready\":true}"),
-                    ("/readiness", false) => wv_http::Return::new(503, "{\"ready\":false}"),
-                    _ => wv_http::Return::new(404, "{\"cause\":\"no such path\"}"),
+                    ("/tenants", _) => wv_http::Response::json(200, probed.core.borrow().tenants_json()),
+                    ("/readiness", true) => wv_http::Response::json(200, "{\"ready\":true}"),
+                    ("/readiness", false) => wv_http::Response::json(503, "{\"ready\":false}"),
+                    _ => wv_http::Response::json(404, "{\"cause\":\"no such path\"}"),
                 })
             },
         ));
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -2,31 +2,34 @@
 use crate::core::Core;
 use crate::timer::Timer;
 use wv_health::DatabaseKey;
-use wv_slow_start::{Ease, Plan, Scale};
+use wv_slow_start::{RateInputs, SlowStart, SlowStartConfig};
 
 /// Minimum time between two wake-ups of a pool's wait queue.
 const MIN_WAKE_INTERVAL_US: u64 = 3_000;
 
 impl Core {
-    pub fn set_slow_start(&mut self, plan: Plan) {
+    pub fn set_slow_start(&mut self, plan: SlowStartConfig) {
         self.plan = plan;
     }
 
-    fn slow_start_scale(&self, spot: DatabaseKey) -> Scale {
+    fn slow_start_scale(&self, spot: DatabaseKey) -> RateInputs {
         let capacity = self.checks.database(spot).map_or(1, |member| member.instance.capacity);
-        let work_us = self.pools.get(&spot).map_or_else(|| wv_slow_start::Work::default().us(), |pool| pool.work.us());
-        Scale { now: self.now, capacity, nodes: self.nodes, work_us }
+        let work_us = self
+            .pools
+            .get(&spot)
+            .map_or_else(|| wv_slow_start::LatencyEstimate::default().latency_us(), |pool| pool.work.latency_us());
+        RateInputs { now_us: self.now, capacity, nodes: self.nodes, latency_us: work_us }
     }
 
     /// Limits new requests to a recovered database until its slow start is over.
     pub(crate) fn begin_slow_start(&mut self, spot: DatabaseKey, outages: u32) {
         let is_running = self.eases.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now));
         // A recovery seen here and reported by the control plane starts only one slow start.
-        if !self.plan.is_on || is_running {
+        if !self.plan.is_enabled || is_running {
             return;
         }
         let cold_us = self.checks.database(spot).map_or(0, |member| member.instance.cold_left_us);
-        self.eases.insert(spot, Ease::new(self.plan, outages, cold_us, self.now));
+        self.eases.insert(spot, SlowStart::new(self.plan, outages, cold_us, self.now));
     }
 
     pub fn is_in_slow_start(&self, id: &str) -> bool {
@@ -44,7 +47,7 @@
         self.eases.get(&spot).is_none_or(|slow_start| {
             // Idle transactions do not count as in flight.
             let in_flight = self.dbs.values().filter(|db| db.spot == spot && !db.expects.is_empty()).count() as u32;
-            slow_start.has(&self.slow_start_scale(spot), in_flight)
+            slow_start.can_start(&self.slow_start_scale(spot), in_flight)
         })
     }
 
@@ -53,7 +56,7 @@
             return;
         }
         let scale = self.slow_start_scale(spot);
-        self.eases.get_mut(&spot).into_iter().for_each(|slow_start| slow_start.take(&scale));
+        self.eases.get_mut(&spot).into_iter().for_each(|slow_start| slow_start.record_start(&scale));
     }
 
     /// Schedules a wake-up of the wait queue for when the next request may start.
@@ -61,9 +64,9 @@
         let scale = self.slow_start_scale(spot);
         let Some(slow_start) = self.eases.get(&spot) else { return };
         // Requests held back by the in-flight limit are served by responses; the timer covers the rate limit.
-        let at = slow_start.next(&scale).max(scale.now + MIN_WAKE_INTERVAL_US);
+        let at = slow_start.next_start_us(&scale).max(scale.now_us + MIN_WAKE_INTERVAL_US);
         // One pending wake-up serves the whole queue.
-        let Some(pool) = self.pools.get_mut(&spot).filter(|pool| pool.wake_at <= scale.now) else { return };
+        let Some(pool) = self.pools.get_mut(&spot).filter(|pool| pool.wake_at <= scale.now_us) else { return };
         pool.wake_at = at;
         self.timers.put(at, Timer::Ease { spot });
     }
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -105,7 +105,7 @@
         let hash = hash(key);
         if let Some(bytes) = bytes {
             let entry = KeySample { hash, slot: slot_for_key(key), bytes };
-            if self.sample.offer(entry) {
+            if self.sample.insert(entry) {
                 self.pending_samples.insert(hash, entry);
             }
         }
--- a/crates/wv-consensus/tests/change_model/steps.rs
+++ b/crates/wv-consensus/tests/change_model/steps.rs
@@ -50,7 +50,7 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) -> Result<(), String> {
+    fn apply(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Write(at) => self.write(*at),
             Step::Switch(set) => {
--- a/crates/wv-consensus/tests/model_change.rs
+++ b/crates/wv-consensus/tests/model_change.rs
@@ -3,7 +3,7 @@
 
 use change_model::{Setup, Without, World};
 use googletest::prelude::*;
-use wv_model_checker::{search, Bound, Model};
+use wv_model_checker::{search, Model, SearchLimits};
 
 const NO_FAULTS: Setup = Setup {
     without: Without::Nothing,
@@ -26,22 +26,22 @@
     for description in steps {
         let step = world.steps().into_iter().find(|step| format!("{step:?}") == *description);
         let step = step.unwrap_or_else(|| panic!("{description}: step is not possible"));
-        world.take(&step).and_then(|()| world.check()).unwrap_or_else(|fault| panic!("{description}: {fault}"));
+        world.apply(&step).and_then(|()| world.check()).unwrap_or_else(|fault| panic!("{description}: {fault}"));
     }
     world
 }
 
 fn expect_no_fault(name: &str, world: World) {
-    let seen = search(world, Bound::of(99, STATES));
-    println!("{}", seen.line(name));
-    expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
+    let seen = search(world, SearchLimits::with_env_override(99, STATES));
+    println!("{}", seen.summary(name));
+    expect_that!(seen.violation.map(|found| found.fault), none(), "{name}");
 }
 
 /// Expects the fault, found by the given shortest path after `before`, without the guard, and no fault with it.
 fn expect_fault(setup: Setup, before: &[&str], fault: &str, expected_steps: &[&str]) {
-    let seen = search(after_steps(World::new(setup), before), Bound { depth: 99, states: 100_000 });
-    println!("{}", seen.line(&format!("without {:?}", setup.without)));
-    let Some(found) = seen.found else { panic!("{:?} is not detected", setup.without) };
+    let seen = search(after_steps(World::new(setup), before), SearchLimits { depth: 99, states: 100_000 });
+    println!("{}", seen.summary(&format!("without {:?}", setup.without)));
+    let Some(found) = seen.violation else { panic!("{:?} is not detected", setup.without) };
     let steps: Vec<String> = found.steps.iter().map(|step| format!("{step:?}")).collect();
     expect_that!(found.fault, eq(fault));
     expect_that!(steps, eq(expected_steps));
--- a/crates/wv-consensus/tests/model_register.rs
+++ b/crates/wv-consensus/tests/model_register.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use register_model::{Request, Setup, Verdict, Without, World};
 use wv_internal_protocol::RegisterValue;
-use wv_model_checker::{search, Bound};
+use wv_model_checker::{search, SearchLimits};
 
 /// The verdict of `write_if_newer`: it keeps no digests, so a superseded write may have been applied.
 fn verdict(value: &RegisterValue, number: u64, content: u8) -> Verdict {
@@ -34,9 +34,9 @@
 const STATES: usize = 5_000;
 
 fn expect_no_fault(name: &str, setup: Setup) {
-    let seen = search(World::new(setup), Bound::of(99, STATES));
-    println!("{}", seen.line(name));
-    expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
+    let seen = search(World::new(setup), SearchLimits::with_env_override(99, STATES));
+    println!("{}", seen.summary(name));
+    expect_that!(seen.violation.map(|found| found.fault), none(), "{name}");
 }
 
 /// Expects the fault, found by the given shortest path, without the guard.
@@ -45,9 +45,9 @@
     // With the guard there is no fault.
     let guarded = Setup { without: Without::Nothing, requests: setup.requests.clone(), ..setup };
     expect_no_fault(&format!("guarded: {requests:?}"), guarded);
-    let seen = search(World::new(Setup { without, ..setup }), Bound { depth: 99, states: 100_000 });
-    println!("{}", seen.line(&format!("without {without:?}")));
-    let Some(found) = seen.found else { panic!("{without:?} is not detected") };
+    let seen = search(World::new(Setup { without, ..setup }), SearchLimits { depth: 99, states: 100_000 });
+    println!("{}", seen.summary(&format!("without {without:?}")));
+    let Some(found) = seen.violation else { panic!("{without:?} is not detected") };
     let steps: Vec<String> = found.steps.iter().map(|step| format!("{step:?}")).collect();
     expect_that!(found.fault, eq(fault));
     expect_that!(steps, eq(expected_steps));
--- a/crates/wv-consensus/tests/register_model/steps.rs
+++ b/crates/wv-consensus/tests/register_model/steps.rs
@@ -113,7 +113,7 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) -> Result<(), String> {
+    fn apply(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Start(at, operation) => {
                 let proposer = &mut self.proposers[*at];
--- a/crates/wv-control/src/database_calls.rs
+++ b/crates/wv-control/src/database_calls.rs
@@ -97,7 +97,8 @@
         }
         let headers = [("X-Duty-Holder", self.name.clone()), ("X-Fence-Number", fence.to_string())];
         let body = serde_json::json!({ "destination": service, "id": id }).to_string().into_bytes();
-        let code = wv_http::call(platform.address, "POST", "/promotion", &headers, body, PROMOTION_TIMEOUT).await.ok();
+        let code =
+            wv_http::send_request(platform.address, "POST", "/promotion", &headers, body, PROMOTION_TIMEOUT).await.ok();
         self.with_core(|core, now| core.on_promotion_response(request, code, now));
     }
 }
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -20,7 +20,7 @@
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
     links: Rc<RefCell<Queues>>,
-    responses: Rc<RefCell<HashMap<u64, oneshot::Sender<wv_http::Return>>>>,
+    responses: Rc<RefCell<HashMap<u64, oneshot::Sender<wv_http::Response>>>>,
     internal_port: u16,
     pub(crate) name: String,
     pub(crate) platform: Option<wv_settings::PlatformApi>,
@@ -90,7 +90,7 @@
             Action::Respond { token, status, body } => {
                 let ret = self.responses.borrow_mut().remove(&token);
                 ret.into_iter().for_each(|sender| {
-                    let _ = sender.send(wv_http::Return::new(status, body.clone()));
+                    let _ = sender.send(wv_http::Response::json(status, body.clone()));
                 });
             }
         }
@@ -136,19 +136,19 @@
 
     /// Serves one link until either side closes it or nothing is received for `IDLE_TIMEOUT`.
     async fn serve_link(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Message>) {
-        wv_http::tune(&stream, IDLE_TIMEOUT);
+        wv_http::configure_stream(&stream, IDLE_TIMEOUT);
         let on_message = |msg| self.with_core(|core, now| core.handle_message(link, msg, now));
-        wv_process::carry(stream, receiver, IDLE_TIMEOUT, Some(IDLE_TIMEOUT), on_message).await;
+        wv_process::run_link(stream, receiver, IDLE_TIMEOUT, Some(IDLE_TIMEOUT), on_message).await;
         self.links.borrow_mut().remove(&link);
     }
 
     /// The response to a call that needs no body, if there is one.
-    pub fn handle_head(&self, method: &str, path: &str) -> Option<wv_http::Return> {
+    pub fn handle_head(&self, method: &str, path: &str) -> Option<wv_http::Response> {
         let response = self.with_core(|core, now| core.handle_head(method, path, now));
-        response.map(|(status, body)| wv_http::Return::new(status, body))
+        response.map(|(status, body)| wv_http::Response::json(status, body))
     }
 
-    pub async fn handle_call(self, call: wv_http::Call) -> wv_http::Return {
+    pub async fn handle_call(self, call: wv_http::Request) -> wv_http::Response {
         if (call.method.as_str(), call.path.as_str()) == ("GET", "/metrics") {
             return metrics(self.core.borrow().metrics());
         }
@@ -158,13 +158,13 @@
             self.responses.borrow_mut().insert(token, sender);
             core.handle_call(token, &call.method, &call.path, call.body.as_deref(), now);
         });
-        receiver.await.unwrap_or_else(|_| wv_http::Return::new(503, "{}"))
+        receiver.await.unwrap_or_else(|_| wv_http::Response::json(503, "{}"))
     }
 }
 
-fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Return {
+fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Response {
     page.map_or_else(
-        |error| wv_http::Return::new(500, crate::conf::error_body(&error.to_string())),
-        |text| wv_http::Return::text(200, text),
+        |error| wv_http::Response::json(500, crate::conf::error_body(&error.to_string())),
+        |text| wv_http::Response::text(200, text),
     )
 }
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Log lines on departures and promotions, and the metrics of `GET /metrics`. No decision depends on these counters.
 use crate::core::Core;
 use std::collections::BTreeMap;
-use wv_metrics::{MetricsError, Page};
+use wv_metrics::{MetricsError, MetricsPage};
 use wv_promotion::BlockedReason;
 
 /// Minimum interval between log lines on stalled promotions of one service.
@@ -43,13 +43,13 @@
 
     /// The metrics page in text format.
     pub fn metrics(&self) -> Result<Vec<u8>, MetricsError> {
-        let mut page = Page::default();
-        page.figure(
+        let mut page = MetricsPage::default();
+        page.add_gauge(
             ("windvalve_in_contact", "Whether a majority of the voters is in contact"),
             self.has_majority().into(),
         )?;
-        page.figure(("windvalve_configuration_version", "The configuration in force"), self.committed_version)?;
-        page.figure(
+        page.add_gauge(("windvalve_configuration_version", "The configuration in force"), self.committed_version)?;
+        page.add_gauge(
             ("windvalve_leaves_acknowledged", "Departures of databases that were acknowledged here"),
             self.counters.leaves_acknowledged,
         )?;
@@ -57,16 +57,16 @@
             self.counters.services.iter().map(move |(service, held)| (vec![service.clone()], figure(held)))
         };
         let calls = ("windvalve_promotion_calls", "Calls to the platform to promote a database");
-        page.figures(calls, &["service"], of(|held| held.calls))?;
+        page.add_gauges(calls, &["service"], of(|held| held.calls))?;
         let stalls = ("windvalve_promotion_stalls", "Attempts at a promotion that led nowhere");
-        page.figures(stalls, &["service"], of(|held| held.stalls))?;
+        page.add_gauges(stalls, &["service"], of(|held| held.stalls))?;
         let leaving = self.table.iter().filter(|inst| inst.draining && !inst.gone);
         let role = |inst: &wv_internal_protocol::Instance| if inst.primary { "primary" } else { "replica" }.to_owned();
-        page.figures(
+        page.add_gauges(
             ("windvalve_database_leaving", "Databases that said that they leave and are not gone"),
             &["id", "service", "role"],
             leaving.map(|inst| (vec![inst.id.clone(), inst.service.clone(), role(inst)], 1)),
         )?;
-        page.text()
+        page.encode()
     }
 }
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -24,7 +24,7 @@
 
 impl Control {
     fn reload_settings(&mut self) {
-        if let Some(settings) = self.file.reread() {
+        if let Some(settings) = self.file.reload() {
             let seeds = settings.seeds.iter().map(|seed| seed.to_string()).collect();
             self.node.core.borrow_mut().set_seeds(seeds);
             self.leave_period_us = settings.grace_period_us / 4;
@@ -69,11 +69,11 @@
 
     fn handle(&mut self, signal: Signal, _: &mut Context<Self>) {
         match signal {
-            Signal::Leave => {
+            Signal::Terminate => {
                 self.leaving_since.get_or_insert(self.node.now());
                 self.node.with_core(|core, now| core.begin_shutdown(now));
             }
-            Signal::Reread => self.reload_settings(),
+            Signal::Reload => self.reload_settings(),
         }
     }
 }
@@ -111,13 +111,13 @@
         address: addr.to_string(),
         node: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        incarnation: wv_process::life(),
+        incarnation: wv_process::new_incarnation(),
         seeds,
         is_initial_start: settings.initial_start,
         has_disk: settings.data_dir.is_some(),
         tolerated_machines: settings.tolerated_machine_failures as usize,
-        disk_id: wv_process::draw(),
-        requester_id: wv_process::draw(),
+        disk_id: wv_process::random_u64(),
+        requester_id: wv_process::random_u64(),
     };
     let mut core = Core::new(start, store)?;
     let system = System::new();
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -38,7 +38,7 @@
                 return Err("the times do not rise".to_owned());
             }
             let mut brought = History::default();
-            points.into_iter().for_each(|(at, rows, bytes)| brought.note(at.saturating_mul(1_000_000), rows, bytes));
+            points.into_iter().for_each(|(at, rows, bytes)| brought.record(at.saturating_mul(1_000_000), rows, bytes));
             usage.history.merge(&brought);
             usage.measured_at = 0;
             Ok(())
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -2,21 +2,28 @@
 use crate::conf::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
-use wv_shard_forecast::{Crossing, Forecast, Outlook};
+use wv_shard_forecast::{Forecast, ForecastResult, ThresholdCrossing};
 
-fn forecast_json(outlook: Option<&Outlook>) -> serde_json::Value {
-    let time = |us: Option<u64>| us.map(wv_calendar::text);
+fn forecast_json(outlook: Option<&ForecastResult>) -> serde_json::Value {
+    let time = |us: Option<u64>| us.map(wv_calendar::format_utc);
     match outlook {
         None => serde_json::json!({ "state": "not measured yet" }),
-        Some(Outlook::TooShort { days, wanted }) => {
+        Some(ForecastResult::InsufficientHistory { days, required_days: wanted }) => {
             serde_json::json!({ "state": "too little history", "days": days, "wanted": wanted })
         }
-        Some(Outlook::Known(Forecast { rows_per_day, bytes_per_day, crossing, is_by_bytes, days, .. })) => {
-            let Crossing { early_us, likely_us, late_us } = *crossing;
+        Some(ForecastResult::Available(Forecast {
+            rows_per_day,
+            bytes_per_day,
+            crossing,
+            is_limited_by_bytes,
+            days,
+            ..
+        })) => {
+            let ThresholdCrossing { early_us, likely_us, late_us } = *crossing;
             serde_json::json!({
                 "state": "known", "days": days,
                 "rowsPerDay": rows_per_day.round(), "bytesPerDay": bytes_per_day.round(),
-                "reachedFirst": if *is_by_bytes { "bytes" } else { "rows" },
+                "reachedFirst": if *is_limited_by_bytes { "bytes" } else { "rows" },
                 "early": time(early_us), "likely": time(likely_us), "late": time(late_us), "confidence": 0.9,
             })
         }
@@ -49,14 +56,17 @@
         let (copied, left, surges) = held.split.counts();
         let advice = held.usage.advice.as_ref();
         serde_json::json!({
-            "shard": shard, "rows": rows, "bytes": bytes, "error": (held.usage.sample.error() * 1e4).round() / 1e4,
+            "shard": shard, "rows": rows, "bytes": bytes,
+            "error": (held.usage.sample.relative_error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
             "names": held.split.names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
-                "early": wv_calendar::text(advice.early_us), "likely": advice.likely_us.map(wv_calendar::text),
-                "splitFrom": wv_calendar::text(advice.from_us), "splitUntil": wv_calendar::text(advice.until_us),
-                "raised": wv_calendar::text(advice.raised_us),
+                "early": wv_calendar::format_utc(advice.early_us),
+                "likely": advice.likely_us.map(wv_calendar::format_utc),
+                "splitFrom": wv_calendar::format_utc(advice.window_start_us),
+                "splitUntil": wv_calendar::format_utc(advice.window_end_us),
+                "raised": wv_calendar::format_utc(advice.raised_us),
             })),
             "split": {
                 "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.step_name(),
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -4,7 +4,9 @@
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
 use wv_internal_protocol::Message;
-use wv_shard_forecast::{advise, forecast, Advice, History, KeySample, Need, Outlook, Sample, METHOD};
+use wv_shard_forecast::{
+    advise, forecast, ForecastResult, History, KeySample, Sample, SplitAdvice, SplitSchedule, DEFAULT_METHOD,
+};
 
 /// Minimum interval between writes of the measurements.
 const WRITE_INTERVAL_US: u64 = 2_000_000;
@@ -22,7 +24,7 @@
 pub struct StoredUsage {
     pub entries: Vec<KeySample>,
     pub history: History,
-    pub advice: Option<Advice>,
+    pub advice: Option<SplitAdvice>,
     /// The time until which a requested split may run, 0 if none.
     pub requested_until_us: u64,
 }
@@ -31,9 +33,9 @@
 pub(crate) struct ShardUsage {
     pub sample: Sample,
     pub history: History,
-    pub advice: Option<Advice>,
+    pub advice: Option<SplitAdvice>,
     pub requested_until_us: u64,
-    pub outlook: Option<Outlook>,
+    pub outlook: Option<ForecastResult>,
     pub is_dirty: bool,
     /// Whether a write of the usage or of a part of the key names is in progress.
     is_writing: bool,
@@ -73,7 +75,7 @@
         let (from, until) = self.held_slots(shard);
         let first = self.initial_slots(shard);
         let part = f64::from(until - from) / f64::from((first.1 - first.0).max(1));
-        let (rows, bytes) = held.usage.sample.totals(|slot| (from..until).contains(&slot));
+        let (rows, bytes) = held.usage.sample.estimate_totals(|slot| (from..until).contains(&slot));
         let base = self.shard_plan(shard).map_or((0, 0), |plan| (plan.base_rows, plan.base_bytes));
         (rows + (base.0 as f64 * part) as u64, bytes + (base.1 as f64 * part) as u64)
     }
@@ -92,8 +94,8 @@
             return Some(held.usage.requested_until_us);
         }
         let advice = held.usage.advice.as_ref().filter(|_| plan.is_automatic)?;
-        let is_open = (advice.from_us..advice.until_us).contains(&now) && plan.quiet_windows.is_open(now);
-        (is_open && advice.raised_us > moved_us).then_some(advice.until_us)
+        let is_open = (advice.window_start_us..advice.window_end_us).contains(&now) && plan.quiet_windows.is_open(now);
+        (is_open && advice.raised_us > moved_us).then_some(advice.window_end_us)
     }
 
     /// Updates measurements and the forecast of one shard, and writes what changed.
@@ -119,7 +121,7 @@
         if usage.measured_at + MEASURE_INTERVAL_US <= now || usage.measured_at == 0 {
             held.usage.measured_at = now;
             let (rows, bytes) = self.shard_totals(shard, &held);
-            held.usage.history.note(epoch, rows, bytes);
+            held.usage.history.record(epoch, rows, bytes);
             self.update_forecast(shard, &mut held);
         }
         self.write_next_part(shard, &mut held);
@@ -145,18 +147,19 @@
     fn update_forecast(&self, shard: &str, held: &mut Shard) {
         let Some(plan) = self.shard_plan(shard) else { return };
         let level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
-        let outlook = forecast(&held.usage.history, (level(plan.max_rows), level(plan.max_bytes)), METHOD);
+        let outlook = forecast(&held.usage.history, (level(plan.max_rows), level(plan.max_bytes)), DEFAULT_METHOD);
         let rows = held.usage.history.points().last().map_or(0, |point| point.rows);
         let move_us = MOVE_OVERHEAD_US + rows / 2 * 1_000_000 / u64::from(plan.max_rows_per_s);
-        let need = Need { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
+        let need =
+            SplitSchedule { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
         let (advice, is_news) = advise(&outlook, &need, held.usage.advice.as_ref());
         if is_news {
             match &advice {
                 Some(advice) => log::warn!(
                     "forecast: shard {shard} reaches its level at {} at the earliest; split it between {} and {}",
-                    wv_calendar::text(advice.early_us),
-                    wv_calendar::text(advice.from_us),
-                    wv_calendar::text(advice.until_us)
+                    wv_calendar::format_utc(advice.early_us),
+                    wv_calendar::format_utc(advice.window_start_us),
+                    wv_calendar::format_utc(advice.window_end_us)
                 ),
                 None => log::warn!("forecast: a split of shard {shard} is no longer needed"),
             }
--- a/crates/wv-control/tests/model_proposals.rs
+++ b/crates/wv-control/tests/model_proposals.rs
@@ -7,7 +7,7 @@
 use register_model::{Request, Setup, Verdict, Without, World};
 use wv_control::proposal::{accept, digest, DecidedConfiguration, Proposal};
 use wv_internal_protocol::RegisterValue;
-use wv_model_checker::{search, Bound};
+use wv_model_checker::{search, SearchLimits};
 
 /// Limit of visited states; `WV_MODEL_DEPTH` removes it.
 const STATES: usize = 5_000;
@@ -41,15 +41,15 @@
 }
 
 fn expect_no_fault(name: &str, setup: Setup) {
-    let seen = search(World::new(setup), Bound::of(99, STATES));
-    println!("{}", seen.line(name));
-    expect_that!(seen.found.map(|found| found.fault), none(), "{name}");
+    let seen = search(World::new(setup), SearchLimits::with_env_override(99, STATES));
+    println!("{}", seen.summary(name));
+    expect_that!(seen.violation.map(|found| found.fault), none(), "{name}");
 }
 
 fn expect_fault(name: &str, setup: Setup, fault: &str) {
-    let seen = search(World::new(setup), Bound { depth: 99, states: 100_000 });
-    println!("{}", seen.line(name));
-    expect_that!(seen.found.map(|found| found.fault), some(eq(fault)), "{name}");
+    let seen = search(World::new(setup), SearchLimits { depth: 99, states: 100_000 });
+    println!("{}", seen.summary(name));
+    expect_that!(seen.violation.map(|found| found.fault), some(eq(fault)), "{name}");
 }
 
 #[gtest]
--- a/crates/wv-http/src/lib.rs
+++ b/crates/wv-http/src/lib.rs
@@ -1,16 +1,15 @@
-//! HTTP for the ready probe, the operator, the beats and the platform; the library does the protocol.
-mod sock;
+//! HTTP/1 server for readiness probes, operators and database heartbeats, and client for platform calls.
+mod socket;
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
-use hyper::{Request, Response};
-pub use sock::{connect, listen, tune};
+pub use socket::{configure_stream, connect, listen};
 
-/// Connections served at once per listener.
-const CONNECTIONS_MAX: usize = 512;
-const IDLE: std::time::Duration = std::time::Duration::from_secs(30);
-/// How long the body of a call that has its return already is still taken in: 1 MiB over 2 Mbit/s take 4.2 s.
-const DRAIN: std::time::Duration = std::time::Duration::from_secs(5);
+/// Maximum number of concurrent connections per listener.
+const MAX_CONNECTIONS: usize = 512;
+const MAX_CONNECTION_LIFETIME: std::time::Duration = std::time::Duration::from_secs(30);
+/// How long the rest of a request body is read after an early response. A body of 1 MiB takes 4.2 s at 2 Mbit/s.
+const DRAIN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 #[derive(thiserror::Error, Debug)]
 pub enum HttpError {
@@ -18,138 +17,142 @@
     Connect(std::io::Error),
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    #[error("the call could not be built")]
-    Build,
-    #[error("no return in time")]
-    Late,
+    #[error("invalid request")]
+    InvalidRequest,
+    #[error("request timed out")]
+    Timeout,
 }
 
-/// A call as the handlers see it, its body read whole.
-pub struct Call {
+/// A request with its complete body.
+pub struct Request {
     pub method: String,
     pub path: String,
-    /// `None` where the body went over the bound.
+    /// `None` if the body exceeds the maximum size or could not be read.
     pub body: Option<Bytes>,
 }
 
-/// A return: its status and its body, with what the body is.
-pub struct Return {
+/// A response with its status, body and content type.
+pub struct Response {
     pub status: u16,
     pub body: Vec<u8>,
     content_type: &'static str,
 }
 
-impl Return {
-    /// A return whose body is JSON.
-    pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Return {
-        Return { status, body: body.into(), content_type: "application/json" }
+impl Response {
+    /// A response with a JSON body.
+    pub fn json(status: u16, body: impl Into<Vec<u8>>) -> Response {
+        Response { status, body: body.into(), content_type: "application/json" }
     }
 
-    /// A return whose body is plain text.
-    pub fn text(status: u16, body: impl Into<Vec<u8>>) -> Return {
-        Return { status, body: body.into(), content_type: "text/plain; version=0.0.4" }
+    /// A response with a body in the Prometheus text format.
+    pub fn text(status: u16, body: impl Into<Vec<u8>>) -> Response {
+        Response { status, body: body.into(), content_type: "text/plain; version=0.0.4" }
     }
 }
 
-fn respond(ret: Return) -> Response<Full<Bytes>> {
-    // A caller that is sent elsewhere is told where in the body.
-    if ret.status == 307 {
-        let place = String::from_utf8(ret.body).unwrap_or_default();
-        return Response::builder().status(307).header("Location", place).body(Full::default()).unwrap_or_default();
+fn to_hyper(response: Response) -> hyper::Response<Full<Bytes>> {
+    // For redirects the body holds the target location.
+    if response.status == 307 {
+        let location = String::from_utf8(response.body).unwrap_or_default();
+        return hyper::Response::builder()
+            .status(307)
+            .header("Location", location)
+            .body(Full::default())
+            .unwrap_or_default();
     }
-    Response::builder()
-        .status(ret.status)
-        .header("Content-Type", ret.content_type)
-        .body(Full::new(Bytes::from(ret.body)))
+    hyper::Response::builder()
+        .status(response.status)
+        .header("Content-Type", response.content_type)
+        .body(Full::new(Bytes::from(response.body)))
         .unwrap_or_default()
 }
 
-/// Takes in and drops what is left of a body. Closed with bytes unread, a connection is reset, and the return that was
-/// sent ahead of them may be lost with it.
-async fn drain(mut body: Incoming, body_max: usize) {
+/// Reads and discards the rest of a body. Closing a connection with unread data resets it, and the client may lose
+/// the response that was already sent.
+async fn drain(mut body: Incoming, max_body_bytes: usize) {
     let mut len = 0;
-    let passing = async {
+    let reading = async {
         while let Some(Ok(frame)) = body.frame().await {
             len += frame.data_ref().map_or(0, Bytes::len);
-            if len > body_max {
+            if len > max_body_bytes {
                 return;
             }
         }
     };
-    let _ = tokio::time::timeout(DRAIN, passing).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, reading).await;
 }
 
-/// Serves `listener` for ever. `head` is asked with method and path as soon as the head of a call is there and may
-/// return at once; each other call goes to `handle` with its body, of `body_max` bytes at most.
-pub async fn serve<D, H, F>(listener: tokio::net::TcpListener, body_max: usize, head: D, handle: H)
+/// Serves `listener` forever. `handle_head` gets method and path of each request before its body is read and may
+/// respond early. All other requests go to `handle` with their bodies of at most `max_body_bytes`.
+pub async fn serve<D, H, F>(listener: tokio::net::TcpListener, max_body_bytes: usize, handle_head: D, handle: H)
 where
-    D: Fn(&str, &str) -> Option<Return> + Clone + 'static,
-    H: Fn(Call) -> F + Clone + 'static,
-    F: std::future::Future<Output = Return> + 'static,
+    D: Fn(&str, &str) -> Option<Response> + Clone + 'static,
+    H: Fn(Request) -> F + Clone + 'static,
+    F: std::future::Future<Output = Response> + 'static,
 {
-    let open = std::rc::Rc::new(std::cell::Cell::new(0usize));
+    let connections = std::rc::Rc::new(std::cell::Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors: a pause lets others close.
+            // Probably out of file descriptors: retry once other connections may have closed.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             continue;
         };
-        if open.get() >= CONNECTIONS_MAX {
+        if connections.get() >= MAX_CONNECTIONS {
             continue;
         }
-        tune(&stream, std::time::Duration::from_secs(3));
-        open.set(open.get() + 1);
-        let (open, ask, handle) = (open.clone(), head.clone(), handle.clone());
+        configure_stream(&stream, std::time::Duration::from_secs(3));
+        connections.set(connections.get() + 1);
+        let (connections, handle_head, handle) = (connections.clone(), handle_head.clone(), handle.clone());
         tokio::task::spawn_local(async move {
-            let service = hyper::service::service_fn(move |request: Request<Incoming>| {
-                let (ask, handle) = (ask.clone(), handle.clone());
+            let service = hyper::service::service_fn(move |request: hyper::Request<Incoming>| {
+                let (handle_head, handle) = (handle_head.clone(), handle.clone());
                 async move {
                     let (head, body) = request.into_parts();
-                    if let Some(ret) = ask(head.method.as_str(), head.uri.path()) {
-                        tokio::task::spawn_local(drain(body, body_max));
-                        return Ok(respond(ret));
+                    if let Some(response) = handle_head(head.method.as_str(), head.uri.path()) {
+                        tokio::task::spawn_local(drain(body, max_body_bytes));
+                        return Ok(to_hyper(response));
                     }
-                    let body = Limited::new(body, body_max).collect().await.ok().map(|body| body.to_bytes());
-                    let call = Call { method: head.method.to_string(), path: head.uri.path().to_owned(), body };
-                    Ok::<_, std::convert::Infallible>(respond(handle(call).await))
+                    let body = Limited::new(body, max_body_bytes).collect().await.ok().map(|body| body.to_bytes());
+                    let request = Request { method: head.method.to_string(), path: head.uri.path().to_owned(), body };
+                    Ok::<_, std::convert::Infallible>(to_hyper(handle(request).await))
                 }
             });
             let io = hyper_util::rt::TokioIo::new(stream);
             let serving =
                 hyper::server::conn::http1::Builder::new().max_buf_size(64 << 10).serve_connection(io, service);
-            // A caller that stays silent holds no place for ever.
-            let _ = tokio::time::timeout(IDLE, serving).await;
-            open.set(open.get() - 1);
+            // Closes the connection in any case, so that idle clients cannot occupy all connections.
+            let _ = tokio::time::timeout(MAX_CONNECTION_LIFETIME, serving).await;
+            connections.set(connections.get() - 1);
         });
     }
 }
 
-/// Makes one call and returns its status.
-pub async fn call(
+/// Sends one request on a new connection, without retries, and returns the status of the response.
+pub async fn send_request(
     addr: std::net::SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, String)],
     body: Vec<u8>,
-    limit: std::time::Duration,
+    timeout: std::time::Duration,
 ) -> Result<u16, HttpError> {
-    let calling = async {
-        let stream = connect(addr, limit).await.map_err(HttpError::Connect)?;
+    let exchange = async {
+        let stream = connect(addr, timeout).await.map_err(HttpError::Connect)?;
         let (mut sender, conn) = hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(stream)).await?;
         let driver = tokio::task::spawn_local(async move {
             let _ = conn.await;
         });
-        let mut request = Request::builder().method(method).uri(path).header("Host", addr.to_string());
+        let mut request = hyper::Request::builder().method(method).uri(path).header("Host", addr.to_string());
         for (name, value) in headers {
             request = request.header(*name, value);
         }
         let request = request
             .header("Content-Type", "application/json")
             .body(Full::new(Bytes::from(body)))
-            .map_err(|_| HttpError::Build)?;
-        let ret = sender.send_request(request).await;
+            .map_err(|_| HttpError::InvalidRequest)?;
+        let response = sender.send_request(request).await;
         driver.abort();
-        Ok(ret?.status().as_u16())
+        Ok(response?.status().as_u16())
     };
-    tokio::time::timeout(limit, calling).await.unwrap_or(Err(HttpError::Late))
+    tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(HttpError::Timeout))
 }
--- a/crates/wv-process/src/carry.rs
+++ b/crates/wv-process/src/link.rs
@@ -1,19 +1,19 @@
-//! One link between windvalve's own processes.
+//! Framed links between windvalve's own processes.
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Carries frames both ways until either side ends it, a write is stuck for `stuck`, or, where `silent` is given,
-/// nothing was heard for that long.
-pub async fn carry<T: nanoserde::SerBin + nanoserde::DeBin>(
+/// Sends and receives frames until either side closes the link, a write takes longer than `write_timeout`, or nothing
+/// is received for `idle_timeout`, if given.
+pub async fn run_link<T: nanoserde::SerBin + nanoserde::DeBin>(
     mut stream: tokio::net::TcpStream,
     mut receiver: tokio::sync::mpsc::Receiver<T>,
-    stuck: Duration,
-    silent: Option<Duration>,
-    mut hear: impl FnMut(T),
+    write_timeout: Duration,
+    idle_timeout: Option<Duration>,
+    mut on_message: impl FnMut(T),
 ) {
     let (mut buf, mut out) = (Vec::new(), Vec::new());
-    // No link stands for longer than a year in any case.
-    let patience = silent.unwrap_or(Duration::from_secs(365 * 86_400));
+    // Without an idle timeout, a year stands for no limit.
+    let read_timeout = idle_timeout.unwrap_or(Duration::from_secs(365 * 86_400));
     loop {
         tokio::select! {
             msg = receiver.recv() => {
@@ -22,14 +22,14 @@
                 while let Ok(msg) = receiver.try_recv() {
                     wv_internal_protocol::encode_frame(&mut out, &msg);
                 }
-                match tokio::time::timeout(stuck, stream.write_all(&out)).await {
+                match tokio::time::timeout(write_timeout, stream.write_all(&out)).await {
                     Ok(Ok(())) => out.clear(),
                     _ => return,
                 }
             }
-            read = tokio::time::timeout(patience, stream.read_buf(&mut buf)) => match read {
+            read = tokio::time::timeout(read_timeout, stream.read_buf(&mut buf)) => match read {
                 Ok(Ok(len)) if len > 0 => {
-                    if !take_frames(&mut buf, &mut hear) {
+                    if !take_frames(&mut buf, &mut on_message) {
                         return;
                     }
                 }
@@ -39,7 +39,7 @@
     }
 }
 
-fn take_frames<T: nanoserde::DeBin>(buf: &mut Vec<u8>, hear: &mut impl FnMut(T)) -> bool {
+fn take_frames<T: nanoserde::DeBin>(buf: &mut Vec<u8>, on_message: &mut impl FnMut(T)) -> bool {
     let mut at = 0;
     loop {
         match wv_internal_protocol::decode_frame(&buf[at..]) {
@@ -49,7 +49,7 @@
             }
             Ok(Some((msg, len))) => {
                 at += len;
-                hear(msg);
+                on_message(msg);
             }
             Err(error) => {
                 log::warn!("link closed: {error}");
--- a/crates/wv-promotion/tests/fence_model/steps.rs
+++ b/crates/wv-promotion/tests/fence_model/steps.rs
@@ -35,7 +35,7 @@
         steps
     }
 
-    fn take(&mut self, step: &Step) -> Result<(), String> {
+    fn apply(&mut self, step: &Step) -> Result<(), String> {
         let reply = match step {
             Step::Handover(at) => {
                 self.handovers -= 1;
--- a/crates/wv-promotion/tests/model_fence.rs
+++ b/crates/wv-promotion/tests/model_fence.rs
@@ -3,7 +3,7 @@
 
 use fence_model::{Disabled, Setup, World};
 use googletest::prelude::*;
-use wv_model_checker::{search, Bound};
+use wv_model_checker::{search, SearchLimits};
 
 const CHECKED: Setup = Setup {
     disabled: Disabled::None,
@@ -20,9 +20,9 @@
 const STATES_MAX: usize = 20_000;
 
 fn assert_safe(name: &str, setup: Setup) {
-    let result = search(World::new(setup), Bound::of(99, STATES_MAX));
-    println!("{}", result.line(name));
-    expect_that!(result.found.map(|found| found.fault), none(), "{name}");
+    let result = search(World::new(setup), SearchLimits::with_env_override(99, STATES_MAX));
+    println!("{}", result.summary(name));
+    expect_that!(result.violation.map(|found| found.fault), none(), "{name}");
 }
 
 /// The steps from a node becoming duty holder to the decision of its claim by the register.
@@ -34,9 +34,9 @@
 
 /// Asserts the expected violation and the shortest steps to it. `claim n0` stands for `claim_steps("n0")`.
 fn assert_violation(setup: Setup, fault: &str, expected_steps: &[&str]) {
-    let result = search(World::new(setup), Bound { depth: 99, states: 100_000 });
-    println!("{}", result.line(&format!("disabled {:?}", setup.disabled)));
-    let Some(found) = result.found else { panic!("no violation with {:?} disabled", setup.disabled) };
+    let result = search(World::new(setup), SearchLimits { depth: 99, states: 100_000 });
+    println!("{}", result.summary(&format!("disabled {:?}", setup.disabled)));
+    let Some(found) = result.violation else { panic!("no violation with {:?} disabled", setup.disabled) };
     let steps: Vec<String> = found.steps.iter().map(|step| format!("{step:?}")).collect();
     expect_that!(found.fault, eq(fault));
     let expand = |reply: &&str| reply.strip_prefix("claim ").map_or(vec![(*reply).to_owned()], claim_steps);
--- a/crates/wv-replay/src/play.rs
+++ b/crates/wv-replay/src/play.rs
@@ -69,7 +69,7 @@
         return Err(ReplayError::Unknown { line: 0, kind: "service", name: name.to_owned() });
     }
     let mut world = World::of(day.access, day.control, &day.services);
-    let plan = wv_slow_start::Plan { is_on: day.is_eased, ..wv_slow_start::Plan::default() };
+    let plan = wv_slow_start::SlowStartConfig { is_enabled: day.is_eased, ..wv_slow_start::SlowStartConfig::default() };
     world.set_ease(plan);
     // The day's time begins when the fleet has found itself.
     world.run(2_000_000);
--- a/crates/wv-shard-forecast/src/lib.rs
+++ b/crates/wv-shard-forecast/src/lib.rs
@@ -1,17 +1,17 @@
-//! How full a shard is, how it goes on, and when its operators are to hear of it.
+//! Estimates the size of a shard, forecasts its growth and advises operators when to split it.
+mod advice;
 mod forecast;
+mod hash;
 mod history;
-mod methods;
+mod method;
 mod sample;
-mod slot;
-mod warn;
 
-pub use forecast::{forecast, Crossing, Forecast, Outlook};
+pub use advice::{advise, SplitAdvice, SplitSchedule};
+pub use forecast::{forecast, Forecast, ForecastResult, ThresholdCrossing};
+pub use hash::hash;
 pub use history::{History, Point, BIN_US};
-pub use methods::{Level, Method, METHOD};
-pub use sample::{KeySample, Sample, KEPT};
-pub use slot::hash;
-pub use warn::{advise, Advice, Need};
+pub use method::{GrowthModel, Method, DEFAULT_METHOD};
+pub use sample::{KeySample, Sample, SAMPLE_CAPACITY};
 pub use wv_internal_protocol::{slot_for_key, SLOT_COUNT};
 
 pub const HOUR_US: u64 = 3_600_000_000;
--- a/crates/wv-simulation/src/states.rs
+++ b/crates/wv-simulation/src/states.rs
@@ -91,7 +91,7 @@
     }
 
     /// Sets how all access nodes ease databases in.
-    pub fn set_ease(&mut self, plan: wv_slow_start::Plan) {
+    pub fn set_ease(&mut self, plan: wv_slow_start::SlowStartConfig) {
         self.access.iter_mut().filter_map(|node| node.core.as_mut()).for_each(|core| core.set_slow_start(plan));
     }
 
--- a/crates/wv-simulation/tests/recovery.rs
+++ b/crates/wv-simulation/tests/recovery.rs
@@ -8,7 +8,7 @@
 /// Six nodes under load; with `is_eased` they ease databases in, without it they rush as one.
 fn loaded(is_eased: bool) -> World {
     let mut world = World::serving(6, 3);
-    let plan = wv_slow_start::Plan { is_on: is_eased, ..wv_slow_start::Plan::default() };
+    let plan = wv_slow_start::SlowStartConfig { is_enabled: is_eased, ..wv_slow_start::SlowStartConfig::default() };
     world.access.iter_mut().filter_map(|node| node.core.as_mut()).for_each(|core| core.set_slow_start(plan));
     world.load(120, "p");
     world.load(60, "b");
--- a/crates/wv-slow-start/src/lib.rs
+++ b/crates/wv-slow-start/src/lib.rs
@@ -1,152 +1,153 @@
-//! Easing a database back in: what all nodes together may start on one that has just returned.
+//! Slow start: limits the requests that all nodes together send to a database that has just recovered.
 //!
-//! Each node starts no more than its share of what the database bears, so that the fleet's asks, and above all
-//! its retries, add up to that and no more. The share grows over a span and then the easing is over.
+//! Invariant: each node starts no more than its share of the current limit, so that the requests of all nodes,
+//! including retries, add up to no more than the limit. The limit grows until the slow start is over.
 
-/// How easing is done; the operator's to set.
+/// Slow start settings.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Plan {
-    pub is_on: bool,
-    /// How long a database is eased in after its first fall; longer after each further one.
-    pub span_us: u64,
-    /// The part of its capacity that is offered at the start.
-    pub first: f64,
+pub struct SlowStartConfig {
+    pub is_enabled: bool,
+    /// Duration after the first outage; it is multiplied by the number of recent outages.
+    pub duration_us: u64,
+    /// Initial limit of requests in flight, as a share of the capacity of the database.
+    pub initial_share: f64,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan { is_on: true, span_us: 2_000_000, first: 1.0 }
+impl Default for SlowStartConfig {
+    fn default() -> SlowStartConfig {
+        SlowStartConfig { is_enabled: true, duration_us: 2_000_000, initial_share: 1.0 }
     }
 }
 
-/// At the end of the span more is offered than it runs at once: it has a line of its own.
-const LAST: f64 = 1.5;
-/// No fall makes the start smaller than this part of it.
-const FALLS_MAX: u32 = 4;
-/// Work is never taken to be shorter than this, so that a few quick returns open no flood.
-const WORK_MIN_US: f64 = 1_000.0;
-/// Unused starts do not pile up beyond this.
-const SAVED_MAX: f64 = 1.0;
-
-/// How long a statement takes at one database, as this node sees it: its own line and the way there included.
-/// A database that falls behind returns later, and by that alone is offered less.
+/// Final limit as a share of the capacity. It exceeds 1 since the database queues requests itself.
+const FINAL_SHARE: f64 = 1.5;
+/// Number of outages from which on further ones neither extend the slow start nor lower its initial limit.
+const MAX_OUTAGES: u32 = 4;
+/// Lower bound of the latency estimate, so that a few fast responses do not cause a burst.
+const MIN_LATENCY_US: f64 = 1_000.0;
+/// Capacity of the token bucket.
+const MAX_TOKENS: f64 = 1.0;
+
+/// Moving average of the latency of statements at one database as seen by this node, including the database's own
+/// queue and the network. An overloaded database responds later and therefore receives fewer requests.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Work(f64);
+pub struct LatencyEstimate(f64);
 
-impl Default for Work {
-    fn default() -> Work {
-        Work(20_000.0)
+impl Default for LatencyEstimate {
+    fn default() -> LatencyEstimate {
+        LatencyEstimate(20_000.0)
     }
 }
 
-impl Work {
-    pub fn note(&mut self, us: u64) {
-        // Slower is believed sooner than quicker.
-        let part = if us as f64 > self.0 { 0.3 } else { 0.1 };
-        self.0 += (us as f64 - self.0) * part;
+impl LatencyEstimate {
+    pub fn record(&mut self, latency_us: u64) {
+        // An increase of the latency is adopted faster than a decrease.
+        let weight = if latency_us as f64 > self.0 { 0.3 } else { 0.1 };
+        self.0 += (latency_us as f64 - self.0) * weight;
     }
 
-    pub fn us(&self) -> f64 {
-        self.0.max(WORK_MIN_US)
+    pub fn latency_us(&self) -> f64 {
+        self.0.max(MIN_LATENCY_US)
     }
 }
 
-/// The slowest return of late, forgotten little by little: what takes much longer than it is lost.
+/// Decaying maximum of the response latency. A response that takes much longer is considered lost.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Slowest(f64);
+pub struct MaxLatency(f64);
 
-impl Default for Slowest {
-    fn default() -> Slowest {
-        Slowest(300_000.0)
+impl Default for MaxLatency {
+    fn default() -> MaxLatency {
+        MaxLatency(300_000.0)
     }
 }
 
-impl Slowest {
-    pub fn note(&mut self, us: u64) {
-        self.0 = (self.0 * 0.995).max(us as f64);
+impl MaxLatency {
+    pub fn record(&mut self, latency_us: u64) {
+        self.0 = (self.0 * 0.995).max(latency_us as f64);
     }
 
-    /// When a return is overdue.
+    /// Latency above which a response is overdue.
     pub fn overdue_us(&self) -> u64 {
         (self.0 * 1.5) as u64
     }
 }
 
-/// One database being eased in, as one node does it.
+/// Slow start of one database on one node: a token bucket with a growing rate.
 #[derive(Clone, Debug)]
-pub struct Ease {
-    since: u64,
-    span: f64,
-    first: f64,
-    saved: f64,
-    filled: u64,
+pub struct SlowStart {
+    started_at_us: u64,
+    duration_us: f64,
+    initial_share: f64,
+    tokens: f64,
+    refilled_at_us: u64,
 }
 
-/// What the rate of starts depends on.
+/// Inputs of the rate limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Scale {
-    pub now: u64,
+pub struct RateInputs {
+    pub now_us: u64,
     pub capacity: u32,
     pub nodes: u32,
-    pub work_us: f64,
+    pub latency_us: f64,
 }
 
-impl Ease {
-    /// `falls` counts how often it fell lately, `cold_us` how long it says it is slow from its start.
-    pub fn new(plan: Plan, falls: u32, cold_us: u64, now: u64) -> Ease {
-        let falls = falls.clamp(1, FALLS_MAX);
-        let span = (plan.span_us + cold_us) as f64 * f64::from(falls);
-        Ease {
-            since: now,
-            span: span.max(1.0),
-            first: plan.first / f64::from(1 << (falls - 1)),
-            saved: 0.0,
-            filled: now,
+impl SlowStart {
+    /// `outages` counts the recent outages. `cold_us` is how long the database reports to be slow after its start.
+    pub fn new(config: SlowStartConfig, outages: u32, cold_us: u64, now_us: u64) -> SlowStart {
+        let outages = outages.clamp(1, MAX_OUTAGES);
+        let duration_us = (config.duration_us + cold_us) as f64 * f64::from(outages);
+        SlowStart {
+            started_at_us: now_us,
+            duration_us: duration_us.max(1.0),
+            initial_share: config.initial_share / f64::from(1 << (outages - 1)),
+            tokens: 0.0,
+            refilled_at_us: now_us,
         }
     }
 
-    pub fn is_over(&self, now: u64) -> bool {
-        now.saturating_sub(self.since) as f64 >= self.span
+    pub fn is_over(&self, now_us: u64) -> bool {
+        now_us.saturating_sub(self.started_at_us) as f64 >= self.duration_us
     }
 
-    /// What all nodes together may have under way.
-    fn budget(&self, scale: &Scale) -> f64 {
-        let part = (scale.now.saturating_sub(self.since) as f64 / self.span).min(1.0);
-        f64::from(scale.capacity.max(1)) * (self.first + (LAST - self.first) * part * part)
+    /// The number of requests that all nodes together may have in flight.
+    fn in_flight_limit(&self, inputs: &RateInputs) -> f64 {
+        let progress = (inputs.now_us.saturating_sub(self.started_at_us) as f64 / self.duration_us).min(1.0);
+        f64::from(inputs.capacity.max(1))
+            * (self.initial_share + (FINAL_SHARE - self.initial_share) * progress * progress)
     }
 
-    /// Starts a microsecond that this node may make.
-    fn rate(&self, scale: &Scale) -> f64 {
-        self.budget(scale) / (scale.work_us.max(WORK_MIN_US) * f64::from(scale.nodes.max(1)))
+    /// Requests per microsecond that this node may start.
+    fn rate(&self, inputs: &RateInputs) -> f64 {
+        self.in_flight_limit(inputs) / (inputs.latency_us.max(MIN_LATENCY_US) * f64::from(inputs.nodes.max(1)))
     }
 
-    fn filled(&self, scale: &Scale) -> f64 {
-        let gone = scale.now.saturating_sub(self.filled) as f64;
-        (self.saved + gone * self.rate(scale)).min(SAVED_MAX)
+    fn available_tokens(&self, inputs: &RateInputs) -> f64 {
+        let elapsed_us = inputs.now_us.saturating_sub(self.refilled_at_us) as f64;
+        (self.tokens + elapsed_us * self.rate(inputs)).min(MAX_TOKENS)
     }
 
-    fn fill(&mut self, scale: &Scale) {
-        self.saved = self.filled(scale);
-        self.filled = self.filled.max(scale.now);
+    fn refill(&mut self, inputs: &RateInputs) {
+        self.tokens = self.available_tokens(inputs);
+        self.refilled_at_us = self.refilled_at_us.max(inputs.now_us);
     }
 
-    /// Whether one more may be started now, with `under_way` of this node's not returned yet. Before the first
-    /// returns nothing tells how long its work takes now: then the count alone holds the fleet back.
-    pub fn has(&self, scale: &Scale, under_way: u32) -> bool {
-        let share = (self.budget(scale) / f64::from(scale.nodes.max(1))).ceil().max(1.0);
-        f64::from(under_way) < share && self.filled(scale) >= 1.0 - 1e-9
+    /// Whether a request may start now while this node has `in_flight` requests in progress. Until the first response
+    /// the latency estimate is stale, and only the in-flight limit protects the database.
+    pub fn can_start(&self, inputs: &RateInputs, in_flight: u32) -> bool {
+        let share = (self.in_flight_limit(inputs) / f64::from(inputs.nodes.max(1))).ceil().max(1.0);
+        f64::from(in_flight) < share && self.available_tokens(inputs) >= 1.0 - 1e-9
     }
 
-    /// One was started. What cannot wait, the next statement of an open transaction, is owed for.
-    pub fn take(&mut self, scale: &Scale) {
-        self.fill(scale);
-        self.saved -= 1.0;
+    /// Records a started request. Statements of open transactions start without a token, so tokens may be negative.
+    pub fn record_start(&mut self, inputs: &RateInputs) {
+        self.refill(inputs);
+        self.tokens -= 1.0;
     }
 
-    /// When the next start is due, at the rate of now.
-    pub fn next(&self, scale: &Scale) -> u64 {
-        let missing = (1.0 - self.filled(scale)).max(0.0);
-        scale.now + ((missing / self.rate(scale)).ceil() as u64).clamp(1, 1_000_000)
+    /// When the next request may start at the current rate.
+    pub fn next_start_us(&self, inputs: &RateInputs) -> u64 {
+        let missing = (1.0 - self.available_tokens(inputs)).max(0.0);
+        inputs.now_us + ((missing / self.rate(inputs)).ceil() as u64).clamp(1, 1_000_000)
     }
 }
 
@@ -155,14 +156,15 @@
     use super::*;
     use googletest::prelude::*;
 
-    fn starts(falls: u32, nodes: u32, from: u64, until: u64, work_us: f64) -> u32 {
+    /// Requests that all nodes start when each tries every 500 µs.
+    fn starts(outages: u32, nodes: u32, from_us: u64, until_us: u64, latency_us: f64) -> u32 {
         let mut total = 0;
         for _ in 0..nodes {
-            let mut ease = Ease::new(Plan::default(), falls, 0, 0);
-            for now in (from..until).step_by(500) {
-                let scale = Scale { now, capacity: 5, nodes, work_us };
-                if ease.has(&scale, 0) {
-                    ease.take(&scale);
+            let mut slow_start = SlowStart::new(SlowStartConfig::default(), outages, 0, 0);
+            for now_us in (from_us..until_us).step_by(500) {
+                let inputs = RateInputs { now_us, capacity: 5, nodes, latency_us };
+                if slow_start.can_start(&inputs, 0) {
+                    slow_start.record_start(&inputs);
                     total += 1;
                 }
             }
@@ -171,38 +173,38 @@
     }
 
     #[gtest]
-    fn given_any_number_of_nodes_when_all_press_then_their_starts_add_up_to_what_one_would_make() {
-        let bears = starts(1, 1, 0, 1_000_000, 10_000.0);
+    fn given_any_number_of_nodes_under_load_then_together_they_start_as_many_requests_as_a_single_node() {
+        let limit = starts(1, 1, 0, 1_000_000, 10_000.0);
         for nodes in [2, 11, 60] {
-            expect_that!(starts(1, nodes, 0, 1_000_000, 10_000.0), le(bears + bears / 10 + nodes));
+            expect_that!(starts(1, nodes, 0, 1_000_000, 10_000.0), le(limit + limit / 10 + nodes));
         }
-        // Five slots at 10 ms each, growing: some 600 starts in the first second.
-        expect_that!(bears, all![gt(450), lt(750)]);
+        // A capacity of 5 at 10 ms per request with a growing share: about 600 starts in the first second.
+        expect_that!(limit, all![gt(450), lt(750)]);
     }
 
     #[gtest]
-    fn given_returns_that_grow_slower_then_less_is_offered_and_after_falls_less_again() {
+    fn given_slower_responses_or_repeated_outages_then_fewer_requests_start() {
         expect_that!(starts(1, 4, 0, 1_000_000, 40_000.0), lt(starts(1, 4, 0, 1_000_000, 10_000.0) / 3));
         expect_that!(starts(3, 4, 0, 1_000_000, 10_000.0), lt(starts(1, 4, 0, 1_000_000, 10_000.0) / 3));
     }
 
     #[gtest]
-    fn given_statements_under_way_then_a_node_holds_back_at_its_part_of_the_budget() {
-        let ease = Ease::new(Plan::default(), 1, 0, 0);
-        let scale = |nodes| Scale { now: 500_000, capacity: 10, nodes, work_us: 10_000.0 };
-        expect_that!((ease.has(&scale(6), 1), ease.has(&scale(6), 2)), eq((true, false)));
-        expect_that!((ease.has(&scale(60), 0), ease.has(&scale(60), 1)), eq((true, false)));
+    fn given_requests_in_flight_then_a_node_stops_at_its_share_of_the_limit() {
+        let slow_start = SlowStart::new(SlowStartConfig::default(), 1, 0, 0);
+        let inputs = |nodes| RateInputs { now_us: 500_000, capacity: 10, nodes, latency_us: 10_000.0 };
+        expect_that!((slow_start.can_start(&inputs(6), 1), slow_start.can_start(&inputs(6), 2)), eq((true, false)));
+        expect_that!((slow_start.can_start(&inputs(60), 0), slow_start.can_start(&inputs(60), 1)), eq((true, false)));
     }
 
     #[gtest]
-    fn given_a_debt_from_open_transactions_then_new_starts_wait_it_out() {
-        let mut ease = Ease::new(Plan::default(), 1, 0, 0);
-        let scale = |now| Scale { now, capacity: 5, nodes: 5, work_us: 10_000.0 };
-        (0..3).for_each(|_| ease.take(&scale(1000)));
-        expect_that!(ease.has(&scale(30_000), 0), eq(false));
-        let due = ease.next(&scale(30_000));
+    fn given_a_negative_balance_from_open_transactions_then_new_requests_wait_until_it_is_refilled() {
+        let mut slow_start = SlowStart::new(SlowStartConfig::default(), 1, 0, 0);
+        let inputs = |now_us| RateInputs { now_us, capacity: 5, nodes: 5, latency_us: 10_000.0 };
+        (0..3).for_each(|_| slow_start.record_start(&inputs(1000)));
+        expect_that!(slow_start.can_start(&inputs(30_000), 0), eq(false));
+        let due = slow_start.next_start_us(&inputs(30_000));
         expect_that!(due, gt(35_000));
-        expect_that!(ease.has(&scale(due + 1000), 0), eq(true));
-        expect_that!(ease.is_over(2_000_000), eq(true));
+        expect_that!(slow_start.can_start(&inputs(due + 1000), 0), eq(true));
+        expect_that!(slow_start.is_over(2_000_000), eq(true));
     }
 }
