--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -44,7 +44,7 @@
     pub(crate) unplaced: Vec<u64>,
     /// Services with a promotion in progress: until when to expect it, and the candidate.
     pub(crate) promoting: Map<u16, (u64, String)>,
-    pub(crate) slow_start_plan: wv_slow_start::Plan,
+    pub(crate) slow_start_plan: wv_slow_start::SlowStartConfig,
     /// The request that is being taken from a pool's queue.
     pub(crate) dequeued: Option<u64>,
     /// When a request was last routed to each service's primary.
@@ -54,7 +54,7 @@
     /// There are too many databases to keep idle connections to all of them.
     pub(crate) has_many_databases: bool,
     pub(crate) maintenance_round: u64,
-    pub(crate) slow_starts: Map<DatabaseKey, wv_slow_start::Ease>,
+    pub(crate) slow_starts: Map<DatabaseKey, wv_slow_start::SlowStart>,
     pub(crate) tenant_shares: crate::tenant_shares::TenantShares,
     pub(crate) forwarding: crate::forwarding::Forwarding,
     pub(crate) slots: crate::slots::SlotState,
@@ -85,7 +85,7 @@
             drain: Default::default(),
             unplaced: Vec::new(),
             promoting: Map::default(),
-            slow_start_plan: wv_slow_start::Plan::default(),
+            slow_start_plan: wv_slow_start::SlowStartConfig::default(),
             dequeued: None,
             last_write_at: Map::default(),
             tie_break_salt: 0,
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -174,9 +174,9 @@
                 }
                 let class = self.clients.get(&client).map_or(0, |client| client.request.route_class());
                 if let Some(pool) = self.pools.get_mut(&spot) {
-                    pool.slowest[class].note(self.now.saturating_sub(reply.sent_at));
+                    pool.slowest[class].record(self.now.saturating_sub(reply.sent_at));
                     pool.last_returned_sent_at = pool.last_returned_sent_at.max(reply.sent_at);
-                    pool.service_time.note(self.now.saturating_sub(reply.sent_at));
+                    pool.service_time.record(self.now.saturating_sub(reply.sent_at));
                 }
                 if code.is_none() && reply.is_fenced {
                     if let (Some(pos), Some(checker)) = (pos, self.checks.service_mut(spot.service)) {
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -119,7 +119,7 @@
             Ok(stream) => stream,
             Err(error) => return self.with(|core, now| core.db_lost(id, classify_io_error(&error), now)),
         };
-        wv_http::tune(&stream, DB_TCP_TIMEOUT);
+        wv_http::configure_stream(&stream, DB_TCP_TIMEOUT);
         let (mut reader, sock) = Socket::split(stream);
         // The core has dropped this connection while it was being opened.
         if self.core.borrow_mut().db_output(id).is_none() {
@@ -147,7 +147,7 @@
             if self.clients.borrow().len() >= clients_max {
                 continue;
             }
-            wv_http::tune(&stream, CLIENT_TCP_TIMEOUT);
+            wv_http::configure_stream(&stream, CLIENT_TCP_TIMEOUT);
             let (mut reader, sock) = Socket::split(stream);
             let id = self.core.borrow_mut().client_opened(self.now());
             self.clients.borrow_mut().insert(id, sock.clone());
--- a/crates/wv-access/src/pool.rs
+++ b/crates/wv-access/src/pool.rs
@@ -15,9 +15,9 @@
     /// The latest send time among answered statements.
     pub last_returned_sent_at: u64,
     /// Typical execution time of statements.
-    pub service_time: wv_slow_start::Work,
+    pub service_time: wv_slow_start::LatencyEstimate,
     /// Recent maximum latencies, by route class.
-    pub slowest: [wv_slow_start::Slowest; 2],
+    pub slowest: [wv_slow_start::MaxLatency; 2],
     /// When a request was last routed here.
     pub last_used_at: u64,
     /// Connections that reported a newer term than this node's slot map.
