--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -150,7 +150,7 @@
     if !(0.0..=1e8).contains(&record) {
         return Err(MainError::OutOfRange("record", record, "0 to 100000000 events"));
     }
-    Ok(wv_access::Options { slow_start: ease: slow_start, calendar: calendar(args)?, record_events: record as usize })
+    Ok(wv_access::Options { slow_start, calendar: calendar(args)?, record_events: record as usize })
 }
 
 fn load_settings(args: &ArgMatches) -> Result<(wv_settings::Settings, String), MainError> {
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -14,11 +14,10 @@
 
     fn slow_start_scale(&self, spot: DatabaseKey) -> RateInputs {
         let capacity = self.checks.database(spot).map_or(1, |member| member.instance.capacity);
-        let work_us =
-            self
-            .pools
-            .get(&spot)
-            .map_or_else(|| wv_slow_start::LatencyEstimate::default().latency_us(), |pool| pool.service_time.latency_us());
+        let work_us = self.pools.get(&spot).map_or_else(
+            || wv_slow_start::LatencyEstimate::default().latency_us(),
+            |pool| pool.service_time.latency_us(),
+        );
         RateInputs { now_us: self.now, capacity, nodes: self.node_count, latency_us: work_us }
     }
 
--- a/crates/wv-simulation/tests/slow_start.rs
+++ b/crates/wv-simulation/tests/slow_start.rs
@@ -8,7 +8,8 @@
 /// Six access nodes under load, with slow start enabled or disabled.
 fn world_under_load(is_slow_start_on: bool) -> World {
     let mut world = World::serving(6, 3);
-    let plan = wv_slow_start::SlowStartConfig { is_enabled: is_slow_start_on, ..wv_slow_start::SlowStartConfig::default() };
+    let plan =
+        wv_slow_start::SlowStartConfig { is_enabled: is_slow_start_on, ..wv_slow_start::SlowStartConfig::default() };
     world.access.iter_mut().filter_map(|node| node.core.as_mut()).for_each(|core| core.set_slow_start(plan));
     world.load(120, "p");
     world.load(60, "b");
