--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -1,5 +1,5 @@
 //! Dispatches requests according to the routing decision.
-use crate::core::{Core, Pool};
+use crate::core::Core;
 use crate::timer::Timer;
 use crate::types::Verb;
 use wv_health::DatabaseKey;
@@ -81,11 +81,8 @@
         let outstanding = pool.total.saturating_sub(pool.idle.len() as u32 + pool.opening) + pool.waiting.len() as u32;
         // With on-demand connections, prefers pools that have an idle one.
         let is_warm = !self.has_many_databases || !pool.idle.is_empty();
-        PoolAvailability {
-            outstanding,
-            can_accept: self.can_queue(spot, tenant) && self.can_start_request(spot),
-            is_warm,
-        }
+        let can_accept = self.can_queue(spot, tenant) && self.can_start_request(spot);
+        PoolAvailability { outstanding, can_accept, is_warm }
     }
 
     fn place_request(&mut self, id: u64, spot: DatabaseKey, minpos: Option<LogPosition>, is_wrapped: bool) {
@@ -226,8 +223,7 @@
 
     /// Dispatches the requests without a target again after a routing change.
     pub(crate) fn dispatch_unplaced(&mut self) {
-        let stranded = std::mem::take(&mut self.unplaced);
-        for id in stranded {
+        for id in std::mem::take(&mut self.unplaced) {
             let is_waiting = self.clients.get(&id).is_some_and(|client| {
                 let request = &client.request;
                 request.is_open
@@ -243,8 +239,7 @@
 
     /// Dispatches the requests queued for an isolated instance elsewhere.
     pub(crate) fn redispatch_queue(&mut self, spot: DatabaseKey) {
-        let pool: Option<&mut Pool> = self.pools.get_mut(&spot);
-        let waiting = pool.map(|pool| std::mem::take(&mut pool.waiting)).unwrap_or_default();
+        let waiting = self.pools.get_mut(&spot).map(|pool| std::mem::take(&mut pool.waiting)).unwrap_or_default();
         for id in waiting {
             if let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.queue == Some(spot)) {
                 client.request.queue = None;
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -1,5 +1,6 @@
 //! Shares of this node's capacity among tenants: sessions, open requests, queue places and connections.
 use crate::core::Core;
+use wv_configuration::Configuration;
 use wv_fair_queue::{TenantUsage, Tenants};
 use wv_health::DatabaseKey;
 
@@ -38,11 +39,7 @@
     }
 
     /// New weights apply to requests that start from now on.
-    pub(crate) fn set_tenants(
-        &mut self,
-        conf: &wv_configuration::Configuration,
-        before: Option<&wv_configuration::Configuration>,
-    ) {
+    pub(crate) fn set_tenants(&mut self, conf: &Configuration, before: Option<&Configuration>) {
         // Without tenants before and after, no session changes.
         if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -165,17 +165,11 @@
         }
     }
 
-    pub(crate) fn send_db_request(&mut self, service: &str, id: String, text: String, turn: u64) {
+    pub(crate) fn send_db_request(&mut self, service: &str, id: String, statement: String, turn: u64) {
         match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
-                let ask = self.track_request(service, &id, turn);
-                self.actions.push(Action::QueryDatabase {
-                    request: ask,
-                    service: service.to_owned(),
-                    id,
-                    addr,
-                    statement: text,
-                });
+                let request = self.track_request(service, &id, turn);
+                self.actions.push(Action::QueryDatabase { request, service: service.to_owned(), id, addr, statement });
             }
             None => self.on_duty_event(service, turn, Event::Status { id, reply: Err(StatusError::Refused) }),
         }
