--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -81,8 +81,8 @@
         now += 1_000_000;
         let put = timed(|| control.handle_call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
         control.tick(now + 1);
-        let sent = control.take_actions().into_iter().filter_map(|act| match act {
-            wv_control::Action::Send {
+        let sent = control.take_effects().into_iter().filter_map(|act| match act {
+            wv_control::Effect::Send {
                 msg: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
                 ..
             } => Some(msg),
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -5,7 +5,7 @@
 use wv_consensus::{Completion, OperationOutcome};
 
 impl Core {
-    /// Handles a call of an operator or a database; the response follows as an action under `token`.
+    /// Handles a call of an operator or a database; the response follows as an effect under `token`.
     pub fn handle_call(&mut self, token: u64, method: &str, path: &str, body: Option<&[u8]>, now: u64) {
         if let Some((status, body)) = self.handle_head(method, path, now) {
             return self.respond(token, status, body);
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -1,4 +1,4 @@
-pub use crate::types::{Action, Start};
+pub use crate::types::{Effect, Start};
 use crate::types::{Link, Operation, Outages, Peer};
 use std::collections::BTreeMap;
 use wv_change_feed::{Feed, InstanceTable};
@@ -53,7 +53,7 @@
     pub(crate) peers: BTreeMap<String, Peer>,
     pub(crate) operations: BTreeMap<u64, Operation>,
     pub(crate) leave_acks: crate::leave_acks::LeaveAcks,
-    pub(crate) actions: Vec<Action>,
+    pub(crate) effects: Vec<Effect>,
     pub(crate) next_id: u64,
     /// The newest configuration version known to be stored by a majority.
     pub(crate) committed_version: u64,
@@ -155,7 +155,7 @@
             peers,
             operations: BTreeMap::new(),
             leave_acks: Default::default(),
-            actions: Vec::new(),
+            effects: Vec::new(),
             next_id: 0,
             committed_version: 0,
             committed_digest: 0,
@@ -209,8 +209,8 @@
         Ok(core)
     }
 
-    pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.actions)
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 
     pub fn allocate_id(&mut self) -> u64 {
@@ -220,7 +220,7 @@
 
     pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
         self.drains.stamp_ages(&mut msg, self.now);
-        self.actions.push(Action::Send { link, msg });
+        self.effects.push(Effect::Send { link, msg });
     }
 
     pub(crate) fn send_peer(&mut self, addr: &str, msg: Message) -> bool {
@@ -245,6 +245,6 @@
     }
 
     pub(crate) fn respond(&mut self, token: u64, status: u16, body: impl Into<Vec<u8>>) {
-        self.actions.push(Action::Respond { token, status, body: body.into() });
+        self.effects.push(Effect::Respond { token, status, body: body.into() });
     }
 }
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,9 +1,9 @@
 //! Duties held by this node: inputs to the promotion state machines and execution of their effects.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use crate::types::{Operation, PendingRequest};
 use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
-use wv_promotion::{Database, Effect, Event, ServiceView, StatusError, StatusReply};
+use wv_promotion::{Database, Effect as PromotionEffect, Event, ServiceView, StatusError, StatusReply};
 
 /// How long contact must have lasted before a duty is acted on, so that membership is known.
 const STABLE_CONTACT_US: u64 = 800_000;
@@ -123,23 +123,23 @@
         ask
     }
 
-    fn apply_effect(&mut self, service: &str, effect: Effect) {
+    fn apply_effect(&mut self, service: &str, effect: PromotionEffect) {
         log::info!("duty {service}: {effect:?}");
         let turn = self.duty_step(service);
         match effect {
-            Effect::ClaimFence => self.claim_duty(service),
-            Effect::ConfirmFence => {
+            PromotionEffect::ClaimFence => self.claim_duty(service),
+            PromotionEffect::ConfirmFence => {
                 self.calls.confirm_started.insert(service.to_owned(), self.now);
                 self.start_duty_op(service, Operation::ConfirmDuty(service.to_owned(), turn), None);
             }
-            Effect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
-            Effect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
-            Effect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
-            Effect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
-            Effect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
-            Effect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
-            Effect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
-            Effect::AnnounceLeader { id, term } => {
+            PromotionEffect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
+            PromotionEffect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
+            PromotionEffect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
+            PromotionEffect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
+            PromotionEffect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
+            PromotionEffect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
+            PromotionEffect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
+            PromotionEffect::AnnounceLeader { id, term } => {
                 let lead = Leader { service: service.to_owned(), id, term };
                 self.send_peers(&Message::Leader(lead.clone()));
                 self.on_leader(lead);
@@ -169,7 +169,7 @@
         match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
                 let request = self.track_request(service, &id, turn);
-                self.actions.push(Action::QueryDatabase { request, service: service.to_owned(), id, addr, statement });
+                self.effects.push(Effect::QueryDatabase { request, service: service.to_owned(), id, addr, statement });
             }
             None => self.on_duty_event(service, turn, Event::Status { id, reply: Err(StatusError::Refused) }),
         }
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -1,5 +1,5 @@
-//! The executor of a control node: passes messages, calls and time to the core and performs its actions.
-use crate::core::{Action, Core};
+//! The executor of a control node: passes messages, calls and time to the core and performs its effects.
+use crate::core::{Core, Effect};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -48,46 +48,46 @@
     }
 
     pub fn with_core<T>(&self, event: impl FnOnce(&mut Core, u64) -> T) -> T {
-        let (ret, actions) = {
+        let (ret, effects) = {
             let mut core = self.core.borrow_mut();
             let ret = event(&mut core, self.now());
-            (ret, core.take_actions())
+            (ret, core.take_effects())
         };
-        actions.into_iter().for_each(|action| self.execute(action));
+        effects.into_iter().for_each(|effect| self.execute(effect));
         ret
     }
 
-    fn execute(&self, action: Action) {
-        match action {
-            Action::Send { link, msg } => {
+    fn execute(&self, effect: Effect) {
+        match effect {
+            Effect::Send { link, msg } => {
                 let is_queue_full = self.links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
                 if is_queue_full {
                     self.links.borrow_mut().remove(&link);
                 }
             }
-            Action::Close { link } => {
+            Effect::Close { link } => {
                 self.links.borrow_mut().remove(&link);
             }
-            Action::Dial { link, addr } => {
+            Effect::Dial { link, addr } => {
                 tokio::task::spawn_local(self.clone().dial(link, addr));
             }
-            Action::QueryDatabase { request, service, id, addr, statement } => {
+            Effect::QueryDatabase { request, service, id, addr, statement } => {
                 tokio::task::spawn_local(self.clone().query_database(request, service, id, (addr, statement)));
             }
-            Action::RunStatements { request, service, id, addr, statements } => {
+            Effect::RunStatements { request, service, id, addr, statements } => {
                 tokio::task::spawn_local(self.clone().run_statements(request, service, (id, addr), statements));
             }
-            Action::PromoteDatabase { request, service, id, fence, deadline_us } => {
+            Effect::PromoteDatabase { request, service, id, fence, deadline_us } => {
                 tokio::task::spawn_local(self.clone().promote_database(request, service, id, (fence, deadline_us)));
             }
-            Action::Wake { delay_us } => {
+            Effect::Wake { delay_us } => {
                 let node = self.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(std::time::Duration::from_micros(delay_us)).await;
                     node.with_core(|core, now| core.wake(now));
                 });
             }
-            Action::Respond { token, status, body } => {
+            Effect::Respond { token, status, body } => {
                 let ret = self.responses.borrow_mut().remove(&token);
                 ret.into_iter().for_each(|sender| {
                     let _ = sender.send(wv_http::Return::new(status, body.clone()));
--- a/crates/wv-control/src/lib.rs
+++ b/crates/wv-control/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control role: registers, configuration, database heartbeats, change feed and failover duties.
 //!
-//! `Core` is free of I/O; `run` executes the actions that it requests.
+//! `Core` is free of I/O; `run` executes the effects that it requests.
 mod admission;
 mod committed;
 mod conf;
@@ -39,7 +39,7 @@
 mod voter_handover;
 mod voter_set;
 
-pub use crate::core::{Action, Core, Start};
+pub use crate::core::{Core, Effect, Start};
 pub use run::run;
 pub use statements::run_statements;
 
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -74,7 +74,7 @@
             }
             (msg, Some(addr), _) => self.handle_peer_message(link, &addr, msg),
             (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
-            (_, None, None) => self.actions.push(crate::Action::Close { link }),
+            (_, None, None) => self.effects.push(crate::Effect::Close { link }),
         }
         self.run_quorum();
     }
@@ -115,7 +115,7 @@
             Message::HealthReports(reports) => self.handle_node_reports(node, reports),
             Message::DirtyKeys(dirty_keys) => self.on_write_marks(node, dirty_keys),
             Message::KeySamples(samples) => self.on_shard_report(node, samples),
-            _ => self.actions.push(crate::Action::Close { link }),
+            _ => self.effects.push(crate::Effect::Close { link }),
         }
     }
 
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform: rate limited, and sent only while the fence is confirmed by a majority. If the platform does
 //! not check fences, this alone keeps a call of an old duty holder from arriving after one of the new holder.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use crate::types::Operation;
 use std::collections::BTreeMap;
 use wv_consensus::OperationOutcome;
@@ -71,14 +71,14 @@
             return self.call_platform(request, service, id, (fence, began));
         }
         self.calls.queue.push(PlatformCall { request, due: self.now + wait, service: service.to_owned(), id, fence });
-        self.actions.push(Action::Wake { delay_us: wait.max(1) });
+        self.effects.push(Effect::Wake { delay_us: wait.max(1) });
     }
 
     fn call_platform(&mut self, request: u64, service: &str, id: String, (fence, began): (u64, u64)) {
         self.calls.last_call = self.now;
         self.count_promotion_call(service);
         let deadline_us = began + CONFIRMATION_VALIDITY_US;
-        self.actions.push(Action::PromoteDatabase { request, service: service.to_owned(), id, fence, deadline_us });
+        self.effects.push(Effect::PromoteDatabase { request, service: service.to_owned(), id, fence, deadline_us });
     }
 
     /// Starts the confirmation of calls that are due.
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -75,7 +75,7 @@
         let is_armed = |due: &u64| self.next_wake > self.now && self.next_wake <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
             self.next_wake = due.max(self.now + 1);
-            self.actions.push(crate::Action::Wake { delay_us: self.next_wake - self.now });
+            self.effects.push(crate::Effect::Wake { delay_us: self.next_wake - self.now });
         }
     }
 
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,5 +1,5 @@
 //! Planned shards: which node drives their splits, and execution of the split state machine's orders.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use std::collections::BTreeMap;
 use wv_internal_protocol::{Message, SlotMap, WriteMarks};
 use wv_shard_split::{Event, Names, Order, Plan, Side, Split, View};
@@ -146,7 +146,7 @@
                 };
                 let run = self.allocate_id();
                 self.shards.entry(shard.to_owned()).or_default().runs.insert(run, token);
-                self.actions.push(Action::RunStatements { request: run, service, id, addr, statements: texts });
+                self.effects.push(Effect::RunStatements { request: run, service, id, addr, statements: texts });
             }
         }
     }
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -1,5 +1,5 @@
 //! Periodic work of a control node.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use crate::types::Link;
 use wv_internal_protocol::{FeedUpdate, Message};
 
@@ -93,7 +93,7 @@
             }
             self.links
                 .insert(link, Link { peer: Some(addr.clone()), node: None, is_subscriber: false, resume_from: None });
-            self.actions.push(Action::Dial { link, addr });
+            self.effects.push(Effect::Dial { link, addr });
         }
     }
 
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -3,7 +3,7 @@
 
 /// A side effect for the executor to perform.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Action {
+pub enum Effect {
     Send {
         link: u64,
         msg: Message,
--- a/crates/wv-control/tests/common/mod.rs
+++ b/crates/wv-control/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A single control node driven by individual messages.
 use std::collections::BTreeMap;
 use wv_consensus::{MemoryFiles, Store};
-use wv_control::{Action, Core, Start};
+use wv_control::{Core, Effect, Start};
 use wv_internal_protocol::Message;
 
 /// A control node and its outgoing links by address.
@@ -30,13 +30,13 @@
         let core = Core::new(start, store).expect("it starts");
         let mut node = Node { core, links: BTreeMap::new(), now: 1_000_000 };
         node.core.tick(node.now);
-        for act in node.core.take_actions() {
-            if let Action::Dial { link, addr } = act {
+        for effect in node.core.take_effects() {
+            if let Effect::Dial { link, addr } = effect {
                 node.core.link_up(link, node.now);
                 node.links.insert(addr, link);
             }
         }
-        node.core.take_actions();
+        node.core.take_effects();
         node
     }
 
@@ -49,8 +49,10 @@
     }
 
     pub fn take_sent(&mut self) -> Vec<(u64, Message)> {
-        let acts = self.core.take_actions().into_iter();
-        acts.filter_map(|act| if let Action::Send { link, msg } = act { Some((link, msg)) } else { None }).collect()
+        let effects = self.core.take_effects().into_iter();
+        effects
+            .filter_map(|effect| if let Effect::Send { link, msg } = effect { Some((link, msg)) } else { None })
+            .collect()
     }
 
     pub fn tick(&mut self) -> Vec<(u64, Message)> {
--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -1,6 +1,6 @@
 //! Replies to requests of a control node: a late or repeated reply must not count for another request.
 use googletest::prelude::*;
-use wv_control::{Action, Core, Start};
+use wv_control::{Core, Effect, Start};
 use wv_internal_protocol::Message;
 use wv_promotion::StatusReply;
 use wv_wire_protocol::{DatabaseStatus, LogPosition};
@@ -48,13 +48,13 @@
     }
 
     fn apply_actions(&mut self) {
-        for act in self.core.take_actions() {
-            match act {
-                Action::QueryDatabase { request, id, statement, .. } => self.requests.push((request, id, statement)),
-                Action::PromoteDatabase { request, id, fence, .. } => {
+        for effect in self.core.take_effects() {
+            match effect {
+                Effect::QueryDatabase { request, id, statement, .. } => self.requests.push((request, id, statement)),
+                Effect::PromoteDatabase { request, id, fence, .. } => {
                     self.requests.push((request, id, format!("POST {fence}")))
                 }
-                Action::Respond { token, status, .. } => self.responses.push((token, status)),
+                Effect::Respond { token, status, .. } => self.responses.push((token, status)),
                 _ => {}
             }
         }
--- a/crates/wv-control/tests/single_node/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -1,6 +1,6 @@
 //! One control node of three, whose peers are simulated by the test.
 use std::collections::BTreeMap;
-use wv_control::{Action, Core, Start};
+use wv_control::{Core, Effect, Start};
 use wv_internal_protocol::{Ballot, Message, RegisterReply, RegisterRequest, RegisterValue};
 
 pub const MS: u64 = 1000;
@@ -50,21 +50,21 @@
     }
 
     pub fn apply_actions(&mut self) {
-        for act in self.core.take_actions() {
-            match act {
-                Action::Dial { link, addr } => {
+        for effect in self.core.take_effects() {
+            match effect {
+                Effect::Dial { link, addr } => {
                     self.links.insert(addr, link);
                     self.core.link_up(link, self.now);
                     self.apply_actions();
                 }
-                Action::Send { link, msg } => {
+                Effect::Send { link, msg } => {
                     let to = self.links.iter().find(|(_, its)| **its == link).map(|(addr, _)| addr.clone());
                     to.into_iter().for_each(|to| self.sent.push((to, msg.clone())));
                 }
-                Action::Respond { token, status, .. } => {
+                Effect::Respond { token, status, .. } => {
                     self.responses.insert(token, status);
                 }
-                Action::QueryDatabase { .. } => self.database_queries += 1,
+                Effect::QueryDatabase { .. } => self.database_queries += 1,
                 _ => {}
             }
         }
--- a/crates/wv-simulation/src/controls.rs
+++ b/crates/wv-simulation/src/controls.rs
@@ -2,7 +2,7 @@
 use crate::nodes::End;
 use crate::world::{Ev, World, HOP};
 use crate::MS;
-use wv_control::Action as ControlAct;
+use wv_control::Effect as ControlEffect;
 
 impl World {
     pub fn start_control(&mut self, at: usize, is_first: bool) {
@@ -47,7 +47,7 @@
         let now = self.now;
         let core = self.controls[at].core.as_mut()?;
         let ret = event(core, now);
-        let acts = core.take_actions();
+        let acts = core.take_effects();
         // Power went in the middle of a write: nothing that followed from it was said.
         if self.controls[at].faults.is_dead() {
             self.power_control(at, 0);
@@ -57,25 +57,25 @@
         Some(ret)
     }
 
-    fn control_act(&mut self, at: usize, act: ControlAct) {
+    fn control_act(&mut self, at: usize, act: ControlEffect) {
         match act {
-            ControlAct::Send { link, msg } => {
+            ControlEffect::Send { link, msg } => {
                 self.note_owner(&msg);
                 if let Some(to) = self.controls[at].far.get(&link).copied() {
                     self.put(HOP, Ev::Link { to, msg });
                 }
             }
-            ControlAct::Close { link } => {
+            ControlEffect::Close { link } => {
                 let far = self.controls[at].far.remove(&link);
                 far.into_iter().for_each(|end| self.put(HOP, Ev::LinkDown { end }));
             }
-            ControlAct::Dial { link, addr } => self.dial(at, link, &addr),
-            ControlAct::Wake { delay_us: us } => self.put(us, Ev::ControlWake(at, self.controls[at].life)),
-            ControlAct::Respond { token, status, body } => {
+            ControlEffect::Dial { link, addr } => self.dial(at, link, &addr),
+            ControlEffect::Wake { delay_us: us } => self.put(us, Ev::ControlWake(at, self.controls[at].life)),
+            ControlEffect::Respond { token, status, body } => {
                 self.note_return(token, status);
                 self.returns.insert(token, (status, body));
             }
-            ControlAct::QueryDatabase { request: ask, id, statement: text, .. } => {
+            ControlEffect::QueryDatabase { request: ask, id, statement: text, .. } => {
                 let is_open = |base: &usize| {
                     let held = &self.bases[*base];
                     !held.is_dark && !self.is_cut(&self.controls[at].name, &held.id)
@@ -89,10 +89,10 @@
                 let wait = if word.is_ok() { 15 * MS } else { 100 * MS };
                 self.put(wait, Ev::Row { control: at, life: self.controls[at].life, ask, word });
             }
-            ControlAct::RunStatements { request: run, id, statements: texts, .. } => {
+            ControlEffect::RunStatements { request: run, id, statements: texts, .. } => {
                 self.run_texts(at, run, &id, &texts)
             }
-            ControlAct::PromoteDatabase { request: ask, service, id, fence, .. } => {
+            ControlEffect::PromoteDatabase { request: ask, service, id, fence, .. } => {
                 self.post(at, ask, service, (id, fence))
             }
         }
