--- a/crates/wv-access/src/control_session.rs
+++ b/crates/wv-access/src/control_session.rs
@@ -209,8 +209,8 @@
                         Message::DirtyKeysAck { shard, attempt, incarnation, serial, .. } => {
                             node.with(|core, now| core.dirty_keys_acked(&shard, attempt, (incarnation, serial), now));
                         }
-                        Message::KeySamplesAck { shard, incarnation, serial, .. } => {
-                            node.with(|core, now| core.key_samples_acked(&shard, (incarnation, serial), now));
+                        Message::ShardReportAck { shard, incarnation, serial, .. } => {
+                            node.with(|core, now| core.shard_report_acked(&shard, (incarnation, serial), now));
                         }
                         msg => {
                             if node.with(|core, now| core.apply_feed_message(msg, now)).is_err() {
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -1,7 +1,7 @@
 //! Reports to the node that coordinates a shard split: dirty keys, key samples and key names. At most one report of
 //! each kind is in flight per shard; it is resent until acknowledged.
 use crate::core::Core;
-use wv_internal_protocol::{Message, ShardReport, SplitPhase, WriteMarks};
+use wv_internal_protocol::{DirtyKeys, Message, ShardReport, SplitPhase};
 use wv_shard_forecast::{hash, slot_for_key, KeySample, Sample};
 
 const RESEND_INTERVAL_US: u64 = 700_000;
@@ -35,7 +35,7 @@
     is_final: bool,
     serial: u64,
     /// The unacknowledged report and when it was last sent, 0 if not yet.
-    in_flight: Option<(u64, WriteMarks)>,
+    in_flight: Option<(u64, DirtyKeys)>,
 }
 
 impl DirtyKeyTracker {
@@ -161,7 +161,7 @@
                 dirty.is_report_due = !dirty.keys.is_empty();
                 let is_last = dirty.is_final && shard.map.phase == SplitPhase::Sealed && dirty.keys.is_empty();
                 let (shard, serial) = (name.clone(), dirty.serial);
-                dirty.in_flight = Some((0, WriteMarks { shard, attempt, incarnation, serial, keys, is_last }));
+                dirty.in_flight = Some((0, DirtyKeys { shard, attempt, incarnation, serial, keys, is_last }));
             }
             if let Some((at, sent)) = dirty.in_flight.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
@@ -188,7 +188,7 @@
             }
             if let Some((at, sent)) = sampler.in_flight.as_mut().filter(|(at, _)| *at == 0 || is_lost(*at)) {
                 *at = now;
-                messages.push(Message::KeySamples(sent.clone()));
+                messages.push(Message::ShardReport(sent.clone()));
             }
         }
         messages
@@ -209,7 +209,7 @@
     }
 
     /// The coordinator has persisted the keys of a report: writes that waited for them proceed.
-    pub fn key_samples_acked(&mut self, shard: &str, (incarnation, serial): (u64, u64), now: u64) {
+    pub fn shard_report_acked(&mut self, shard: &str, (incarnation, serial): (u64, u64), now: u64) {
         self.now = self.now.max(now);
         if incarnation != self.slots.incarnation {
             return;
--- a/crates/wv-access/tests/split_reports.rs
+++ b/crates/wv-access/tests/split_reports.rs
@@ -20,7 +20,7 @@
                 (dirty_serial, _) =
                     (report.serial, expect_that!((report.incarnation, report.attempt), eq((NODE_INCARNATION, 5))))
             }
-            Message::KeySamples(report) => {
+            Message::ShardReport(report) => {
                 (sample_serial, _) = (report.serial, expect_that!(report.incarnation, eq(NODE_INCARNATION)))
             }
             _ => {}
@@ -30,7 +30,7 @@
     // An earlier incarnation of the node used the same serial numbers.
     bare.core.dirty_keys_acked("s", 5, (NODE_INCARNATION - 1, dirty_serial), bare.now);
     bare.core.dirty_keys_acked("s", 4, (NODE_INCARNATION, dirty_serial), bare.now);
-    bare.core.key_samples_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
+    bare.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
     bare.apply_effects();
     expect_that!(
         bare.statement_count("WRITE"),
@@ -43,14 +43,14 @@
     let client = bare.connect_client("shop");
     bare.send_line(client, "QUERY w2 WRITE l d");
     let serial = |msg: &Message| match msg {
-        Message::KeySamples(report) => Some(report.serial),
+        Message::ShardReport(report) => Some(report.serial),
         _ => None,
     };
     let sample_serial = bare.core.take_split_reports(false).iter().find_map(serial).expect("a new key is reported");
-    bare.core.key_samples_acked("s", (NODE_INCARNATION - 1, sample_serial), bare.now);
+    bare.core.shard_report_acked("s", (NODE_INCARNATION - 1, sample_serial), bare.now);
     bare.apply_effects();
     expect_that!(bare.statement_count("QUERY w2"), eq(0), "its key is not yet persisted");
-    bare.core.key_samples_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
+    bare.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
     bare.apply_effects();
     expect_that!(bare.statement_count("QUERY w2"), eq(1));
 }
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -113,8 +113,8 @@
                 self.serve_subscriptions();
             }
             Message::HealthReports(reports) => self.handle_node_reports(node, reports),
-            Message::DirtyKeys(dirty_keys) => self.on_write_marks(node, dirty_keys),
-            Message::KeySamples(samples) => self.on_shard_report(node, samples),
+            Message::DirtyKeys(dirty_keys) => self.on_dirty_keys(node, dirty_keys),
+            Message::ShardReport(report) => self.on_shard_report(node, report),
             _ => self.effects.push(crate::Effect::Close { link }),
         }
     }
@@ -182,7 +182,7 @@
             Message::RegisterReply { requester, request, key, vote } => {
                 self.quorum.on_reply(addr, (requester, request), &key, vote, self.now);
             }
-            Message::Takeover(msg) => self.on_catch_up(link, addr, msg),
+            Message::CatchUp(msg) => self.on_catch_up(link, addr, msg),
             Message::Leaving => self.on_peer_leaving(addr),
             Message::Handover(msg) => self.on_handover(link, addr, msg),
             msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
@@ -208,12 +208,12 @@
             Message::Leader(lead) => self.on_leader(lead),
             Message::Owner(owner) => self.on_owner(owner),
             Message::Slots(map) => self.publish_slots(map),
-            Message::PeerDirtyKeys { node, dirty_keys } => self.on_write_marks(&node, dirty_keys),
-            Message::PeerKeySamples { node, samples } => self.on_shard_report(&node, samples),
+            Message::PeerDirtyKeys { node, dirty_keys } => self.on_dirty_keys(&node, dirty_keys),
+            Message::PeerShardReport { node, report } => self.on_shard_report(&node, report),
             Message::ShardStatus { shard, text } => {
                 self.shard_status.insert(shard, text);
             }
-            Message::DirtyKeysAck { ref node, .. } | Message::KeySamplesAck { ref node, .. } => {
+            Message::DirtyKeysAck { ref node, .. } | Message::ShardReportAck { ref node, .. } => {
                 let node = node.clone();
                 self.forward_to_access_node(&node, &msg);
             }
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -129,7 +129,7 @@
         if is_kept {
             // Reports that named only stored keys can be acknowledged at once.
             let acks = std::mem::take(&mut held.usage.pending_acks);
-            acks.into_iter().for_each(|ack| self.send_samples_ack(shard, ack));
+            acks.into_iter().for_each(|ack| self.send_report_ack(shard, ack));
         }
         if held.usage.reported_at + REPORT_INTERVAL_US <= now {
             held.usage.reported_at = now;
@@ -209,13 +209,13 @@
             let calls = std::mem::take(&mut held.usage.pending_calls);
             return calls.into_iter().for_each(|token| self.respond(token, 503, error_body("not kept, call again")));
         }
-        acked.into_iter().for_each(|ack| self.send_samples_ack(shard, ack));
+        acked.into_iter().for_each(|ack| self.send_report_ack(shard, ack));
         self.run_shard_usage(shard);
     }
 
     /// Acknowledges a report by incarnation and serial: another incarnation may use the same serial.
-    fn send_samples_ack(&mut self, shard: &str, (node, life, serial): (String, u64, u64)) {
-        let msg = Message::KeySamplesAck { node: node.clone(), shard: shard.to_owned(), incarnation: life, serial };
+    fn send_report_ack(&mut self, shard: &str, (node, life, serial): (String, u64, u64)) {
+        let msg = Message::ShardReportAck { node: node.clone(), shard: shard.to_owned(), incarnation: life, serial };
         self.send_to_access_node(&node, msg);
     }
 
@@ -223,7 +223,7 @@
     pub(crate) fn on_shard_report(&mut self, node: &str, report: wv_internal_protocol::ShardReport) {
         let holder = self.shard_holder(&report.shard);
         if holder != self.address {
-            self.send_peer(&holder, Message::PeerKeySamples { node: node.to_owned(), samples: report });
+            self.send_peer(&holder, Message::PeerShardReport { node: node.to_owned(), report });
             return;
         }
         let Some(held) = self.shards.get_mut(&report.shard).filter(|held| held.split.has_ballot()) else { return };
@@ -231,7 +231,7 @@
         report.keys.iter().for_each(|name| held.split.names.add(name));
         let ack = (node.to_owned(), report.incarnation, report.serial);
         if held.split.names.is_kept() && !held.usage.is_writing {
-            return self.send_samples_ack(&report.shard, ack);
+            return self.send_report_ack(&report.shard, ack);
         }
         if !held.usage.pending_acks.contains(&ack) {
             held.usage.pending_acks.push(ack);
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,7 +1,7 @@
 //! Planned shards: which node drives their splits, and execution of the split state machine's orders.
 use crate::core::{Core, Effect};
 use std::collections::BTreeMap;
-use wv_internal_protocol::{Message, SlotMap, WriteMarks};
+use wv_internal_protocol::{DirtyKeys, Message, SlotMap};
 use wv_shard_split::{Event, Names, Order, Plan, Side, Split, View};
 
 /// How long contact must have lasted before a split is driven, so that membership is known.
@@ -173,19 +173,20 @@
         }
     }
 
-    /// Handles write marks from an access node: forwards them to the shard's holder, or to the state machine here.
-    pub(crate) fn on_write_marks(&mut self, node: &str, marks: WriteMarks) {
-        let holder = self.shard_holder(&marks.shard);
+    /// Handles an access node's report of dirty keys: forwards it to the shard's holder, or to the state machine here.
+    pub(crate) fn on_dirty_keys(&mut self, node: &str, dirty_keys: DirtyKeys) {
+        let holder = self.shard_holder(&dirty_keys.shard);
         if holder != self.address {
-            self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys: marks });
+            self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys });
             return;
         }
-        let (shard, attempt, life, serial) = (marks.shard.clone(), marks.attempt, marks.incarnation, marks.serial);
-        // Without the ballot the marks cannot be attributed to an attempt; the access node resends them.
+        let (shard, attempt, life, serial) =
+            (dirty_keys.shard.clone(), dirty_keys.attempt, dirty_keys.incarnation, dirty_keys.serial);
+        // Without the ballot the report cannot be attributed to an attempt; the access node resends it.
         if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
             return;
         }
-        self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks });
+        self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks: dirty_keys });
         self.send_to_access_node(
             node,
             Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -84,7 +84,7 @@
             (self.seat.voters.clone(), self.seat.previous.clone(), self.quorum.next_request());
         let digest = anti_entropy::combined_digest(&anti_entropy::range_digests(&self.store));
         let (now, differing) = (self.now, Vec::new());
-        self.send_peer(&source, Message::Takeover(CatchUp::Compare { request, voters, previous: before, digest }));
+        self.send_peer(&source, Message::CatchUp(CatchUp::Compare { request, voters, previous: before, digest }));
         self.progress.current =
             Some(Comparison { source, request, started_at: now, answered_at: now, set: 0, differing, requested: 0 });
     }
@@ -120,12 +120,12 @@
                 if set > 0 {
                     let digests = anti_entropy::range_digests(&self.store);
                     let digests = if anti_entropy::combined_digest(&digests) == digest { Vec::new() } else { digests };
-                    self.send(link, Message::Takeover(CatchUp::Digests { request, set, digests }));
+                    self.send(link, Message::CatchUp(CatchUp::Digests { request, set, digests }));
                 }
             }
             CatchUp::CompareRanges { request, ranges } => {
                 let (registers, is_complete) = anti_entropy::newer_registers(&self.store, &ranges);
-                self.send(link, Message::Takeover(CatchUp::NewerRegisters { request, registers, is_complete }));
+                self.send(link, Message::CatchUp(CatchUp::NewerRegisters { request, registers, is_complete }));
             }
             CatchUp::Digests { request, set, digests } => self.on_digests(addr, request, set, &digests),
             CatchUp::NewerRegisters { request, registers, is_complete } => {
@@ -178,7 +178,7 @@
         let ranges = anti_entropy::summarize_ranges(&self.store, &held.differing);
         held.requested = ranges.len();
         let (source, request) = (held.source.clone(), held.request);
-        self.send_peer(&source, Message::Takeover(CatchUp::CompareRanges { request, ranges }));
+        self.send_peer(&source, Message::CatchUp(CatchUp::CompareRanges { request, ranges }));
     }
 
     /// Everything that the source held when the comparison started is stored here.
--- a/crates/wv-control/tests/voter_catch_up.rs
+++ b/crates/wv-control/tests/voter_catch_up.rs
@@ -30,7 +30,7 @@
 /// The target and request number of its comparison request, if it sent one.
 fn comparison_request(node: &Node, sent: &[(u64, Message)]) -> Option<(String, u64)> {
     sent.iter().find_map(|(link, msg)| match msg {
-        Message::Takeover(CatchUp::Compare { request, .. }) => {
+        Message::CatchUp(CatchUp::Compare { request, .. }) => {
             let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
             Some((addr[..1].to_owned(), *request))
         }
@@ -48,9 +48,9 @@
     expect_that!(is_voting(&mut node, 1), eq(true));
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
     let sent =
-        node.receive("b", Message::Takeover(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
+        node.receive("b", Message::CatchUp(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
     let told = sent.iter().find_map(|(_, msg)| match msg {
-        Message::Takeover(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
+        Message::CatchUp(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
     expect_that!(told, some(eq(1)));
@@ -64,18 +64,18 @@
     let (first, request) = comparison_request(&node, &sent).expect("a comparison request is sent at once");
     // The digests of the first source differ; it sends one register in an incomplete reply.
     let mut digests = vec![0; anti_entropy::RANGE_COUNT];
-    let sent = node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
-    let is_range_request = |msg: &Message| matches!(msg, Message::Takeover(CatchUp::CompareRanges { .. }));
+    let sent = node.receive(&first, Message::CatchUp(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    let is_range_request = |msg: &Message| matches!(msg, Message::CatchUp(CatchUp::CompareRanges { .. }));
     expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
     let copy = AcceptorState { promised: ballot, accepted: ballot, value: register_value(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
-    let sent = node.receive(&first, Message::Takeover(part));
+    let sent = node.receive(&first, Message::CatchUp(part));
     expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true), "the reply was incomplete");
     expect_that!(reported_set(&mut node), eq(0));
     let sent = node.receive(
         &first,
-        Message::Takeover(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }),
+        Message::CatchUp(CatchUp::NewerRegisters { request, registers: Vec::new(), is_complete: true }),
     );
     // One source of three is no majority, so another one is asked.
     expect_that!(reported_set(&mut node), eq(0));
@@ -84,9 +84,9 @@
     expect_that!(second, not(eq(&first)));
     // A late reply of the first source is ignored.
     digests.clear();
-    node.receive(&first, Message::Takeover(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
+    node.receive(&first, Message::CatchUp(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
     expect_that!(reported_set(&mut node), eq(0));
-    node.receive(&second, Message::Takeover(CatchUp::Digests { request, set: 1, digests }));
+    node.receive(&second, Message::CatchUp(CatchUp::Digests { request, set: 1, digests }));
     expect_that!(reported_set(&mut node), eq(2));
     expect_that!(is_voting(&mut node, 2), eq(true));
 }
@@ -100,7 +100,7 @@
             if let Some((asked, request)) = comparison_request(&node, &sent) {
                 node.receive(
                     &asked,
-                    Message::Takeover(CatchUp::Digests { request, set: source_set, digests: Vec::new() }),
+                    Message::CatchUp(CatchUp::Digests { request, set: source_set, digests: Vec::new() }),
                 );
             }
             sent = node.tick();
--- a/crates/wv-internal-protocol/src/lib.rs
+++ b/crates/wv-internal-protocol/src/lib.rs
@@ -29,7 +29,7 @@
 pub use instance::Instance;
 use nanoserde::{DeBin, SerBin};
 pub use register::{AcceptorState, Ballot, RegisterReply, RegisterRequest, RegisterValue};
-pub use slots::{slot_for_key, KeySample, ShardReport, SlotMap, SlotRange, SplitPhase, WriteMarks, SLOT_COUNT};
+pub use slots::{slot_for_key, DirtyKeys, KeySample, ShardReport, SlotMap, SlotRange, SplitPhase, SLOT_COUNT};
 pub use voters::{Member, VoterSet};
 
 #[derive(SerBin, DeBin, Clone, PartialEq, Debug)]
@@ -139,7 +139,7 @@
         request: u64,
         ok: bool,
     },
-    Takeover(CatchUp),
+    CatchUp(CatchUp),
     Handover(Handover),
     /// The sender is about to shut down; other nodes take over its duties.
     Leaving,
@@ -192,10 +192,10 @@
     },
     Slots(SlotMap),
     /// Keys written while they are being copied, sent to the holder of the shard's split.
-    DirtyKeys(WriteMarks),
+    DirtyKeys(DirtyKeys),
     PeerDirtyKeys {
         node: String,
-        dirty_keys: WriteMarks,
+        dirty_keys: DirtyKeys,
     },
     DirtyKeysAck {
         node: String,
@@ -204,13 +204,13 @@
         incarnation: u64,
         serial: u64,
     },
-    /// Sampled keys of a planned shard, sent to the holder of its split.
-    KeySamples(ShardReport),
-    PeerKeySamples {
+    /// Sampled keys and new key names of a planned shard, sent to the holder of its split.
+    ShardReport(ShardReport),
+    PeerShardReport {
         node: String,
-        samples: ShardReport,
+        report: ShardReport,
     },
-    KeySamplesAck {
+    ShardReportAck {
         node: String,
         shard: String,
         incarnation: u64,
--- a/crates/wv-internal-protocol/src/slots.rs
+++ b/crates/wv-internal-protocol/src/slots.rs
@@ -62,7 +62,7 @@
     pub superseded_target_term: u64,
     /// Deadline of the attempt, in microseconds since the Unix epoch.
     pub deadline_us: u64,
-    /// Number of the current attempt; write marks are valid for one attempt.
+    /// Number of the current attempt; reports of dirty keys are valid for one attempt.
     pub attempt: u64,
     /// When slots last moved, and the number of attempts so far.
     pub last_moved_us: u64,
@@ -82,7 +82,7 @@
 
 /// Keys that a node writes, or has written, while they are being copied; reported before the write is sent.
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, Debug, Default)]
-pub struct WriteMarks {
+pub struct DirtyKeys {
     pub shard: String,
     /// The split attempt, and the incarnation of the reporting node.
     pub attempt: u64,
--- a/crates/wv-shard-split/src/copying.rs
+++ b/crates/wv-shard-split/src/copying.rs
@@ -3,7 +3,7 @@
 use crate::machine::{After, Goal, Split, Step};
 use crate::steps::LEAST_US;
 use crate::{Reply, View};
-use wv_internal_protocol::{SlotMap, SplitPhase, WriteMarks};
+use wv_internal_protocol::{DirtyKeys, SlotMap, SplitPhase};
 
 /// So few things left to copy are copied while writes to them wait.
 const LEFT_MAX: usize = 64;
@@ -92,7 +92,7 @@
     }
 
     /// A node is about to write to these, or has said its last ones.
-    pub(crate) fn marked(&mut self, node: String, marks: WriteMarks) {
+    pub(crate) fn marked(&mut self, node: String, marks: DirtyKeys) {
         for name in &marks.keys {
             self.names.add(name);
         }
--- a/crates/wv-shard-split/src/lib.rs
+++ b/crates/wv-shard-split/src/lib.rs
@@ -91,5 +91,5 @@
     /// The replies up to the first that failed; none where the connection did not stand.
     Ran { token: u64, replies: Option<Vec<Reply>> },
     /// Things that a node is about to write to.
-    Marks { node: String, marks: wv_internal_protocol::WriteMarks },
+    Marks { node: String, marks: wv_internal_protocol::DirtyKeys },
 }
--- a/crates/wv-simulation/src/links.rs
+++ b/crates/wv-simulation/src/links.rs
@@ -105,8 +105,8 @@
                     Message::DirtyKeysAck { shard, attempt, incarnation: life, serial, .. } => {
                         self.with_access(at, |core, now| core.dirty_keys_acked(&shard, attempt, (life, serial), now));
                     }
-                    Message::KeySamplesAck { shard, incarnation: life, serial, .. } => {
-                        self.with_access(at, |core, now| core.key_samples_acked(&shard, (life, serial), now));
+                    Message::ShardReportAck { shard, incarnation: life, serial, .. } => {
+                        self.with_access(at, |core, now| core.shard_report_acked(&shard, (life, serial), now));
                     }
                     msg => {
                         let is_fed = self.with_access(at, |core, now| core.apply_feed_message(msg, now).is_ok());
@@ -127,7 +127,7 @@
         let held = crossed.entry(name.to_owned()).or_default();
         held.bytes += frame.len() as u64;
         held.longest = held.longest.max(frame.len() as u64);
-        held.parts += u64::from(matches!(msg, Message::Takeover(wv_internal_protocol::CatchUp::NewerRegisters { .. })));
+        held.parts += u64::from(matches!(msg, Message::CatchUp(wv_internal_protocol::CatchUp::NewerRegisters { .. })));
         let is_conf = |news: &wv_internal_protocol::FeedUpdate| {
             matches!(
                 news,
