--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -70,7 +70,7 @@
         node: "a".to_owned(),
         control_address: String::new(),
         zone: "z".to_owned(),
-        handover_address: String::new(),
+        forwarding_address: String::new(),
         incarnation: 1,
     };
     control.handle_message(link, hello, 3);
--- a/crates/wv-access/src/control_session.rs
+++ b/crates/wv-access/src/control_session.rs
@@ -134,7 +134,7 @@
         node: name,
         control_address: String::new(),
         zone: zone.clone(),
-        handover_address: settings.borrow().forwarding_address.clone(),
+        forwarding_address: settings.borrow().forwarding_address.clone(),
         incarnation,
     };
     wv_internal_protocol::encode_frame(&mut out, &hello);
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -91,9 +91,9 @@
         let is_failed = self
             .forwarding
             .owner_links
-            .get(&owner.handover_address)
+            .get(&owner.forwarding_address)
             .is_some_and(|owner_link| owner_link.failed_until > self.now);
-        (owner.node != self.forwarding.node_name && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
+        (owner.node != self.forwarding.node_name && !owner.forwarding_address.is_empty() && !is_failed).then_some(owner)
     }
 
     /// Forwards the open request if another node owns its shard. Returns `false` if it is to be executed here.
@@ -102,7 +102,7 @@
             self.forward_request(id, session);
             return true;
         }
-        let Some(address) = self.forwarding_target(id).map(|owner| owner.handover_address.clone()) else {
+        let Some(address) = self.forwarding_target(id).map(|owner| owner.forwarding_address.clone()) else {
             return false;
         };
         let link = match self.forwarding.owner_links.get(&address).filter(|owner_link| owner_link.link > 0) {
--- a/crates/wv-access/src/run.rs
+++ b/crates/wv-access/src/run.rs
@@ -116,13 +116,13 @@
             epoch.map_or(0, |since| since.as_micros() as u64),
         );
         let node = Node::new(core);
-        let hands = settings.handover_addr();
+        let forwarding_addr = settings.forwarding_addr();
         let place = ControlSessionSettings {
             node_name: settings.node_name.clone(),
             zone: settings.zone.clone(),
             seeds: settings.seeds.clone(),
             internal_port: settings.internal_port,
-            forwarding_address: hands.map(|addr| addr.to_string()).unwrap_or_default(),
+            forwarding_address: forwarding_addr.map(|addr| addr.to_string()).unwrap_or_default(),
         };
         let place: SharedSettings = std::rc::Rc::new(std::cell::RefCell::new(place));
         let clients_max = settings.max_clients();
@@ -144,7 +144,7 @@
             },
         ));
         tokio::task::spawn_local(node.clone().accept(front_listener, clients_max));
-        if let Some(addr) = hands {
+        if let Some(addr) = forwarding_addr {
             let listener = wv_http::listen(addr).map_err(|error| AccessError::Listen(addr, error))?;
             tokio::task::spawn_local(node.clone().accept_peer_links(listener));
         }
--- a/crates/wv-access/tests/common/mod.rs
+++ b/crates/wv-access/tests/common/mod.rs
@@ -49,8 +49,8 @@
 
     /// A node whose shard is owned by another node.
     pub fn with_remote_owner() -> TestNode {
-        let (node, place) = ("other".to_owned(), "10.0.0.9:1".to_owned());
-        let owner = FeedUpdate::Owner(Owner { service: "s".to_owned(), node, handover_address: place, epoch: 1 });
+        let (node, forwarding_address) = ("other".to_owned(), "10.0.0.9:1".to_owned());
+        let owner = FeedUpdate::Owner(Owner { service: "s".to_owned(), node, forwarding_address, epoch: 1 });
         TestNode::with(r#","partners":[{"label":"all","portion":1,"nodes":["me","other"]}]"#, vec![owner])
     }
 
--- a/crates/wv-access/tests/stale_control_node.rs
+++ b/crates/wv-access/tests/stale_control_node.rs
@@ -188,8 +188,8 @@
 #[gtest]
 fn given_older_owners_and_slot_maps_then_the_higher_versions_are_kept() {
     let owner = |node: &str, number| {
-        let (service, node, place) = ("s".to_owned(), node.to_owned(), "10.0.0.9:9".to_owned());
-        FeedUpdate::Owner(Owner { service, node, handover_address: place, epoch: number })
+        let (service, node, forwarding_address) = ("s".to_owned(), node.to_owned(), "10.0.0.9:9".to_owned());
+        FeedUpdate::Owner(Owner { service, node, forwarding_address, epoch: number })
     };
     let map = |number| FeedUpdate::Slots(SlotMap { shard: "s".to_owned(), version: number, ..SlotMap::default() });
     let mut node = Node::new(vec![conf(1, "p"), owner("a2", 4), map(9)]);
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -22,7 +22,7 @@
                 node: self.node.clone(),
                 control_address: self.address.clone(),
                 zone: self.zone.clone(),
-                handover_address: String::new(),
+                forwarding_address: String::new(),
                 incarnation: self.incarnation,
             },
         );
@@ -69,8 +69,8 @@
             self.membership.record_peer(addr, self.now);
         }
         match (msg, peer, node) {
-            (Message::Hello { node, control_address, zone, handover_address, .. }, _, _) => {
-                self.handle_hello(link, node, (control_address, zone), &handover_address)
+            (Message::Hello { node, control_address, zone, forwarding_address, .. }, _, _) => {
+                self.handle_hello(link, node, (control_address, zone), &forwarding_address)
             }
             (msg, Some(addr), _) => self.handle_peer_message(link, &addr, msg),
             (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
@@ -79,7 +79,7 @@
         self.run_quorum();
     }
 
-    fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), handover: &str) {
+    fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), forwarding_address: &str) {
         let is_control = !control.is_empty();
         if is_control {
             self.add_peer(control.clone());
@@ -90,7 +90,7 @@
                 .for_each(|peer| (peer.zone, peer.is_leaving) = (zone.clone(), false));
             self.links.insert(link, Link { peer: Some(control), node: None, is_subscriber: false, resume_from: None });
         } else {
-            self.membership.start_session(&node, handover, self.now);
+            self.membership.start_session(&node, forwarding_address, self.now);
             self.links.insert(link, Link { peer: None, node: Some(node), is_subscriber: false, resume_from: None });
         }
         self.send(link, self.peers_msg());
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -27,7 +27,7 @@
         let owned: BTreeSet<&str> = owners.values().map(String::as_str).collect();
         let is_fit = |session: &&wv_internal_protocol::Session| {
             !session.is_leaving
-                && !session.handover_address.is_empty()
+                && !session.forwarding_address.is_empty()
                 && (!session.is_new || owned.contains(session.node.as_str()))
         };
         let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
@@ -54,14 +54,14 @@
 
     /// Writes the new owner with the next epoch.
     fn write_shard_owner(&mut self, service: String, node: String) {
-        let Some(place) =
-            self.membership.access_nodes(self.now).get(&node).map(|session| session.handover_address.clone())
+        let Some(forwarding_address) =
+            self.membership.access_nodes(self.now).get(&node).map(|session| session.forwarding_address.clone())
         else {
             return self.owner_writes.retain(|held| *held != service);
         };
         let (token, key) = (self.allocate_id(), owner_key(&service));
         self.operations.insert(token, Operation::WriteOwner(service.clone()));
-        let owner = Owner { service, node, handover_address: place, epoch: 0 };
+        let owner = Owner { service, node, forwarding_address, epoch: 0 };
         let edit: wv_consensus::UpdateFn = Box::new(move |held| {
             let number = held.version + 1;
             Some(wv_consensus::register_value(
@@ -77,7 +77,7 @@
         let owner = self.feed.owners().get(service);
         owner.is_some_and(|owner| {
             members.get(&owner.node).is_some_and(|session| {
-                !session.handover_address.is_empty() && session.handover_address != owner.handover_address
+                !session.forwarding_address.is_empty() && session.forwarding_address != owner.forwarding_address
             })
         })
     }
@@ -135,7 +135,7 @@
                 let held = owner(service);
                 serde_json::json!({
                     "shard": service, "owner": held.map(|held| held.node.as_str()),
-                    "place": held.map(|held| held.handover_address.as_str()),
+                    "place": held.map(|held| held.forwarding_address.as_str()),
                     "number": held.map_or(0, |held| held.epoch), "moving": self.owner_writes.contains(service),
                     "partner": held.and_then(|held| partner_of(&held.node)).map(|at| conf.partners[at].label.as_str()),
                     "live": held.is_some_and(|held| nodes.contains(held.node.as_str())),
--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -200,7 +200,7 @@
         node: "a0".to_owned(),
         control_address: String::new(),
         zone: String::new(),
-        handover_address: String::new(),
+        forwarding_address: String::new(),
         incarnation: 5,
     };
     let report = wv_internal_protocol::HealthReport {
--- a/crates/wv-control/tests/single_node/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -79,14 +79,14 @@
     pub fn subscribe(&mut self) {
         let link = self.core.accept_link(self.now);
         self.links.insert("a0".to_owned(), link);
-        let (node, handover_address) = ("a0".to_owned(), String::new());
+        let (node, forwarding_address) = ("a0".to_owned(), String::new());
         self.receive(
             "a0",
             Message::Hello {
                 node,
                 control_address: String::new(),
                 zone: String::new(),
-                handover_address,
+                forwarding_address,
                 incarnation: 5,
             },
         );
--- a/crates/wv-internal-protocol/src/access_nodes.rs
+++ b/crates/wv-internal-protocol/src/access_nodes.rs
@@ -6,7 +6,7 @@
 pub struct Owner {
     pub service: String,
     pub node: String,
-    pub handover_address: String,
+    pub forwarding_address: String,
     pub epoch: u64,
 }
 
@@ -14,8 +14,8 @@
 #[derive(SerBin, DeBin, Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Session {
     pub node: String,
-    /// Address at which the node accepts work handed over by other access nodes.
-    pub handover_address: String,
+    /// Address at which the node accepts sessions forwarded by other access nodes.
+    pub forwarding_address: String,
     /// The session is too recent for the node to own a shard.
     pub is_new: bool,
     pub is_leaving: bool,
--- a/crates/wv-internal-protocol/src/lib.rs
+++ b/crates/wv-internal-protocol/src/lib.rs
@@ -39,8 +39,8 @@
         node: String,
         control_address: String,
         zone: String,
-        /// Address at which an access node accepts work handed over by other access nodes.
-        handover_address: String,
+        /// Address at which an access node accepts sessions forwarded by other access nodes.
+        forwarding_address: String,
         incarnation: u64,
     },
     /// An access node subscribes to the feed of `incarnation` from `position` on.
--- a/crates/wv-membership/src/lib.rs
+++ b/crates/wv-membership/src/lib.rs
@@ -10,7 +10,7 @@
 struct LocalSession {
     last_heard: u64,
     started: u64,
-    handover_address: String,
+    forwarding_address: String,
     is_leaving: bool,
 }
 
@@ -55,10 +55,14 @@
         }
     }
 
-    pub fn start_session(&mut self, node: &str, handover_address: &str, now: u64) {
+    pub fn start_session(&mut self, node: &str, forwarding_address: &str, now: u64) {
         let started = self.sessions.get(node).map_or(now, |session| session.started);
-        let session =
-            LocalSession { last_heard: now, started, handover_address: handover_address.to_owned(), is_leaving: false };
+        let session = LocalSession {
+            last_heard: now,
+            started,
+            forwarding_address: forwarding_address.to_owned(),
+            is_leaving: false,
+        };
         self.sessions.insert(node.to_owned(), session);
         self.nodes.insert(node.to_owned());
     }
@@ -102,7 +106,7 @@
     pub fn sessions(&self, now: u64) -> Vec<Session> {
         let to_session = |(node, session): (&String, &LocalSession)| Session {
             node: node.clone(),
-            handover_address: session.handover_address.clone(),
+            forwarding_address: session.forwarding_address.clone(),
             is_new: session.started + MIN_OWNER_AGE_US > now,
             is_leaving: session.is_leaving,
         };
--- a/crates/wv-settings/src/lib.rs
+++ b/crates/wv-settings/src/lib.rs
@@ -152,9 +152,9 @@
         (self.max_fds as usize).saturating_sub(400).max(64) * 3 / 4
     }
 
-    /// The address at which an access node accepts requests handed over by other nodes: the port after that of the
+    /// The address at which an access node accepts sessions forwarded by other nodes: the port after that of the
     /// control node on the same machine.
-    pub fn handover_addr(&self) -> Option<std::net::SocketAddr> {
+    pub fn forwarding_addr(&self) -> Option<std::net::SocketAddr> {
         let port = self.internal_port.checked_add(1).filter(|port| *port <= self.last_internal_port)?;
         Some(std::net::SocketAddr::new(self.ip, port))
     }
--- a/crates/wv-simulation/src/links.rs
+++ b/crates/wv-simulation/src/links.rs
@@ -43,7 +43,7 @@
                     node: name,
                     control_address: String::new(),
                     zone: String::new(),
-                    handover_address: format!("hand:{at}"),
+                    forwarding_address: format!("hand:{at}"),
                     incarnation: life,
                 },
             },
