--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -24,7 +24,7 @@
     pub(crate) conf: Option<Rc<wv_configuration::Configuration>>,
     /// Version and encoded body of the configuration, the base for deltas.
     pub(crate) conf_body: (u64, Rc<[u8]>),
-    pub(crate) checks: HealthTable,
+    pub(crate) health: HealthTable,
     pub(crate) statements: wv_session_state::PreparedStatements,
     pub(crate) clients: Map<u64, Client>,
     pub(crate) dbs: Map<u64, DbConnection>,
@@ -68,7 +68,7 @@
             zone: zone.to_owned(),
             conf: None,
             conf_body: Default::default(),
-            checks: HealthTable::default(),
+            health: HealthTable::default(),
             statements: wv_session_state::PreparedStatements::default(),
             clients: Map::default(),
             dbs: Map::default(),
@@ -127,7 +127,7 @@
     }
 
     pub(crate) fn connection_limit(&self, spot: DatabaseKey) -> u32 {
-        let service = self.checks.service(spot.service).map(|checker| checker.service.as_str()).unwrap_or_default();
+        let service = self.health.service(spot.service).map(|checker| checker.service.as_str()).unwrap_or_default();
         let bound =
             self.conf.as_ref().and_then(|conf| conf.services.get(service)).map_or(16, |held| held.max_connections);
         // A tenth is reserved for the control node. After an outage the databases may still hold connections of the
@@ -153,7 +153,7 @@
 
     fn open_with_extra(&mut self, spot: DatabaseKey, over: u32) -> bool {
         let cap = self.connection_limit(spot);
-        let Some(member) = self.checks.database(spot).filter(|member| !member.instance.gone) else { return false };
+        let Some(member) = self.health.database(spot).filter(|member| !member.instance.gone) else { return false };
         let (addr, id) = (member.instance.address.clone(), member.instance.id.clone());
         let pool = self.pools.entry(spot).or_default();
         // During slow start, connections are opened one at a time.
@@ -161,7 +161,7 @@
         let is_wanted = !pool.waiting.is_empty();
         let may_borrow = is_wanted
             && cap < SMALL_SHARE
-            && self.checks.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
+            && self.health.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
         if pool.total >= cap + if may_borrow { EXTRA_CONNECTIONS } else { over } || is_held {
             return false;
         }
@@ -234,7 +234,7 @@
             ConnectionLoss::Unreachable => Some(Health::Unreachable),
             ConnectionLoss::Closed => None,
         };
-        if let (Some(health), Some(member)) = (health, self.checks.database_mut(conn.spot)) {
+        if let (Some(health), Some(member)) = (health, self.health.database_mut(conn.spot)) {
             let is_changed = member.on_failure(health, self.now);
             if is_changed {
                 log::info!("saw {} {}", conn.id, if health == Health::Unreachable { "dark" } else { "refused" });
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -13,7 +13,7 @@
     pub fn db_opened(&mut self, db: u64, now: u64) {
         self.now = self.now.max(now);
         let Some(conn) = self.dbs.get_mut(&db) else { return };
-        let service = self.checks.service(conn.spot.service).map(|checker| checker.service.clone()).unwrap_or_default();
+        let service = self.health.service(conn.spot.service).map(|checker| checker.service.clone()).unwrap_or_default();
         wv_wire_protocol::write_line(&mut conn.out, &[b"SETUP", service.as_bytes(), b"windvalve", conn.id.as_bytes()]);
         conn.pending.push_back(Pending { kind: Reply::Setup, sent_at: self.now, is_fenced: false });
         self.effects.push(Effect::WriteDb(db));
@@ -122,7 +122,7 @@
             }
         }
         if code == ErrorCode::WrongNode {
-            if let Some(member) = self.checks.database_mut(conn.spot) {
+            if let Some(member) = self.health.database_mut(conn.spot) {
                 member.on_failure(wv_internal_protocol::Health::Refused, self.now);
             }
         }
@@ -138,7 +138,7 @@
                     pool.opening = pool.opening.saturating_sub(1);
                     (pool.open_failures, pool.open_not_before) = (0, 0);
                 }
-                let is_back = self.checks.database_mut(spot).is_some_and(|member| member.on_success(true, self.now));
+                let is_back = self.health.database_mut(spot).is_some_and(|member| member.on_success(true, self.now));
                 if is_back {
                     let id = self.dbs.get(&db).map(|conn| conn.id.as_str()).unwrap_or_default();
                     log::info!("saw {id} up");
@@ -147,7 +147,7 @@
                     self.dispatch_unplaced();
                 }
                 // The probe of an isolated instance succeeded; frees its connection for further probes.
-                if self.checks.database(spot).is_some_and(|member| member.is_isolated()) {
+                if self.health.database(spot).is_some_and(|member| member.is_isolated()) {
                     return self.discard_db(db);
                 }
                 if self.needs_term_query(spot) {
@@ -179,11 +179,11 @@
                     pool.service_time.note(self.now.saturating_sub(reply.sent_at));
                 }
                 if code.is_none() && reply.is_fenced {
-                    if let (Some(pos), Some(checker)) = (pos, self.checks.service_mut(spot.service)) {
+                    if let (Some(pos), Some(checker)) = (pos, self.health.service_mut(spot.service)) {
                         checker.fenced_positions.record(reply.sent_at, pos);
                     }
                 }
-                if let Some(member) = self.checks.database_mut(spot).filter(|member| member.is_suspect()) {
+                if let Some(member) = self.health.database_mut(spot).filter(|member| member.is_suspect()) {
                     member.on_success(false, self.now);
                 }
                 self.finish_request(db, (client, sequence), code, state, pos);
@@ -219,7 +219,7 @@
             return self.complete_request(id, state, pos);
         };
         if code == ErrorCode::ReadOnly {
-            spot.and_then(|spot| self.checks.database_mut(spot)).into_iter().for_each(|member| member.on_readonly(now));
+            spot.and_then(|spot| self.health.database_mut(spot)).into_iter().for_each(|member| member.on_readonly(now));
         }
         let text = String::from_utf8_lossy(&client.request.response).into_owned();
         client.request.response.clear();
--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -57,7 +57,7 @@
         let request = &client.request;
         let Some(route) = request.route.as_ref() else { return RouteDecision::Refuse(ErrorCode::Congested) };
         let place = self.service_for_request(id);
-        let Some(service) = place.and_then(|place| self.checks.service_index(&place)) else {
+        let Some(service) = place.and_then(|place| self.health.service_index(&place)) else {
             return RouteDecision::Wait;
         };
         let route_request = RouteRequest {
@@ -71,7 +71,7 @@
             tie_break_salt: if self.has_many_databases { self.tie_break_salt } else { 0 },
             refused_by: &request.refused_by,
         };
-        decide_route(&self.checks, &route_request, &|spot| self.pool_availability(spot, client.tenant))
+        decide_route(&self.health, &route_request, &|spot| self.pool_availability(spot, client.tenant))
     }
 
     fn pool_availability(&self, spot: DatabaseKey, tenant: u16) -> PoolAvailability {
--- a/crates/wv-access/src/drain.rs
+++ b/crates/wv-access/src/drain.rs
@@ -27,7 +27,7 @@
     /// Sets the platform's drain timeout and the time within which connected nodes are in contact.
     pub fn set_drain_timeouts(&mut self, drain_us: u64, contact_us: u64) {
         self.drain.platform_drain_us = drain_us;
-        self.checks.set_new_work_us(wv_internal_protocol::new_work_window_us(drain_us, contact_us));
+        self.health.set_new_work_us(wv_internal_protocol::new_work_window_us(drain_us, contact_us));
     }
 
     /// The earliest time at which the reported database may have begun to drain.
@@ -44,7 +44,7 @@
 
     /// Whether the request is new work and the database's window for new work is over.
     pub(crate) fn is_past_drain_window(&self, client: u64, spot: DatabaseKey) -> bool {
-        self.is_new_work(client) && self.checks.is_closed_to_new_work(spot, self.now)
+        self.is_new_work(client) && self.health.is_closed_to_new_work(spot, self.now)
     }
 
     /// Rolls back a transaction that has only begun, and begins it on another database.
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -17,7 +17,7 @@
                 FeedUpdate::Instance(inst) if !inst.gone => Some(inst.id.as_str()),
                 _ => None,
             });
-            self.checks.mark_missing(&ids.collect(), self.now);
+            self.health.mark_missing(&ids.collect(), self.now);
         }
         let updates = self.follower.receive(msg);
         let result =
@@ -51,9 +51,9 @@
                 self.apply_configuration(version, body);
             }
             FeedUpdate::Instance(inst) => {
-                let is_new = self.checks.key(&inst.id).is_none();
+                let is_new = self.health.key(&inst.id).is_none();
                 let since = self.drain_start(&inst);
-                let spot = self.checks.apply_instance(&inst, since, self.now);
+                let spot = self.health.apply_instance(&inst, since, self.now);
                 // A database that starts with cold caches goes through slow start as soon as it is known.
                 if let Some(spot) = spot.filter(|_| is_new && inst.cold_left_us > 0) {
                     self.begin_slow_start(spot, 1);
@@ -63,20 +63,20 @@
                 }
             }
             FeedUpdate::Leader(lead) => {
-                if !self.checks.apply_leader(&lead, self.now) {
+                if !self.health.apply_leader(&lead, self.now) {
                     return Ok(());
                 }
                 self.recheck_connections(&lead.service);
-                self.checks.service_index(&lead.service).into_iter().for_each(|service| {
+                self.health.service_index(&lead.service).into_iter().for_each(|service| {
                     self.promoting.remove(&service);
                 });
             }
             FeedUpdate::Promoting { service, id, max_wait_us } => {
-                let service = self.checks.intern_service(&service);
+                let service = self.health.intern_service(&service);
                 self.promoting.insert(service, (self.now + max_wait_us, id));
             }
             FeedUpdate::SlowStart { id, outages } => {
-                self.checks.key(&id).into_iter().for_each(|spot| self.begin_slow_start(spot, outages));
+                self.health.key(&id).into_iter().for_each(|spot| self.begin_slow_start(spot, outages));
             }
             FeedUpdate::Owner(owner) => self.set_owner(owner),
             FeedUpdate::Slots(map) => self.apply_slot_map(map),
@@ -162,7 +162,7 @@
 
     /// Each database and its routing state.
     pub fn routing_states(&self) -> Vec<(String, String)> {
-        let states = self.checks.iter().flat_map(|(_, checker)| {
+        let states = self.health.iter().flat_map(|(_, checker)| {
             checker.databases().map(|(seat, member)| {
                 (member.instance.id.clone(), format!("{:?}", checker.state(seat, self.now)).to_lowercase())
             })
--- a/crates/wv-access/src/forwarded_sessions.rs
+++ b/crates/wv-access/src/forwarded_sessions.rs
@@ -118,7 +118,7 @@
             .and_then(|client| client.database.as_ref())
             .and_then(|host| self.conf.as_ref().and_then(|conf| conf.route(host)));
         let owner = route
-            .and_then(|route| self.checks.service_index(&route.service))
+            .and_then(|route| self.health.service_index(&route.service))
             .and_then(|at| self.forwarding.owners.get(&at));
         owner.is_none_or(|owner| owner.node == self.forwarding.node_name)
     }
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn set_owner(&mut self, owner: Owner) {
-        let service = self.checks.intern_service(&owner.service);
+        let service = self.health.intern_service(&owner.service);
         let is_newer = self.forwarding.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
         if is_newer {
             self.forwarding.owners.insert(service, owner);
@@ -87,7 +87,7 @@
         let is_here = client.request.is_local_only
             || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.has_completed_statement);
         conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
-        let owner = self.forwarding.owners.get(&self.checks.service_index(&route.service)?)?;
+        let owner = self.forwarding.owners.get(&self.health.service_index(&route.service)?)?;
         let is_failed = self
             .forwarding
             .owner_links
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -30,10 +30,10 @@
         self.maintenance_round += u64::from(scope == ReportScope::Periodic);
         let (now, pools) = (self.now, &self.pools);
         let leader_count =
-            self.checks.iter().filter(|(_, checker)| checker.fenced_positions.newest().is_some()).count() as u64;
+            self.health.iter().filter(|(_, checker)| checker.fenced_positions.newest().is_some()).count() as u64;
         let turns = leader_count.div_ceil(LEADERS_PER_ROUND).max(1);
         let mut reports = Vec::new();
-        for (service, checker) in self.checks.iter() {
+        for (service, checker) in self.health.iter() {
             // A removed leader receives no more writes, so its newest position needs no time to settle.
             let is_leader_removed = checker
                 .leader_or_departed()
--- a/crates/wv-access/src/load_test_node.rs
+++ b/crates/wv-access/src/load_test_node.rs
@@ -19,7 +19,7 @@
 
     /// Number of known databases, removed ones excluded.
     pub fn database_count(&self) -> usize {
-        self.checks
+        self.health
             .iter()
             .map(|(_, checker)| checker.databases().filter(|(_, member)| !member.instance.gone).count())
             .sum()
@@ -28,16 +28,16 @@
     /// Simulates writes to the primaries of `count` services: they are reported as up, with a growing log position.
     pub fn simulate_writes(&mut self, count: usize, now: u64) {
         self.now = self.now.max(now);
-        let all = self.checks.iter().count().max(1);
+        let all = self.health.iter().count().max(1);
         let pos = wv_wire_protocol::LogPosition { term: 1, number: now / 1000 };
         for at in 0..count.min(all) {
             let service = ((usize::from(self.tie_break_salt) + at * 7) % all) as u16;
-            let lead = self.checks.service(service).and_then(|checker| checker.leader());
+            let lead = self.health.service(service).and_then(|checker| checker.leader());
             let Some(spot) = lead.map(|seat| DatabaseKey { service, index: seat }) else { continue };
             let pool = self.pools.entry(spot).or_default();
             self.is_health_report_due |= pool.total == 0;
             (pool.total, pool.last_data_at) = (1, now.max(1));
-            self.checks.service_mut(service).into_iter().for_each(|checker| checker.fenced_positions.record(now, pos));
+            self.health.service_mut(service).into_iter().for_each(|checker| checker.fenced_positions.record(now, pos));
         }
     }
 }
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -50,7 +50,7 @@
         self.conf_body = (version, conf.body().clone());
         if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &conf.services)) {
             conf.services.keys().for_each(|name| {
-                self.checks.intern_service(name);
+                self.health.intern_service(name);
             });
         }
         self.set_tenants(&conf, held.as_deref());
@@ -63,7 +63,7 @@
     pub fn run_maintenance(&mut self, now: u64) {
         self.now = self.now.max(now);
         self.drain.stall_detector.observe(self.now);
-        let settled = self.checks.apply_fallback_leaders(now);
+        let settled = self.health.apply_fallback_leaders(now);
         settled.iter().for_each(|service| self.recheck_connections(service));
         self.maintain_pools();
         self.end_finished_slow_starts();
@@ -116,7 +116,7 @@
         }
         for spot in silent {
             if self.open_probe(spot) {
-                self.checks.database_mut(spot).into_iter().for_each(|member| member.on_timeout(now));
+                self.health.database_mut(spot).into_iter().for_each(|member| member.on_timeout(now));
                 self.is_health_report_due = true;
             }
         }
@@ -140,10 +140,10 @@
         }
         let now = self.now;
         self.has_many_databases =
-            self.checks.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
+            self.health.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
         let warm = if self.has_many_databases { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
-        for (service, checker) in self.checks.iter() {
+        for (service, checker) in self.health.iter() {
             for (seat, member) in checker.databases() {
                 let spot = DatabaseKey { service, index: seat };
                 let state = checker.state(seat, now);
@@ -167,7 +167,7 @@
             }
         }
         for (spot, count) in wanted {
-            let is_isolated = self.checks.database(spot).is_some_and(|member| member.is_isolated());
+            let is_isolated = self.health.database(spot).is_some_and(|member| member.is_isolated());
             let (opening, available) = self
                 .pools
                 .get(&spot)
@@ -175,7 +175,7 @@
             let is_wanted = if is_isolated { opening == 0 } else { available < count };
             let is_opened = is_wanted && if is_isolated { self.open_probe(spot) } else { self.open_db(spot) };
             if is_opened {
-                self.checks.database_mut(spot).into_iter().for_each(|member| member.on_probe(now));
+                self.health.database_mut(spot).into_iter().for_each(|member| member.on_probe(now));
             }
         }
     }
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -8,7 +8,7 @@
     /// would violate the invariant of the `drain` module.
     pub(crate) fn count_new_work_while_draining(&mut self, spot: DatabaseKey) {
         let now = self.now;
-        let Some(member) = self.checks.database_mut(spot) else { return };
+        let Some(member) = self.health.database_mut(spot) else { return };
         let Some(leaving) = member.leaving.as_mut() else { return };
         leaving.new_work_count += 1;
         let age_us = leaving.since.age_us(now);
@@ -27,7 +27,7 @@
         page.figure(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
         page.figure(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
         let members =
-            || self.checks.iter().flat_map(|(_, checker)| checker.databases().map(move |held| (checker, held)));
+            || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |held| (checker, held)));
         let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (seat, member))| {
             let state = format!("{:?}", checker.state(seat, self.now)).to_lowercase();
             (vec![member.instance.id.clone(), checker.service.clone(), state], 1)
--- a/crates/wv-access/src/release.rs
+++ b/crates/wv-access/src/release.rs
@@ -12,7 +12,7 @@
         self.release_charge(spot, charge);
         let Some(conn) = self.dbs.get(&db) else { return };
         let is_gone =
-            self.checks.database(spot).is_none_or(|member| member.instance.gone || member.instance.id != conn.id);
+            self.health.database(spot).is_none_or(|member| member.instance.gone || member.instance.id != conn.id);
         let is_over = self
             .pools
             .get(&spot)
@@ -38,7 +38,7 @@
     /// opened and then accepts writes only on newer connections.
     pub(crate) fn taint_leader(&mut self, db: u64) {
         let Some(spot) = self.dbs.get(&db).map(|conn| conn.spot) else { return };
-        let is_lead = self.checks.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
+        let is_lead = self.health.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
         self.dbs.get_mut(&db).filter(|_| is_lead).into_iter().for_each(|conn| conn.is_tainted = true);
     }
 
--- a/crates/wv-access/src/send.rs
+++ b/crates/wv-access/src/send.rs
@@ -168,7 +168,7 @@
     pub(crate) fn note_not_executed(&mut self, id: u64, spot: wv_health::DatabaseKey, code: ErrorCode) {
         let now = self.now;
         if code == ErrorCode::ReadOnly {
-            self.checks.database_mut(spot).into_iter().for_each(|member| member.on_readonly(now));
+            self.health.database_mut(spot).into_iter().for_each(|member| member.on_readonly(now));
         }
         if let Some(client) = self.clients.get_mut(&id) {
             client.request.db = None;
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -140,7 +140,7 @@
 
     /// The term that connections for primary requests to `spot` must have; 0 if any.
     fn required_term(&self, spot: DatabaseKey) -> u64 {
-        let Some(checker) = self.checks.service(spot.service).filter(|_| !self.slots.shards.is_empty()) else {
+        let Some(checker) = self.health.service(spot.service).filter(|_| !self.slots.shards.is_empty()) else {
             return 0;
         };
         let is_lead = checker.leader() == Some(spot.index);
@@ -149,7 +149,7 @@
 
     /// Whether a new connection to `spot` has to query the database's term.
     pub(crate) fn needs_term_query(&self, spot: DatabaseKey) -> bool {
-        let Some(checker) = self.checks.service(spot.service).filter(|_| self.has_planned_shards()) else {
+        let Some(checker) = self.health.service(spot.service).filter(|_| self.has_planned_shards()) else {
             return false;
         };
         self.slots.shards.contains_key(&checker.service) || self.slots.shards_without_map.contains_key(&checker.service)
@@ -171,7 +171,7 @@
         if self.slots.shards.is_empty() {
             return;
         }
-        let Some(number) = self.checks.service_index(service) else { return };
+        let Some(number) = self.health.service_index(service) else { return };
         let spots: Vec<DatabaseKey> = self.pools.keys().filter(|spot| spot.service == number).copied().collect();
         for spot in spots {
             let Some(pool) = self.pools.get_mut(&spot) else { continue };
@@ -217,8 +217,8 @@
             map.moved.iter().filter(|range| !old.moved.contains(range)).map(|range| range.target.clone()).collect();
         for target in gained {
             let now = self.now;
-            let service = self.checks.intern_service(&target);
-            self.checks.service_mut(service).into_iter().for_each(|checker| checker.fenced_positions.reset(now));
+            let service = self.health.intern_service(&target);
+            self.health.service_mut(service).into_iter().for_each(|checker| checker.fenced_positions.reset(now));
         }
         self.recheck_connections(&name);
     }
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -13,7 +13,7 @@
     }
 
     fn slow_start_scale(&self, spot: DatabaseKey) -> Scale {
-        let capacity = self.checks.database(spot).map_or(1, |member| member.instance.capacity);
+        let capacity = self.health.database(spot).map_or(1, |member| member.instance.capacity);
         let work_us =
             self.pools.get(&spot).map_or_else(|| wv_slow_start::Work::default().us(), |pool| pool.service_time.us());
         Scale { now: self.now, capacity, nodes: self.node_count, work_us }
@@ -26,12 +26,12 @@
         if !self.slow_start_plan.is_on || is_running {
             return;
         }
-        let cold_us = self.checks.database(spot).map_or(0, |member| member.instance.cold_left_us);
+        let cold_us = self.health.database(spot).map_or(0, |member| member.instance.cold_left_us);
         self.slow_starts.insert(spot, Ease::new(self.slow_start_plan, outages, cold_us, self.now));
     }
 
     pub fn is_in_slow_start(&self, id: &str) -> bool {
-        self.checks
+        self.health
             .key(id)
             .is_some_and(|spot| self.slow_starts.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now)))
     }
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -211,7 +211,7 @@
         let tenant = client.tenant;
         let route = client.request.route.clone()?;
         self.tenant_shares.tallies.get_mut(tenant as usize).into_iter().for_each(|tally| tally.refused += 1);
-        let service = self.checks.service_index(&route.service)?;
+        let service = self.health.service_index(&route.service)?;
         let backlog = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
             let slots = pool.fair_queue.entitled_slots(
                 &self.tenant_shares.tenants,
--- a/crates/wv-control/src/admission.rs
+++ b/crates/wv-control/src/admission.rs
@@ -43,9 +43,9 @@
         for shard in dropped {
             let read = self.allocate_id();
             self.operations.insert(read, Operation::CheckShardMap(token, shard.clone()));
-            self.quorum.start(read, &crate::shards::register_key("slots", &shard), None, self.now);
+            self.proposer.start(read, &crate::shards::register_key("slots", &shard), None, self.now);
         }
-        self.run_quorum();
+        self.run_proposer();
     }
 
     /// Shards with a plan or moved slots that the configuration has no plan for.
@@ -97,8 +97,13 @@
     fn propose(&mut self, token: u64, number: u64, body: &[u8]) {
         let proposal = Proposal { number, digest: digest(body) };
         self.operations.insert(token, Operation::Propose(proposal));
-        self.quorum.start(token, crate::core::CONF_KEY, Some(accept(proposal, self.packs.compress(body))), self.now);
-        self.run_quorum();
+        self.proposer.start(
+            token,
+            crate::core::CONF_KEY,
+            Some(accept(proposal, self.compressor.compress(body))),
+            self.now,
+        );
+        self.run_proposer();
     }
 
     /// Continues the proposals that waited for this node to catch up.
--- a/crates/wv-control/src/committed.rs
+++ b/crates/wv-control/src/committed.rs
@@ -22,7 +22,7 @@
         log::info!("in force {version}");
         self.conf = self.parse_configuration(body).ok();
         let body = self.conf.as_ref().map_or_else(|| body.into(), |conf| conf.body().clone());
-        self.packs.set_reference(body, packed);
+        self.compressor.set_reference(body, packed);
         self.sync_slots();
         self.is_conf_unpublished = true;
         self.publish_configuration();
@@ -35,7 +35,7 @@
         }
         (self.conf_published_at, self.is_conf_unpublished, self.conf_delta_base) =
             (self.now, false, self.feed.configuration_version());
-        let (body, packed) = self.packs.reference();
+        let (body, packed) = self.compressor.reference();
         let msg = self.feed.publish_configuration(self.committed_version, packed, body);
         self.send_to_subscribers(&msg);
         if std::mem::take(&mut self.is_relay_due) {
@@ -45,7 +45,7 @@
 
     /// Voters have the value already and receive only the commit; other control nodes receive deltas like subscribers.
     pub(crate) fn notify_committed(&mut self, key: &str, accepted: wv_internal_protocol::Ballot) {
-        let voters: Vec<String> = self.quorum.voters().addrs().map(str::to_owned).collect();
+        let voters: Vec<String> = self.proposer.voters().addrs().map(str::to_owned).collect();
         for addr in voters {
             self.send_peer(&addr, Message::Committed { key: key.to_owned(), accepted });
         }
@@ -56,7 +56,7 @@
     }
 
     fn notify_non_voters(&mut self) {
-        let is_other = |addr: &&String| !self.quorum.voters().contains(addr);
+        let is_other = |addr: &&String| !self.proposer.voters().contains(addr);
         let others: Vec<String> = self.peers.keys().filter(is_other).cloned().collect();
         let updates = self.feed.configuration_updates_since(self.conf_delta_base);
         for addr in others {
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/conf.rs
@@ -20,8 +20,8 @@
             ("PUT", ["configuration"]) => self.put_configuration(token, body),
             ("GET", ["configuration"]) => {
                 self.operations.insert(token, Operation::ReadConfiguration);
-                self.quorum.start(token, CONF_KEY, None, self.now);
-                self.run_quorum();
+                self.proposer.start(token, CONF_KEY, None, self.now);
+                self.run_proposer();
             }
             ("PUT", ["instances", id]) if !id.is_empty() => self.put_instance(token, id, body),
             ("DELETE", ["instances", id]) if !id.is_empty() => self.delete_instance(token, id),
@@ -87,7 +87,7 @@
                 self.respond(done.token, 404, "{\"cause\":\"no configuration has been accepted yet\"}")
             }
             (Operation::ReadConfiguration, OperationOutcome::Read(cell)) => {
-                match self.packs.decompress(&DecidedConfiguration::read(&cell).body, crate::core::BODY_MAX_BYTES) {
+                match self.compressor.decompress(&DecidedConfiguration::read(&cell).body, crate::core::BODY_MAX_BYTES) {
                     Ok(body) => self.respond(done.token, 200, body),
                     Err(error) => self.respond(done.token, 500, error_body(&error.to_string())),
                 }
@@ -135,7 +135,7 @@
             );
         }
         if cell.version > self.committed_version && !cell.bytes.is_empty() {
-            match self.packs.decompress(&decided.body, crate::core::BODY_MAX_BYTES) {
+            match self.compressor.decompress(&decided.body, crate::core::BODY_MAX_BYTES) {
                 Ok(body) => self.apply_configuration(cell.version, decided.body, &body),
                 Err(error) => {
                     (self.committed_version, self.committed_digest) = (cell.version, digest);
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -62,11 +62,11 @@
 
     /// Whether this node counts toward a majority of the voters.
     pub(crate) fn is_majority_member(&self) -> bool {
-        self.seat.successor_voting_set(&self.address) > 0
+        self.voter_state.successor_voting_set(&self.address) > 0
     }
 
     pub(crate) fn new_ping(&mut self) -> Message {
-        let (requester, request, now) = (self.quorum.incarnation(), self.quorum.next_request(), self.now);
+        let (requester, request, now) = (self.proposer.incarnation(), self.proposer.next_request(), self.now);
         let pings = &mut self.contact.pings;
         pings.retain(|(_, sent)| sent + CONTACT_TTL_US > now);
         if pings.len() == PINGS_MAX {
@@ -80,13 +80,13 @@
     pub(crate) fn ping_sent_at(&self, requester: u64, request: u64) -> Option<u64> {
         let is_sent = |ping: &&(u64, u64)| ping.0 == request && ping.1 + CONTACT_TTL_US > self.now;
         let sent = self.contact.pings.iter().find(is_sent).map(|(_, sent)| *sent);
-        sent.filter(|_| requester == self.quorum.incarnation())
+        sent.filter(|_| requester == self.proposer.incarnation())
     }
 
     /// Recomputes until when contact lasts. The deadline never moves back: contact with a majority of the previous
     /// voter set stays valid until it expires.
     pub(crate) fn update_contact(&mut self) {
-        let voters = self.quorum.voters();
+        let voters = self.proposer.voters();
         // Includes voters that are sealed for a successor: nothing newer can be decided without them.
         let own = self.is_majority_member().then_some(self.now);
         let is_voting =
@@ -94,7 +94,7 @@
         let others = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_voting);
         let mut dates: Vec<u64> = others.map(|peer| peer.last_contact).chain(own).collect();
         dates.sort_unstable_by(|one, other| other.cmp(one));
-        let newest = dates.get(self.quorum.majority() - 1).filter(|_| !voters.members.is_empty());
+        let newest = dates.get(self.proposer.majority() - 1).filter(|_| !voters.members.is_empty());
         self.contact.valid_until =
             newest.map_or(self.contact.valid_until, |date| self.contact.valid_until.max(date + CONTACT_TTL_US));
         if !self.contact.is_established && self.has_majority() {
@@ -122,7 +122,7 @@
     fn on_majority_gained(&mut self) {
         log::info!("established contact with a majority of the voters");
         (self.contact.is_established, self.contact.established_at) = (true, self.now);
-        self.contact.resync_request = self.quorum.next_request();
+        self.contact.resync_request = self.proposer.next_request();
         self.ping();
         self.continue_catch_up();
     }
@@ -146,13 +146,13 @@
         if !is_due || !self.contact.is_established || self.is_caught_up || self.is_resynced() {
             return;
         }
-        let (requester, request) = (self.quorum.incarnation(), self.contact.resync_request);
+        let (requester, request) = (self.proposer.incarnation(), self.contact.resync_request);
         let times = |addr: &str| self.contact.resync_targets.iter().filter(|asked| *asked == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
             *addr != self.address && is_up && !self.contact.resynced_voters.contains(*addr)
         };
-        let next = self.quorum.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
+        let next = self.proposer.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
         let ranges = self.table.digests();
         if self.send_peer(&addr, Message::Resync { requester, request, digests: ranges }) {
@@ -163,9 +163,9 @@
 
     /// Whether a majority of the voters, including this node if it votes, has sent its in-memory state.
     fn is_resynced(&self) -> bool {
-        let voters = self.quorum.voters();
+        let voters = self.proposer.voters();
         let resynced = self.contact.resynced_voters.iter().filter(|addr| voters.contains(addr)).count();
-        usize::from(self.is_majority_member()) + resynced >= self.quorum.majority()
+        usize::from(self.is_majority_member()) + resynced >= self.proposer.majority()
     }
 
     /// Answers a node that was out of contact: databases that differ, leaders, owners, and finally `ResyncDone`.
@@ -180,7 +180,7 @@
     }
 
     pub(crate) fn on_resync_done(&mut self, addr: &str, requester: u64, request: u64) {
-        if requester == self.quorum.incarnation()
+        if requester == self.proposer.incarnation()
             && request == self.contact.resync_request
             && self.contact.is_established
         {
@@ -196,8 +196,8 @@
         if !std::mem::replace(&mut self.contact.is_reading_conf, true) {
             let token = self.allocate_id();
             self.operations.insert(token, crate::types::Operation::SyncConfiguration(self.contact.generation));
-            self.quorum.start(token, crate::core::CONF_KEY, None, self.now);
-            self.run_quorum();
+            self.proposer.start(token, crate::core::CONF_KEY, None, self.now);
+            self.run_proposer();
         }
     }
 
@@ -225,14 +225,14 @@
 
     /// Whether a majority of the voters, pinged in this generation, holds no newer configuration.
     fn has_newest_conf(&self) -> bool {
-        let voters = self.quorum.voters();
+        let voters = self.proposer.voters();
         let is_heard = |peer: &&crate::types::Peer| {
             let is_asked =
                 peer.last_contact >= self.contact.established_at && peer.last_contact + CONTACT_TTL_US > self.now;
             is_asked && peer.voter_set == voters.number && peer.conf_version <= self.committed_version
         };
         let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
-        !voters.members.is_empty() && heard.count() >= self.quorum.majority()
+        !voters.members.is_empty() && heard.count() >= self.proposer.majority()
     }
 
     /// Whether this node has caught up and has been in contact for at least `us`, so that membership is known.
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -34,16 +34,16 @@
     pub(crate) seeds: Vec<String>,
     pub(crate) store: Store,
     pub(crate) has_disk: bool,
-    pub(crate) seat: VoterState,
+    pub(crate) voter_state: VoterState,
     /// Progress of copying the voters' registers while this node has no vote.
-    pub(crate) progress: crate::voter_catch_up::CatchUpProgress,
+    pub(crate) catch_up: crate::voter_catch_up::CatchUpProgress,
     pub(crate) change: Option<VoterSetChange>,
     /// The highest fence seen for the next voter set.
     pub(crate) max_successor_fence: u64,
     pub(crate) voters_changed_at: u64,
     /// The disk failed to store a voter set that has been decided.
     pub(crate) is_voter_update_unsaved: bool,
-    pub(crate) quorum: Proposer,
+    pub(crate) proposer: Proposer,
     /// When the last requested wake-up is due.
     pub(crate) next_wake: u64,
     pub(crate) feed: Feed,
@@ -60,7 +60,7 @@
     /// The digest of its body, to detect two bodies under one version.
     pub(crate) committed_digest: u64,
     /// Its body, plain and compressed.
-    pub(crate) packs: wv_compression::ChunkedCompressor,
+    pub(crate) compressor: wv_compression::ChunkedCompressor,
     /// When a configuration was last published, the version published before it, and whether a newer one is waiting.
     pub(crate) conf_published_at: u64,
     pub(crate) conf_delta_base: u64,
@@ -84,7 +84,7 @@
     pub(crate) conf: Option<wv_configuration::Configuration>,
     pub(crate) duties: BTreeMap<String, wv_promotion::PromotionCoordinator>,
     pub(crate) fences: BTreeMap<String, u64>,
-    pub(crate) calls: crate::platform_calls::PlatformCalls,
+    pub(crate) platform_calls: crate::platform_calls::PlatformCalls,
     pub(crate) counters: crate::metrics::Counters,
     /// The latest report on each database from each access node, with its time of receipt.
     pub(crate) health_reports: BTreeMap<String, BTreeMap<String, (u64, wv_internal_protocol::HealthReport)>>,
@@ -94,12 +94,11 @@
     pub(crate) departures: BTreeMap<String, crate::departed::Departure>,
     pub(crate) leader_changed_at: BTreeMap<String, u64>,
     pub(crate) leadership: crate::heartbeats::Leadership,
-    pub(crate) drains: crate::leave_ages::LeaveAges,
+    pub(crate) leave_ages: crate::leave_ages::LeaveAges,
     /// Shards whose new owner is being written, and when a shard was last moved only to even out the load.
     pub(crate) owner_writes: Vec<String>,
     pub(crate) last_rebalance: u64,
     pub(crate) started_at: u64,
-    /// Recent outages of databases.
     pub(crate) outages: BTreeMap<String, Outages>,
     /// The table changed since it was last stored.
     pub(crate) is_table_unsaved: bool,
@@ -123,12 +122,13 @@
 
 impl Core {
     pub fn new(start: Start, mut store: Store) -> Result<Core, wv_consensus::RegisterError> {
-        let seat = VoterState::open(&mut store, &start.address, &start.seeds, start.is_initial_start, start.disk_id)?;
-        let mut quorum = Proposer::new(start.requester_id);
-        quorum.set_voters(seat.voters.clone());
-        store.iter().for_each(|(_, held)| quorum.observe_ballot(held.promised.max(held.accepted)));
+        let voter_state =
+            VoterState::open(&mut store, &start.address, &start.seeds, start.is_initial_start, start.disk_id)?;
+        let mut proposer = Proposer::new(start.requester_id);
+        proposer.set_voters(voter_state.voters.clone());
+        store.iter().for_each(|(_, held)| proposer.observe_ballot(held.promised.max(held.accepted)));
         let mut peers = BTreeMap::new();
-        let known = seat.voters.addrs().chain(seat.previous.addrs());
+        let known = voter_state.voters.addrs().chain(voter_state.previous.addrs());
         for addr in start.seeds.iter().map(String::as_str).chain(known).filter(|addr| *addr != start.address) {
             peers.insert(addr.to_owned(), Peer::default());
         }
@@ -143,13 +143,13 @@
             seeds: start.seeds,
             store,
             has_disk: start.has_disk,
-            seat,
-            progress: Default::default(),
+            voter_state,
+            catch_up: Default::default(),
             change: None,
             max_successor_fence: 0,
             voters_changed_at: 0,
             is_voter_update_unsaved: false,
-            quorum,
+            proposer,
             table: InstanceTable::default(),
             links: BTreeMap::new(),
             peers,
@@ -160,7 +160,7 @@
             committed_version: 0,
             committed_digest: 0,
             next_wake: 0,
-            packs: Default::default(),
+            compressor: Default::default(),
             conf_published_at: 0,
             conf_delta_base: 0,
             is_conf_unpublished: false,
@@ -177,14 +177,14 @@
             conf: None,
             duties: BTreeMap::new(),
             fences: BTreeMap::new(),
-            calls: Default::default(),
+            platform_calls: Default::default(),
             counters: Default::default(),
             health_reports: BTreeMap::new(),
             duty_peers: Vec::new(),
             departures: BTreeMap::new(),
             leader_changed_at: BTreeMap::new(),
             leadership: Default::default(),
-            drains: Default::default(),
+            leave_ages: Default::default(),
             owner_writes: Vec::new(),
             last_rebalance: 0,
             started_at: 0,
@@ -219,7 +219,7 @@
     }
 
     pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
-        self.drains.stamp_ages(&mut msg, self.now);
+        self.leave_ages.stamp_ages(&mut msg, self.now);
         self.effects.push(Effect::Send { link, msg });
     }
 
--- a/crates/wv-control/src/diskless.rs
+++ b/crates/wv-control/src/diskless.rs
@@ -9,7 +9,7 @@
 impl Core {
     /// Whether this node has neither a disk nor a vote.
     pub(crate) fn is_diskless(&self) -> bool {
-        !self.has_disk && self.seat.voting_set(&self.address) == 0
+        !self.has_disk && self.voter_state.voting_set(&self.address) == 0
     }
 
     /// A peer reported the configuration version that it has stored.
@@ -55,15 +55,15 @@
         for update in updates {
             let read = match update {
                 FeedUpdate::Configuration { version, body } if version > self.committed_version => {
-                    self.packs.decompress(&body, crate::core::BODY_MAX_BYTES).map(|text| (version, body, text))
+                    self.compressor.decompress(&body, crate::core::BODY_MAX_BYTES).map(|text| (version, body, text))
                 }
                 FeedUpdate::ConfigurationDelta { base, version, delta } if version > self.committed_version => {
                     if base != self.committed_version {
                         return self.request_configuration(addr, self.committed_version);
                     }
-                    let (held, _) = self.packs.reference();
+                    let (held, _) = self.compressor.reference();
                     let made = wv_compression::apply_delta(&held, &delta, crate::core::BODY_MAX_BYTES);
-                    made.map(|text| (version, self.packs.compress(&text), text))
+                    made.map(|text| (version, self.compressor.compress(&text), text))
                 }
                 _ => continue,
             };
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -87,7 +87,7 @@
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
         // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
-        self.calls.requests.retain(|_, asked| asked.step == 0 || self.duties.contains_key(&asked.service));
+        self.platform_calls.requests.retain(|_, asked| asked.step == 0 || self.duties.contains_key(&asked.service));
         services.iter().for_each(|service| self.run_duty(service));
         self.poll_departed();
     }
@@ -119,7 +119,9 @@
 
     pub(crate) fn track_request(&mut self, service: &str, id: &str, turn: u64) -> u64 {
         let ask = self.allocate_id();
-        self.calls.requests.insert(ask, PendingRequest { service: service.to_owned(), id: id.to_owned(), step: turn });
+        self.platform_calls
+            .requests
+            .insert(ask, PendingRequest { service: service.to_owned(), id: id.to_owned(), step: turn });
         ask
     }
 
@@ -129,7 +131,7 @@
         match effect {
             PromotionEffect::ClaimFence => self.claim_duty(service),
             PromotionEffect::ConfirmFence => {
-                self.calls.confirm_started.insert(service.to_owned(), self.now);
+                self.platform_calls.confirm_started.insert(service.to_owned(), self.now);
                 self.start_duty_op(service, Operation::ConfirmDuty(service.to_owned(), turn), None);
             }
             PromotionEffect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
@@ -178,36 +180,36 @@
     /// Handles a database's status reply, or the failure to get one.
     pub fn on_db_status(&mut self, ask: u64, reply: StatusReply, now: u64) {
         self.advance_clock(now);
-        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+        let Some(PendingRequest { service, id, step: turn }) = self.platform_calls.requests.remove(&ask) else {
             return;
         };
         log::info!("duty {service}: status of {id}: {reply:?}");
         self.record_departure_reply(&id, reply);
         self.on_duty_event(&service, turn, Event::Status { id, reply });
-        self.run_quorum();
+        self.run_proposer();
     }
 
     /// Handles the platform's response to a promotion call, or the failure to get one.
     pub fn on_promotion_response(&mut self, ask: u64, code: Option<u16>, now: u64) {
         self.advance_clock(now);
-        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+        let Some(PendingRequest { service, id, step: turn }) = self.platform_calls.requests.remove(&ask) else {
             return;
         };
         log::info!("duty {service}: platform returned {code:?} for {id}");
         self.on_duty_event(&service, turn, Event::PromotionReturned(code));
-        self.run_quorum();
+        self.run_proposer();
     }
 
     pub(crate) fn start_duty_op(&mut self, service: &str, waiting: Operation, edit: Option<wv_consensus::UpdateFn>) {
         let token = self.allocate_id();
         self.operations.insert(token, waiting);
-        self.quorum.start(token, &duty_key(service), edit, self.now);
+        self.proposer.start(token, &duty_key(service), edit, self.now);
     }
 
     /// Claims the duty with a single register write: the next fence under this node's name. Fences are unique per
     /// write.
     fn claim_duty(&mut self, service: &str) {
-        self.calls.confirm_started.insert(service.to_owned(), self.now);
+        self.platform_calls.confirm_started.insert(service.to_owned(), self.now);
         let name = self.address.clone().into_bytes();
         let edit: wv_consensus::UpdateFn =
             Box::new(move |held| Some(wv_consensus::register_value(held.version + 1, name.clone())));
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -83,7 +83,7 @@
         if !is_leave {
             return self.respond(token, 200, "{}");
         }
-        let (requester, request, id) = (self.quorum.incarnation(), self.quorum.next_request(), inst.id.clone());
+        let (requester, request, id) = (self.proposer.incarnation(), self.proposer.next_request(), inst.id.clone());
         self.send_peers(&Message::Instance { requester, request, instance: inst });
         self.leave_acks.add(token, request, id, self.now);
         self.acknowledge_leaves();
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -84,19 +84,19 @@
 impl Core {
     /// Counts each node once, and only replies to requests of this incarnation about this database.
     pub(crate) fn on_instance_ack(&mut self, addr: &str, (requester, request): (u64, u64), id: &str) {
-        if requester == self.quorum.incarnation() {
+        if requester == self.proposer.incarnation() {
             self.leave_acks.record_holder(addr, request, id);
         }
         self.acknowledge_leaves();
     }
 
     pub(crate) fn acknowledge_leaves(&mut self) {
-        let voters = self.quorum.voters();
+        let voters = self.proposer.voters();
         let others_up = self.peers.values().filter(|peer| peer.is_up).count();
         let requirement = AckRequirement {
             is_own_vote: self.is_majority_member(),
             is_voter: &|addr| voters.contains(addr),
-            majority: self.quorum.majority(),
+            majority: self.proposer.majority(),
             others: self.tolerated_machines.min(others_up),
         };
         for (token, id) in self.leave_acks.take_settled(&requirement) {
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -109,13 +109,13 @@
 impl Core {
     /// Sets the platform's limit on work for a leaving database, and the contact timeout of healthy nodes.
     pub fn set_drain_times(&mut self, drain_us: u64, contact_us: u64) {
-        self.drains.new_work_us = wv_internal_protocol::new_work_window_us(drain_us, contact_us);
+        self.leave_ages.new_work_us = wv_internal_protocol::new_work_window_us(drain_us, contact_us);
     }
 
     /// Records the leave time of a database after the table was updated; followers are notified if the leave is older.
     pub(crate) fn record_leave_time(&mut self, report: &Instance, source: ReportSource) {
         let Some(held) = self.table.get(&report.id).filter(|held| !held.gone) else { return };
-        if self.drains.record(report, held, source, (self.now, self.contact.stalls.lag_us(self.now))) {
+        if self.leave_ages.record(report, held, source, (self.now, self.contact.stalls.lag_us(self.now))) {
             let inst = held.clone();
             self.publish(FeedUpdate::Instance(inst));
         }
@@ -131,6 +131,6 @@
 
     /// Whether no access node in contact assigns new work to this database, because it is leaving or gone.
     pub(crate) fn is_past_drain(&self, id: &str) -> bool {
-        self.table.get(id).is_some_and(|inst| self.drains.is_past_drain(inst, self.now))
+        self.table.get(id).is_some_and(|inst| self.leave_ages.is_past_drain(inst, self.now))
     }
 }
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -76,7 +76,7 @@
             (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
             (_, None, None) => self.effects.push(crate::Effect::Close { link }),
         }
-        self.run_quorum();
+        self.run_proposer();
     }
 
     fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), forwarding_address: &str) {
@@ -144,7 +144,7 @@
             Message::Peers { addresses, voters, previous_voters, .. } => {
                 addresses.into_iter().for_each(|addr| self.add_peer(addr));
                 self.learn_voters(&voters, &previous_voters);
-                if voters.number < self.seat.voters.number {
+                if voters.number < self.voter_state.voters.number {
                     let msg = self.peers_msg();
                     self.send(link, msg);
                 }
@@ -154,10 +154,10 @@
             }
             Message::Ping { requester, request } => {
                 let version = self.store.get(crate::core::CONF_KEY).map_or(0, |held| held.value.version);
-                let disk = self.has_disk.then_some(self.seat.disk);
-                let voter_set = self.seat.voting_set(&self.address);
+                let disk = self.has_disk.then_some(self.voter_state.disk);
+                let voter_set = self.voter_state.voting_set(&self.address);
                 let ready = self.is_ready_to_vote();
-                let sealed_set = if voter_set == 0 { self.seat.successor_voting_set(&self.address) } else { 0 };
+                let sealed_set = if voter_set == 0 { self.voter_state.successor_voting_set(&self.address) } else { 0 };
                 self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
             Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
@@ -180,7 +180,7 @@
                 });
             }
             Message::RegisterReply { requester, request, key, vote } => {
-                self.quorum.on_reply(addr, (requester, request), &key, vote, self.now);
+                self.proposer.on_reply(addr, (requester, request), &key, vote, self.now);
             }
             Message::CatchUp(msg) => self.on_catch_up(link, addr, msg),
             Message::Leaving => self.on_peer_leaving(addr),
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -54,7 +54,7 @@
 impl Core {
     /// Sets the minimum interval between platform calls of this node.
     pub fn set_call_interval(&mut self, interval_us: u64) {
-        self.calls.limiter.interval_us = interval_us;
+        self.platform_calls.limiter.interval_us = interval_us;
     }
 
     pub(crate) fn request_promotion(&mut self, service: &str, id: String, fence: u64) {
@@ -65,17 +65,23 @@
         }
         let step = self.duty_step(service);
         let request = self.track_request(service, &id, step);
-        let wait = self.calls.limiter.reserve(self.now);
-        let began = self.calls.confirm_started.get(service).copied().unwrap_or(0);
+        let wait = self.platform_calls.limiter.reserve(self.now);
+        let began = self.platform_calls.confirm_started.get(service).copied().unwrap_or(0);
         if wait == 0 && began + CONFIRMATION_VALIDITY_US > self.now {
             return self.call_platform(request, service, id, (fence, began));
         }
-        self.calls.queue.push(PlatformCall { request, due: self.now + wait, service: service.to_owned(), id, fence });
+        self.platform_calls.queue.push(PlatformCall {
+            request,
+            due: self.now + wait,
+            service: service.to_owned(),
+            id,
+            fence,
+        });
         self.effects.push(Effect::Wake { delay_us: wait.max(1) });
     }
 
     fn call_platform(&mut self, request: u64, service: &str, id: String, (fence, began): (u64, u64)) {
-        self.calls.last_call = self.now;
+        self.platform_calls.last_call = self.now;
         self.count_promotion_call(service);
         let deadline_us = began + CONFIRMATION_VALIDITY_US;
         self.effects.push(Effect::PromoteDatabase { request, service: service.to_owned(), id, fence, deadline_us });
@@ -84,18 +90,18 @@
     /// Starts the confirmation of calls that are due.
     pub(crate) fn run_platform_calls(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.calls.queue).into_iter().partition(|call| call.due <= now);
-        self.calls.queue = rest;
+        let (due, rest) = std::mem::take(&mut self.platform_calls.queue).into_iter().partition(|call| call.due <= now);
+        self.platform_calls.queue = rest;
         let due: Vec<PlatformCall> = due;
         for call in due {
-            self.calls.confirm_started.insert(call.service.clone(), now);
+            self.platform_calls.confirm_started.insert(call.service.clone(), now);
             let service = call.service.clone();
             self.start_duty_op(&service, Operation::ConfirmPlatformCall(Box::new(call)), None);
         }
     }
 
     pub(crate) fn call_confirmed(&mut self, call: PlatformCall, outcome: OperationOutcome) {
-        let began = self.calls.confirm_started.get(&call.service).copied().unwrap_or(0);
+        let began = self.platform_calls.confirm_started.get(&call.service).copied().unwrap_or(0);
         let is_ours =
             self.holds_duty_register(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
         if is_ours && began + CONFIRMATION_VALIDITY_US > self.now {
@@ -106,7 +112,7 @@
 
     /// The call was not sent: its confirmation has expired, or another holder has a higher fence.
     fn call_not_sent(&mut self, request: u64) {
-        let Some(pending) = self.calls.requests.remove(&request) else { return };
+        let Some(pending) = self.platform_calls.requests.remove(&request) else { return };
         log::warn!("duty {}: platform call not sent, its fence is no longer confirmed", pending.service);
         self.on_duty_event(&pending.service, pending.step, Event::FenceConfirmed(false));
     }
@@ -115,6 +121,6 @@
     pub fn promotion_expired(&mut self, request: u64, now: u64) {
         self.advance_clock(now);
         self.call_not_sent(request);
-        self.run_quorum();
+        self.run_proposer();
     }
 }
--- a/crates/wv-control/src/redirect.rs
+++ b/crates/wv-control/src/redirect.rs
@@ -19,7 +19,7 @@
     /// The address of a voter in contact, rotating to spread the load.
     fn voter_address(&mut self) -> Option<String> {
         self.redirects = self.redirects.wrapping_add(1);
-        let voters = self.quorum.voters();
+        let voters = self.proposer.voters();
         let is_heard = |addr: &&str| {
             let is_in_contact = |peer: &crate::types::Peer| peer.is_up && peer.last_contact + CONTACT_TTL_US > self.now;
             self.peers.get(*addr).is_some_and(|peer| is_in_contact(peer) && peer.voter_set == voters.number)
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -1,4 +1,4 @@
-//! The voter side of register operations, and transport for the quorum.
+//! The voter side of register operations, and transport for the proposer.
 use crate::core::Core;
 use wv_internal_protocol::{Ballot, Message, RegisterReply, RegisterRequest};
 
@@ -11,18 +11,20 @@
         key: &str,
         step: &RegisterRequest,
     ) -> Option<RegisterReply> {
-        (set > 0 && self.seat.voting_set(&self.address) == set && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
-            .then_some(())?;
+        (set > 0
+            && self.voter_state.voting_set(&self.address) == set
+            && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
+        .then_some(())?;
         let log_not_stored = |error: wv_consensus::RegisterError| log::error!("cannot store register {key}: {error}");
         match step {
             RegisterRequest::Read { known } => Some(self.current_value(key, *known)),
             RegisterRequest::Prepare { ballot, known } => {
-                self.quorum.observe_ballot(*ballot);
+                self.proposer.observe_ballot(*ballot);
                 let is_promised = self.store.promise(key, *ballot).map_err(log_not_stored).ok()?;
                 Some(if is_promised { self.current_value(key, *known) } else { self.rejection(key) })
             }
             RegisterRequest::Accept { ballot, value: cell } => {
-                self.quorum.observe_ballot(*ballot);
+                self.proposer.observe_ballot(*ballot);
                 let is_kept = self.store.accept(key, *ballot, cell).map_err(log_not_stored).ok()?;
                 Some(if is_kept { RegisterReply::Accepted } else { self.rejection(key) })
             }
@@ -42,12 +44,12 @@
         RegisterReply::Rejected { promised }
     }
 
-    /// Sends the quorum's messages, and handles completed operations.
-    pub(crate) fn run_quorum(&mut self) {
+    /// Sends the proposer's messages, and handles completed operations.
+    pub(crate) fn run_proposer(&mut self) {
         loop {
             // An operation that has advanced sends its next step at once instead of at the next tick.
-            self.quorum.tick(self.now);
-            let out = self.quorum.take_messages();
+            self.proposer.tick(self.now);
+            let out = self.proposer.take_messages();
             if out.is_empty() {
                 break;
             }
@@ -61,17 +63,18 @@
                 };
                 let vote = self.answer_register_step(set, &key, &step);
                 let me = self.address.clone();
-                vote.into_iter().for_each(|vote| self.quorum.on_reply(&me, (requester, request), &key, vote, self.now));
+                vote.into_iter()
+                    .for_each(|vote| self.proposer.on_reply(&me, (requester, request), &key, vote, self.now));
             }
         }
-        let done = self.quorum.take_completions();
+        let done = self.proposer.take_completions();
         done.into_iter().for_each(|done| self.quorum_done(done));
         self.schedule_wake();
     }
 
     /// Schedules a wake-up for pauses between proposals that end before the next tick.
     fn schedule_wake(&mut self) {
-        let due = self.quorum.next_due_us().filter(|due| *due < self.now + crate::core::TICK_US);
+        let due = self.proposer.next_due_us().filter(|due| *due < self.now + crate::core::TICK_US);
         let is_armed = |due: &u64| self.next_wake > self.now && self.next_wake <= *due;
         if let Some(due) = due.filter(|due| !is_armed(due)) {
             self.next_wake = due.max(self.now + 1);
@@ -83,6 +86,6 @@
     pub fn wake(&mut self, now: u64) {
         self.advance_clock(now);
         self.run_platform_calls();
-        self.run_quorum();
+        self.run_proposer();
     }
 }
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -69,7 +69,7 @@
                 nanoserde::SerBin::serialize_bin(&Owner { epoch: number, ..owner.clone() }),
             ))
         });
-        self.quorum.start(token, &key, Some(edit), self.now);
+        self.proposer.start(token, &key, Some(edit), self.now);
     }
 
     /// Whether the owner restarted under the same name at another address.
--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -51,7 +51,7 @@
     fn start_register_op(&mut self, shard: &str, part: &str, op: ShardRegisterOp, edit: Option<UpdateFn>) {
         let token = self.allocate_id();
         self.operations.insert(token, Operation::ShardRegister(shard.to_owned(), op));
-        self.quorum.start(token, &register_key(part, shard), edit, self.now);
+        self.proposer.start(token, &register_key(part, shard), edit, self.now);
     }
 
     fn write_register(&mut self, shard: &str, part: &str, op: ShardRegisterOp, (version, value): (u64, Vec<u8>)) {
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -158,7 +158,7 @@
         if let Some((shard, token)) = found {
             self.on_split_event(&shard, Event::Ran { token, replies });
         }
-        self.run_quorum();
+        self.run_proposer();
     }
 
     /// Handles one of the register reads; after the last one the ballot is reported to the state machine as claimed.
--- a/crates/wv-control/src/shutdown.rs
+++ b/crates/wv-control/src/shutdown.rs
@@ -19,7 +19,7 @@
     pub(crate) fn run_shutdown(&mut self) {
         let is_under_way = |duty: &wv_promotion::PromotionCoordinator| duty.is_active() && !duty.is_idle();
         let is_busy = self.duties.values().any(is_under_way)
-            || (self.calls.last_call > 0 && self.calls.last_call + PROMOTION_GAP_US > self.now);
+            || (self.platform_calls.last_call > 0 && self.platform_calls.last_call + PROMOTION_GAP_US > self.now);
         if !self.is_leaving || self.is_leaving_announced || is_busy {
             return;
         }
@@ -38,12 +38,12 @@
     /// Whether this node may exit before its timeout. A voter may not while it is about to be replaced or while its
     /// sealed set has no accepted successor; nor may the node that drives a change.
     pub fn may_exit(&self) -> bool {
-        if !self.seat.is_member(&self.address) {
+        if !self.voter_state.is_member(&self.address) {
             return self.has_majority();
         }
-        let own = Member { addr: self.address.clone(), disk: self.seat.disk };
+        let own = Member { addr: self.address.clone(), disk: self.voter_state.disk };
         let is_kept = |next: wv_internal_protocol::VoterSet| next.members.contains(&own);
-        let is_sealed = self.seat.voting_set(&self.address) == 0;
+        let is_sealed = self.voter_state.voting_set(&self.address) == 0;
         !is_sealed && !self.is_changing_voters() && self.planned_voters().is_none_or(is_kept)
     }
 }
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -57,8 +57,8 @@
 
 #[derive(nanoserde::SerBin, nanoserde::DeBin, Default)]
 struct StoredTable {
-    insts: Vec<StoredInstance>,
-    leads: Vec<Leader>,
+    instances: Vec<StoredInstance>,
+    leaders: Vec<Leader>,
     nodes: u32,
 }
 
@@ -74,13 +74,13 @@
         }
         let needed = self.required_departures();
         let stored = StoredTable {
-            insts: self
+            instances: self
                 .table
                 .iter()
                 .filter(|inst| !inst.gone || needed.contains(&inst.id))
                 .map(StoredInstance::from)
                 .collect(),
-            leads: self.feed.leaders().cloned().collect(),
+            leaders: self.feed.leaders().cloned().collect(),
             nodes: self.published_node_count,
         };
         let value = nanoserde::SerBin::serialize_bin(&stored);
@@ -102,7 +102,7 @@
         self.stored_node_count = stored.nodes;
         // A departed database may have held records that no other one has, so departures are restored as well.
         let (gone, here): (Vec<Instance>, Vec<Instance>) =
-            stored.insts.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
+            stored.instances.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
         for inst in gone {
             self.departures.insert(inst.id.clone(), Default::default());
             self.table.merge(Instance { gone: false, ..inst.clone() });
@@ -115,6 +115,6 @@
             let changed = self.table.merge(inst);
             changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
         }
-        stored.leads.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
+        stored.leaders.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
     }
 }
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -70,7 +70,7 @@
                     .then(|| RegisterValue { version: version.max(held.version + 1), ..RegisterValue::default() })
             });
             self.operations.insert(token, crate::types::Operation::SweepRegister);
-            self.quorum.start(token, &key, Some(edit), self.now);
+            self.proposer.start(token, &key, Some(edit), self.now);
         }
     }
 }
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -47,7 +47,7 @@
             let table = &self.table;
             self.departures.retain(|id, _| table.get(id).is_some());
             self.leave_acks.retain_known(|id| table.get(id).is_some());
-            self.drains.retain_known(|id| table.get(id).is_some());
+            self.leave_ages.retain_known(|id| table.get(id).is_some());
             self.forget_peers();
         }
         self.continue_catch_up();
@@ -65,8 +65,8 @@
         self.run_shards();
         self.run_sweep();
         self.publish_node_count();
-        self.quorum.tick(self.now);
-        self.run_quorum();
+        self.proposer.tick(self.now);
+        self.run_proposer();
         self.expire_leaves();
         self.expire_pending();
     }
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -48,16 +48,16 @@
 impl Core {
     /// Whether this node is a member of the newest set that does not vote in it yet.
     fn is_joining(&self) -> bool {
-        self.seat.is_member(&self.address) && self.seat.successor_voting_set(&self.address) == 0
+        self.voter_state.is_member(&self.address) && self.voter_state.successor_voting_set(&self.address) == 0
     }
 
     fn is_learner(&self) -> bool {
-        self.has_disk && !self.seat.is_member(&self.address) && !self.seat.voters.members.is_empty()
+        self.has_disk && !self.voter_state.is_member(&self.address) && !self.voter_state.voters.members.is_empty()
     }
 
     /// Whether this learner holds everything that a voter held as of a moment ago.
     pub fn is_ready_to_vote(&self) -> bool {
-        self.is_learner() && self.progress.up_to_date_at.is_some_and(|at| at + READY_WINDOW_US > self.now)
+        self.is_learner() && self.catch_up.up_to_date_at.is_some_and(|at| at + READY_WINDOW_US > self.now)
     }
 
     /// Compares with one source at a time, and switches to another if it times out.
@@ -66,38 +66,38 @@
         if !is_urgent && !self.is_learner() {
             return;
         }
-        let span = SOURCE_TIMEOUT_US << self.progress.silent_sources.len().min(4);
-        if let Some(held) = &self.progress.current {
+        let span = SOURCE_TIMEOUT_US << self.catch_up.silent_sources.len().min(4);
+        if let Some(held) = &self.catch_up.current {
             let is_up = self.peers.get(&held.source).is_some_and(|peer| peer.is_up);
             if is_up && held.answered_at + span > self.now {
                 return;
             }
             let source = held.source.clone();
-            self.progress.silent_sources.push(source);
-            self.progress.current = None;
+            self.catch_up.silent_sources.push(source);
+            self.catch_up.current = None;
         }
-        if !is_urgent && self.progress.next_attempt_at > self.now {
+        if !is_urgent && self.catch_up.next_attempt_at > self.now {
             return;
         }
         let Some(source) = self.next_source(is_urgent) else { return };
         let (voters, before, request) =
-            (self.seat.voters.clone(), self.seat.previous.clone(), self.quorum.next_request());
+            (self.voter_state.voters.clone(), self.voter_state.previous.clone(), self.proposer.next_request());
         let digest = anti_entropy::combined_digest(&anti_entropy::range_digests(&self.store));
         let (now, differing) = (self.now, Vec::new());
         self.send_peer(&source, Message::CatchUp(CatchUp::Compare { request, voters, previous: before, digest }));
-        self.progress.current =
+        self.catch_up.current =
             Some(Comparison { source, request, started_at: now, answered_at: now, set: 0, differing, requested: 0 });
     }
 
     /// A voter of the newest set alone is sufficient; otherwise members of the previous set are asked in turn. Among
     /// equals the source with the fewest timeouts is chosen.
     fn next_source(&self, is_urgent: bool) -> Option<String> {
-        let (voters, before) = (&self.seat.voters, &self.seat.previous);
+        let (voters, before) = (&self.voter_state.voters, &self.voter_state.previous);
         let addrs: BTreeSet<&str> = voters.addrs().chain(before.addrs().filter(|_| is_urgent)).collect();
         let order = |addr: &&str| {
             let peer =
-                self.peers.get(*addr).filter(|peer| peer.is_up && !self.progress.complete_sources.contains(*addr))?;
-            let silent = self.progress.silent_sources.iter().filter(|silent| silent == addr).count();
+                self.peers.get(*addr).filter(|peer| peer.is_up && !self.catch_up.complete_sources.contains(*addr))?;
+            let silent = self.catch_up.silent_sources.iter().filter(|silent| silent == addr).count();
             let is_voter = peer.voter_set == voters.number;
             (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.last_contact)))
         };
@@ -112,11 +112,11 @@
                 // Learning of the new set ends voting in the previous one: only then are the registers sent from here
                 // final.
                 self.learn_voters(&voters, &before);
-                if self.seat.voters.number > voters.number {
+                if self.voter_state.voters.number > voters.number {
                     let msg = self.peers_msg();
                     return self.send(link, msg);
                 }
-                let set = self.seat.source_set(&self.address);
+                let set = self.voter_state.source_set(&self.address);
                 if set > 0 {
                     let digests = anti_entropy::range_digests(&self.store);
                     let digests = if anti_entropy::combined_digest(&digests) == digest { Vec::new() } else { digests };
@@ -136,7 +136,7 @@
 
     fn current_comparison(&mut self, addr: &str, request: u64) -> Option<&mut Comparison> {
         let now = self.now;
-        let held = self.progress.current.as_mut().filter(|held| held.source == addr && held.request == request)?;
+        let held = self.catch_up.current.as_mut().filter(|held| held.source == addr && held.request == request)?;
         held.answered_at = now;
         Some(held)
     }
@@ -146,7 +146,7 @@
         let Some(held) = self.current_comparison(addr, request) else { return };
         let differs = |range: &u32| theirs.get(*range as usize).is_some_and(|sum| *sum != ours[*range as usize]);
         (held.set, held.differing) = (set, (0..anti_entropy::RANGE_COUNT as u32).filter(differs).collect());
-        self.progress.silent_sources.clear();
+        self.catch_up.silent_sources.clear();
         self.request_next_part();
     }
 
@@ -157,7 +157,7 @@
         }
         if let Err(error) = self.store.adopt_newer(registers) {
             log::error!("cannot store registers copied from a voter: {error}");
-            self.progress.current = None;
+            self.catch_up.current = None;
             return;
         }
         let Some(held) = self.current_comparison(addr, request) else { return };
@@ -165,13 +165,13 @@
             let asked = std::mem::take(&mut held.requested).min(held.differing.len());
             held.differing.drain(..asked);
         }
-        self.progress.silent_sources.clear();
+        self.catch_up.silent_sources.clear();
         self.request_next_part();
     }
 
     /// Requests one part at a time, so that links and sources stay available for other work.
     fn request_next_part(&mut self) {
-        let Some(held) = self.progress.current.as_mut() else { return };
+        let Some(held) = self.catch_up.current.as_mut() else { return };
         if held.differing.is_empty() {
             return self.finish_comparison();
         }
@@ -183,25 +183,25 @@
 
     /// Everything that the source held when the comparison started is stored here.
     fn finish_comparison(&mut self) {
-        let Some(held) = self.progress.current.take() else { return };
-        self.progress.next_attempt_at = self.now + LEARNER_INTERVAL_US;
-        let (voters, before) = (self.seat.voters.clone(), self.seat.previous.clone());
+        let Some(held) = self.catch_up.current.take() else { return };
+        self.catch_up.next_attempt_at = self.now + LEARNER_INTERVAL_US;
+        let (voters, before) = (self.voter_state.voters.clone(), self.voter_state.previous.clone());
         if held.set == voters.number {
-            self.progress.up_to_date_at = Some(held.started_at);
+            self.catch_up.up_to_date_at = Some(held.started_at);
         }
         if !self.is_joining() {
             return;
         }
         // A source that has not voted in either set knows no more than this disk: others are preferred.
         if held.set == before.number {
-            self.progress.complete_sources.insert(held.source);
+            self.catch_up.complete_sources.insert(held.source);
         } else if held.set != voters.number {
-            return self.progress.silent_sources.push(held.source);
+            return self.catch_up.silent_sources.push(held.source);
         }
         // This disk's own state in the previous set counts like any other member's.
         let has_left = |addr: &&str| {
-            self.progress.complete_sources.contains(*addr)
-                || (*addr == self.address && self.seat.source_set(&self.address) == before.number)
+            self.catch_up.complete_sources.contains(*addr)
+                || (*addr == self.address && self.voter_state.source_set(&self.address) == before.number)
         };
         let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
         // A majority of the previous set, each member having left it before it answered, holds everything acknowledged
@@ -210,10 +210,10 @@
         if held.set != voters.number && !has_before {
             return self.run_catch_up();
         }
-        match self.seat.install(&mut self.store) {
+        match self.voter_state.install(&mut self.store) {
             Ok(()) => {
-                log::warn!("this disk now votes in set {}", self.seat.installed_set);
-                self.progress.reset();
+                log::warn!("this disk now votes in set {}", self.voter_state.installed_set);
+                self.catch_up.reset();
                 self.ping();
             }
             Err(error) => log::error!("cannot store the vote in the new set: {error}"),
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -29,7 +29,7 @@
                     sealed.into_iter().for_each(|ok| self.on_sealed(&me, request, ok));
                 }
                 Message::Handover(Handover::Fetch { request, set, next, .. }) => {
-                    if self.seat.is_successor_member(&me, set, &next) && self.is_handover_complete(set) {
+                    if self.voter_state.is_successor_member(&me, set, &next) && self.is_handover_complete(set) {
                         self.on_fetched(&me, request);
                     }
                 }
@@ -46,7 +46,7 @@
         match msg {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
                 let claimed = self
-                    .seat
+                    .voter_state
                     .prepare_successor(&mut self.store, &self.address, set, fence)?
                     .map_err(log_not_stored)
                     .ok()?;
@@ -59,7 +59,7 @@
             }
             Message::AcceptSuccessor { request, voter_set: set, fence, successor: next } => {
                 let ok = self
-                    .seat
+                    .voter_state
                     .accept_successor(&mut self.store, &self.address, (set, fence), &next)?
                     .map_err(log_not_stored)
                     .ok()?;
@@ -70,11 +70,11 @@
     }
 
     fn seal_voter(&mut self, set: u64, fence: u64) -> Option<bool> {
-        self.seat.seal(&mut self.store, &self.address, (set, fence))?.map_err(log_not_stored).ok()
+        self.voter_state.seal(&mut self.store, &self.address, (set, fence))?.map_err(log_not_stored).ok()
     }
 
     fn is_handover_complete(&mut self, set: u64) -> bool {
-        self.seat.mark_complete(&mut self.store, set).map_err(log_not_stored).unwrap_or(false)
+        self.voter_state.mark_complete(&mut self.store, set).map_err(log_not_stored).unwrap_or(false)
     }
 
     pub(crate) fn on_handover(&mut self, link: u64, addr: &str, msg: Handover) {
@@ -87,13 +87,13 @@
             }
             Handover::Sealed { request, ok, digests } => {
                 let open = anti_entropy::differing_ranges(&self.store, &digests);
-                match self.seat.voters.number {
+                match self.voter_state.voters.number {
                     set if ok && !open.is_empty() => self.request_ranges(link, (request, set, false), &open),
                     _ => self.on_sealed(addr, request, ok),
                 }
             }
             Handover::Fetch { request, set, next, digests } => {
-                if self.seat.is_successor_member(&self.address, set, &next) {
+                if self.voter_state.is_successor_member(&self.address, set, &next) {
                     let open = anti_entropy::differing_ranges(&self.store, &digests);
                     self.on_newer_registers(link, addr, (request, set, true), Vec::new(), &open);
                 }
@@ -101,8 +101,8 @@
             Handover::CompareRanges { request, set, is_member, ranges, other_ranges: others } => {
                 self.send_newer_registers(link, (request, set, is_member), &ranges, others);
             }
-            Handover::NewerRegisters { request, set, is_member, registers, remaining_ranges: left } => {
-                self.on_newer_registers(link, addr, (request, set, is_member), registers, &left);
+            Handover::NewerRegisters { request, set, is_member, registers, remaining_ranges: remaining } => {
+                self.on_newer_registers(link, addr, (request, set, is_member), registers, &remaining);
             }
             Handover::Fetched { request } => self.on_fetched(addr, request),
         }
@@ -128,16 +128,22 @@
         others: Vec<u32>,
     ) {
         let is_handing = || self.change.as_ref().is_some_and(|change| change.is_handing_over(request));
-        let is_final = if is_member { is_handing() } else { self.seat.sealed_set == set };
-        if set != self.seat.voters.number || !is_final {
+        let is_final = if is_member { is_handing() } else { self.voter_state.sealed_set == set };
+        if set != self.voter_state.voters.number || !is_final {
             return;
         }
         let (registers, is_whole) = anti_entropy::newer_registers(&self.store, ranges);
         let again = ranges.iter().map(|range| range.0).filter(|_| !is_whole);
-        let left = again.chain(others).collect();
+        let remaining = again.chain(others).collect();
         self.send(
             link,
-            Message::Handover(Handover::NewerRegisters { request, set, is_member, registers, remaining_ranges: left }),
+            Message::Handover(Handover::NewerRegisters {
+                request,
+                set,
+                is_member,
+                registers,
+                remaining_ranges: remaining,
+            }),
         );
     }
 
@@ -148,13 +154,13 @@
         addr: &str,
         (request, set, is_member): (u64, u64, bool),
         registers: Vec<(String, AcceptorState)>,
-        left: &[u32],
+        remaining: &[u32],
     ) {
-        if set != self.seat.voters.number || self.store.adopt_newer(registers).map_err(log_not_stored).is_err() {
+        if set != self.voter_state.voters.number || self.store.adopt_newer(registers).map_err(log_not_stored).is_err() {
             return;
         }
-        if !left.is_empty() {
-            return self.request_ranges(link, (request, set, is_member), left);
+        if !remaining.is_empty() {
+            return self.request_ranges(link, (request, set, is_member), remaining);
         }
         if !is_member {
             self.on_sealed(addr, request, true);
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -25,18 +25,18 @@
         Message::Peers {
             addresses: addrs,
             zones,
-            voters: self.seat.voters.clone(),
-            previous_voters: self.seat.previous.clone(),
+            voters: self.voter_state.voters.clone(),
+            previous_voters: self.voter_state.previous.clone(),
         }
     }
 
     fn is_seed_or_voter(&self, addr: &str) -> bool {
-        self.seeds.iter().any(|seed| seed == addr) || self.seat.voters.contains(addr)
+        self.seeds.iter().any(|seed| seed == addr) || self.voter_state.voters.contains(addr)
     }
 
     pub(crate) fn forget_peers(&mut self) {
         let now = self.now;
-        let (seeds, voters) = (&self.seeds, &self.seat.voters);
+        let (seeds, voters) = (&self.seeds, &self.voter_state.voters);
         self.peers.retain(|addr, peer| {
             peer.is_up
                 || peer.known_since.max(peer.last_contact) + PEER_RETENTION_US > now
@@ -47,11 +47,12 @@
 
     /// Adopts an accepted voter set and tells all peers.
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
-        let is_news = self.seat.update_voters(&mut self.store, &self.address, voters, before).unwrap_or_else(|error| {
-            log::error!("cannot store the voter set: {error}");
-            self.is_voter_update_unsaved = true;
-            false
-        });
+        let is_news =
+            self.voter_state.update_voters(&mut self.store, &self.address, voters, before).unwrap_or_else(|error| {
+                log::error!("cannot store the voter set: {error}");
+                self.is_voter_update_unsaved = true;
+                false
+            });
         if !is_news {
             return;
         }
@@ -60,10 +61,10 @@
             let since = self.now;
             self.peers.entry(addr.to_owned()).or_insert_with(|| Peer { known_since: since, ..Default::default() });
         }
-        self.quorum.set_voters(voters.clone());
+        self.proposer.set_voters(voters.clone());
         self.change = None;
         self.voters_changed_at = self.now;
-        self.progress.reset();
+        self.catch_up.reset();
         let msg = self.peers_msg();
         self.send_peers(&msg);
         self.run_catch_up();
@@ -88,10 +89,10 @@
     /// Whether this node is in contact with a majority of the newest set that can decide on its successor: members that
     /// vote, and members sealed for a successor that is not accepted yet.
     fn has_deciding_majority(&self) -> bool {
-        let voters = &self.seat.voters;
+        let voters = &self.voter_state.voters;
         let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
         let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
-        let own = usize::from(self.seat.successor_voting_set(&self.address) > 0);
+        let own = usize::from(self.voter_state.successor_voting_set(&self.address) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
 
@@ -101,7 +102,7 @@
 
     /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
     fn is_change_planner(&self) -> bool {
-        let voters = &self.seat.voters;
+        let voters = &self.voter_state.voters;
         let is_meant = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
             self.peers.get(addr).is_some_and(|peer| {
@@ -110,17 +111,17 @@
                 is_seated && !peer.is_leaving
             })
         };
-        let is_own = self.has_disk && self.seat.successor_voting_set(&self.address) > 0 && !self.is_leaving;
+        let is_own = self.has_disk && self.voter_state.successor_voting_set(&self.address) > 0 && !self.is_leaving;
         is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_meant)
     }
 
     /// Whether every reachable member votes. Other members are changed only after that, so that the set keeps its fault
     /// tolerance; a member that does not start voting is waited for only up to `JOIN_TIMEOUT_US`.
     fn are_members_voting(&self) -> bool {
-        let number = self.seat.voters.number;
+        let number = self.voter_state.voters.number;
         let is_behind =
             |addr: &str| self.peers.get(addr).is_some_and(|peer| self.is_in_contact(peer) && peer.voter_set != number);
-        self.voters_changed_at + JOIN_TIMEOUT_US <= self.now || !self.seat.voters.addrs().any(is_behind)
+        self.voters_changed_at + JOIN_TIMEOUT_US <= self.now || !self.voter_state.voters.addrs().any(is_behind)
     }
 
     fn start_planned_change(&mut self) {
@@ -130,10 +131,10 @@
         {
             return;
         }
-        let voters = &self.seat.voters;
+        let voters = &self.voter_state.voters;
         let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed_set == voters.number);
         // A previous planner may have failed midway: the set must not stay sealed without a successor.
-        let is_begun = self.seat.voting_set(&self.address) == 0 || voters.addrs().any(is_sealed);
+        let is_begun = self.voter_state.voting_set(&self.address) == 0 || voters.addrs().any(is_sealed);
         if !is_begun && !self.are_members_voting() {
             return;
         }
@@ -146,24 +147,26 @@
             return;
         };
         let own = self.address.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
-        let fence = (((self.max_successor_fence.max(self.seat.fence) >> 16) + 1) << 16) | own;
+        let fence = (((self.max_successor_fence.max(self.voter_state.fence) >> 16) + 1) << 16) | own;
         log::warn!("proposing voter set {}: {}", next.number, next.addrs().collect::<Vec<_>>().join(" "));
         self.voters_changed_at = self.now;
         // Replies are matched by request number, not by fence: two incarnations of a node may choose the same fence.
-        let request = self.quorum.next_request();
-        self.change = Some(VoterSetChange::new(request, fence, self.seat.voters.clone(), next, self.now));
+        let request = self.proposer.next_request();
+        self.change = Some(VoterSetChange::new(request, fence, self.voter_state.voters.clone(), next, self.now));
         self.run_voter_change();
     }
 
     /// The next voter set, if a change is needed.
     pub(crate) fn planned_voters(&self) -> Option<VoterSet> {
-        wv_consensus::plan_successor(&self.seat.voters, &self.voter_candidates(), |addr| self.unreachable_us(addr))
+        wv_consensus::plan_successor(&self.voter_state.voters, &self.voter_candidates(), |addr| {
+            self.unreachable_us(addr)
+        })
     }
 
     /// All known machines that could vote.
     fn voter_candidates(&self) -> Vec<wv_consensus::Candidate> {
         let own = wv_consensus::Candidate {
-            member: Member { addr: self.address.clone(), disk: self.seat.disk },
+            member: Member { addr: self.address.clone(), disk: self.voter_state.disk },
             zone: self.zone.clone(),
             is_up: true,
             is_ready: self.is_ready_to_vote(),
@@ -203,20 +206,20 @@
             let is_own = member.addr == self.address;
             let peer = self.peers.get(&member.addr);
             let (is_up, set) = if is_own {
-                (true, self.seat.voting_set(&self.address))
+                (true, self.voter_state.voting_set(&self.address))
             } else {
                 peer.map_or((false, 0), |peer| (peer.is_up, peer.voter_set))
             };
-            let state = match (is_up, set == self.seat.voters.number) {
+            let state = match (is_up, set == self.voter_state.voters.number) {
                 (false, _) => "away",
                 (true, true) => "votes",
                 (true, false) => "takes up its vote",
             };
             serde_json::json!({ "address": member.addr, "disk": format!("{:x}", member.disk), "state": state })
         };
-        let members: Vec<serde_json::Value> = self.seat.voters.members.iter().map(status).collect();
+        let members: Vec<serde_json::Value> = self.voter_state.voters.members.iter().map(status).collect();
         let body = serde_json::json!({
-            "number": self.seat.voters.number, "majority": self.seat.voters.majority(), "members": members,
+            "number": self.voter_state.voters.number, "majority": self.voter_state.voters.majority(), "members": members,
             "fresh": self.has_majority(), "changing": self.is_changing_voters(),
         });
         self.respond(token, 200, body.to_string());
@@ -227,7 +230,7 @@
         self.voters_changed_at = self.now;
         match end {
             ChangeOutcome::Accepted(next) => {
-                let before = self.seat.voters.clone();
+                let before = self.voter_state.voters.clone();
                 self.learn_voters(&next, &before);
             }
             ChangeOutcome::Aborted { highest_fence } => {
--- a/crates/wv-route/src/lib.rs
+++ b/crates/wv-route/src/lib.rs
@@ -47,11 +47,11 @@
 const COLD_POOL_COST: f64 = 0.1;
 
 pub fn decide_route(
-    checks: &HealthTable,
+    health: &HealthTable,
     request: &RouteRequest<'_>,
     availability: &dyn Fn(DatabaseKey) -> PoolAvailability,
 ) -> RouteDecision {
-    let Some(checker) = checks.service(request.service) else { return RouteDecision::Wait };
+    let Some(checker) = health.service(request.service) else { return RouteDecision::Wait };
     if request.is_read_only {
         if let Category::BoundedStaleness { max_staleness_us } = request.category {
             let since = request.first_byte_at.saturating_sub(max_staleness_us);
