--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn set_owner(&mut self, owner: Owner) {
-        let service = self.checks.intern_service(&owner.service);
+        let service = self.health.intern_service(&owner.service);
         let is_newer = self.forwarding.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
         if is_newer {
             self.forwarding.owners.insert(service, owner);
@@ -87,13 +87,13 @@
         let is_here = client.request.is_local_only
             || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.has_completed_statement);
         conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
-        let owner = self.forwarding.owners.get(&self.checks.service_index(&route.service)?)?;
+        let owner = self.forwarding.owners.get(&self.health.service_index(&route.service)?)?;
         let is_failed = self
             .forwarding
             .owner_links
-            .get(&owner.handover_address)
+            .get(&owner.forwarding_address)
             .is_some_and(|owner_link| owner_link.failed_until > self.now);
-        (owner.node != self.forwarding.node_name && !owner.handover_address.is_empty() && !is_failed).then_some(owner)
+        (owner.node != self.forwarding.node_name && !owner.forwarding_address.is_empty() && !is_failed).then_some(owner)
     }
 
     /// Forwards the open request if another node owns its shard. Returns `false` if it is to be executed here.
@@ -102,7 +102,7 @@
             self.forward_request(id, session);
             return true;
         }
-        let Some(address) = self.forwarding_target(id).map(|owner| owner.handover_address.clone()) else {
+        let Some(address) = self.forwarding_target(id).map(|owner| owner.forwarding_address.clone()) else {
             return false;
         };
         let link = match self.forwarding.owner_links.get(&address).filter(|owner_link| owner_link.link > 0) {
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -1,5 +1,6 @@
 //! Shares of this node's capacity among tenants: sessions, open requests, queue places and connections.
 use crate::core::Core;
+use wv_configuration::Configuration;
 use wv_fair_queue::{TenantUsage, Tenants};
 use wv_health::DatabaseKey;
 
@@ -38,11 +39,7 @@
     }
 
     /// New weights apply to requests that start from now on.
-    pub(crate) fn set_tenants(
-        &mut self,
-        conf: &wv_configuration::Configuration,
-        before: Option<&wv_configuration::Configuration>,
-    ) {
+    pub(crate) fn set_tenants(&mut self, conf: &Configuration, before: Option<&Configuration>) {
         // Without tenants before and after, no session changes.
         if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
@@ -214,7 +211,7 @@
         let tenant = client.tenant;
         let route = client.request.route.clone()?;
         self.tenant_shares.tallies.get_mut(tenant as usize).into_iter().for_each(|tally| tally.refused += 1);
-        let service = self.checks.service_index(&route.service)?;
+        let service = self.health.service_index(&route.service)?;
         let backlog = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
             let slots = pool.fair_queue.entitled_slots(
                 &self.tenant_shares.tenants,
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -1,9 +1,9 @@
 //! Duties held by this node: inputs to the promotion state machines and execution of their effects.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use crate::types::{Operation, PendingRequest};
 use wv_consensus::OperationOutcome;
 use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
-use wv_promotion::{Database, Effect, Event, ServiceView, StatusError, StatusReply};
+use wv_promotion::{Database, Effect as PromotionEffect, Event, ServiceView, StatusError, StatusReply};
 
 /// How long contact must have lasted before a duty is acted on, so that membership is known.
 const STABLE_CONTACT_US: u64 = 800_000;
@@ -87,7 +87,7 @@
         let services: Vec<String> = conf.services.keys().filter(is_meant).cloned().collect();
         self.duties.retain(|service, _| conf.services.contains_key(service));
         // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
-        self.calls.requests.retain(|_, asked| asked.step == 0 || self.duties.contains_key(&asked.service));
+        self.platform_calls.requests.retain(|_, asked| asked.step == 0 || self.duties.contains_key(&asked.service));
         services.iter().for_each(|service| self.run_duty(service));
         self.poll_departed();
     }
@@ -119,27 +119,29 @@
 
     pub(crate) fn track_request(&mut self, service: &str, id: &str, turn: u64) -> u64 {
         let ask = self.allocate_id();
-        self.calls.requests.insert(ask, PendingRequest { service: service.to_owned(), id: id.to_owned(), step: turn });
+        self.platform_calls
+            .requests
+            .insert(ask, PendingRequest { service: service.to_owned(), id: id.to_owned(), step: turn });
         ask
     }
 
-    fn apply_effect(&mut self, service: &str, effect: Effect) {
+    fn apply_effect(&mut self, service: &str, effect: PromotionEffect) {
         log::info!("duty {service}: {effect:?}");
         let turn = self.duty_step(service);
         match effect {
-            Effect::ClaimFence => self.claim_duty(service),
-            Effect::ConfirmFence => {
-                self.calls.confirm_started.insert(service.to_owned(), self.now);
+            PromotionEffect::ClaimFence => self.claim_duty(service),
+            PromotionEffect::ConfirmFence => {
+                self.platform_calls.confirm_started.insert(service.to_owned(), self.now);
                 self.start_duty_op(service, Operation::ConfirmDuty(service.to_owned(), turn), None);
             }
-            Effect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
-            Effect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
-            Effect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
-            Effect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
-            Effect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
-            Effect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
-            Effect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
-            Effect::AnnounceLeader { id, term } => {
+            PromotionEffect::QueryStatus { id } => self.send_db_request(service, id, "ENQUIRY".to_owned(), turn),
+            PromotionEffect::Suspend { id, term } => self.send_db_request(service, id, format!("SUSPEND {term}"), turn),
+            PromotionEffect::Continue { id } => self.send_db_request(service, id, "CONTINUE".to_owned(), 0),
+            PromotionEffect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
+            PromotionEffect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), turn),
+            PromotionEffect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
+            PromotionEffect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
+            PromotionEffect::AnnounceLeader { id, term } => {
                 let lead = Leader { service: service.to_owned(), id, term };
                 self.send_peers(&Message::Leader(lead.clone()));
                 self.on_leader(lead);
@@ -165,17 +167,11 @@
         }
     }
 
-    pub(crate) fn send_db_request(&mut self, service: &str, id: String, text: String, turn: u64) {
+    pub(crate) fn send_db_request(&mut self, service: &str, id: String, statement: String, turn: u64) {
         match self.table.get(&id).map(|inst| inst.address.clone()) {
             Some(addr) => {
-                let ask = self.track_request(service, &id, turn);
-                self.actions.push(Action::QueryDatabase {
-                    request: ask,
-                    service: service.to_owned(),
-                    id,
-                    addr,
-                    statement: text,
-                });
+                let request = self.track_request(service, &id, turn);
+                self.effects.push(Effect::QueryDatabase { request, service: service.to_owned(), id, addr, statement });
             }
             None => self.on_duty_event(service, turn, Event::Status { id, reply: Err(StatusError::Refused) }),
         }
@@ -184,36 +180,36 @@
     /// Handles a database's status reply, or the failure to get one.
     pub fn on_db_status(&mut self, ask: u64, reply: StatusReply, now: u64) {
         self.advance_clock(now);
-        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+        let Some(PendingRequest { service, id, step: turn }) = self.platform_calls.requests.remove(&ask) else {
             return;
         };
         log::info!("duty {service}: status of {id}: {reply:?}");
         self.record_departure_reply(&id, reply);
         self.on_duty_event(&service, turn, Event::Status { id, reply });
-        self.run_quorum();
+        self.run_proposer();
     }
 
     /// Handles the platform's response to a promotion call, or the failure to get one.
     pub fn on_promotion_response(&mut self, ask: u64, code: Option<u16>, now: u64) {
         self.advance_clock(now);
-        let Some(PendingRequest { service, id, step: turn }) = self.calls.requests.remove(&ask) else {
+        let Some(PendingRequest { service, id, step: turn }) = self.platform_calls.requests.remove(&ask) else {
             return;
         };
         log::info!("duty {service}: platform returned {code:?} for {id}");
         self.on_duty_event(&service, turn, Event::PromotionReturned(code));
-        self.run_quorum();
+        self.run_proposer();
     }
 
     pub(crate) fn start_duty_op(&mut self, service: &str, waiting: Operation, edit: Option<wv_consensus::UpdateFn>) {
         let token = self.allocate_id();
         self.operations.insert(token, waiting);
-        self.quorum.start(token, &duty_key(service), edit, self.now);
+        self.proposer.start(token, &duty_key(service), edit, self.now);
     }
 
     /// Claims the duty with a single register write: the next fence under this node's name. Fences are unique per
     /// write.
     fn claim_duty(&mut self, service: &str) {
-        self.calls.confirm_started.insert(service.to_owned(), self.now);
+        self.platform_calls.confirm_started.insert(service.to_owned(), self.now);
         let name = self.address.clone().into_bytes();
         let edit: wv_consensus::UpdateFn =
             Box::new(move |held| Some(wv_consensus::register_value(held.version + 1, name.clone())));
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -22,7 +22,7 @@
                 node: self.node.clone(),
                 control_address: self.address.clone(),
                 zone: self.zone.clone(),
-                handover_address: String::new(),
+                forwarding_address: String::new(),
                 incarnation: self.incarnation,
             },
         );
@@ -69,17 +69,17 @@
             self.membership.record_peer(addr, self.now);
         }
         match (msg, peer, node) {
-            (Message::Hello { node, control_address, zone, handover_address, .. }, _, _) => {
-                self.handle_hello(link, node, (control_address, zone), &handover_address)
+            (Message::Hello { node, control_address, zone, forwarding_address, .. }, _, _) => {
+                self.handle_hello(link, node, (control_address, zone), &forwarding_address)
             }
             (msg, Some(addr), _) => self.handle_peer_message(link, &addr, msg),
             (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
-            (_, None, None) => self.actions.push(crate::Action::Close { link }),
+            (_, None, None) => self.effects.push(crate::Effect::Close { link }),
         }
-        self.run_quorum();
+        self.run_proposer();
     }
 
-    fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), handover: &str) {
+    fn handle_hello(&mut self, link: u64, node: String, (control, zone): (String, String), forwarding_address: &str) {
         let is_control = !control.is_empty();
         if is_control {
             self.add_peer(control.clone());
@@ -90,7 +90,7 @@
                 .for_each(|peer| (peer.zone, peer.is_leaving) = (zone.clone(), false));
             self.links.insert(link, Link { peer: Some(control), node: None, is_subscriber: false, resume_from: None });
         } else {
-            self.membership.start_session(&node, handover, self.now);
+            self.membership.start_session(&node, forwarding_address, self.now);
             self.links.insert(link, Link { peer: None, node: Some(node), is_subscriber: false, resume_from: None });
         }
         self.send(link, self.peers_msg());
@@ -113,9 +113,9 @@
                 self.serve_subscriptions();
             }
             Message::HealthReports(reports) => self.handle_node_reports(node, reports),
-            Message::DirtyKeys(dirty_keys) => self.on_write_marks(node, dirty_keys),
-            Message::KeySamples(samples) => self.on_shard_report(node, samples),
-            _ => self.actions.push(crate::Action::Close { link }),
+            Message::DirtyKeys(dirty_keys) => self.on_dirty_keys(node, dirty_keys),
+            Message::ShardReport(report) => self.on_shard_report(node, report),
+            _ => self.effects.push(crate::Effect::Close { link }),
         }
     }
 
@@ -144,7 +144,7 @@
             Message::Peers { addresses, voters, previous_voters, .. } => {
                 addresses.into_iter().for_each(|addr| self.add_peer(addr));
                 self.learn_voters(&voters, &previous_voters);
-                if voters.number < self.seat.voters.number {
+                if voters.number < self.voter_state.voters.number {
                     let msg = self.peers_msg();
                     self.send(link, msg);
                 }
@@ -154,10 +154,10 @@
             }
             Message::Ping { requester, request } => {
                 let version = self.store.get(crate::core::CONF_KEY).map_or(0, |held| held.value.version);
-                let disk = self.has_disk.then_some(self.seat.disk);
-                let voter_set = self.seat.voting_set(&self.address);
+                let disk = self.has_disk.then_some(self.voter_state.disk);
+                let voter_set = self.voter_state.voting_set(&self.address);
                 let ready = self.is_ready_to_vote();
-                let sealed_set = if voter_set == 0 { self.seat.successor_voting_set(&self.address) } else { 0 };
+                let sealed_set = if voter_set == 0 { self.voter_state.successor_voting_set(&self.address) } else { 0 };
                 self.send(link, Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready });
             }
             Message::Pong { requester, request, version, disk, voter_set, sealed_set, ready } => {
@@ -180,9 +180,9 @@
                 });
             }
             Message::RegisterReply { requester, request, key, vote } => {
-                self.quorum.on_reply(addr, (requester, request), &key, vote, self.now);
+                self.proposer.on_reply(addr, (requester, request), &key, vote, self.now);
             }
-            Message::Takeover(msg) => self.on_catch_up(link, addr, msg),
+            Message::CatchUp(msg) => self.on_catch_up(link, addr, msg),
             Message::Leaving => self.on_peer_leaving(addr),
             Message::Handover(msg) => self.on_handover(link, addr, msg),
             msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
@@ -208,12 +208,12 @@
             Message::Leader(lead) => self.on_leader(lead),
             Message::Owner(owner) => self.on_owner(owner),
             Message::Slots(map) => self.publish_slots(map),
-            Message::PeerDirtyKeys { node, dirty_keys } => self.on_write_marks(&node, dirty_keys),
-            Message::PeerKeySamples { node, samples } => self.on_shard_report(&node, samples),
+            Message::PeerDirtyKeys { node, dirty_keys } => self.on_dirty_keys(&node, dirty_keys),
+            Message::PeerShardReport { node, report } => self.on_shard_report(&node, report),
             Message::ShardStatus { shard, text } => {
                 self.shard_status.insert(shard, text);
             }
-            Message::DirtyKeysAck { ref node, .. } | Message::KeySamplesAck { ref node, .. } => {
+            Message::DirtyKeysAck { ref node, .. } | Message::ShardReportAck { ref node, .. } => {
                 let node = node.clone();
                 self.forward_to_access_node(&node, &msg);
             }
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -1,5 +1,5 @@
 //! Periodic work of a control node.
-use crate::core::{Action, Core};
+use crate::core::{Core, Effect};
 use crate::types::Link;
 use wv_internal_protocol::{FeedUpdate, Message};
 
@@ -47,7 +47,7 @@
             let table = &self.table;
             self.departures.retain(|id, _| table.get(id).is_some());
             self.leave_acks.retain_known(|id| table.get(id).is_some());
-            self.drains.retain_known(|id| table.get(id).is_some());
+            self.leave_ages.retain_known(|id| table.get(id).is_some());
             self.forget_peers();
         }
         self.continue_catch_up();
@@ -65,8 +65,8 @@
         self.run_shards();
         self.run_sweep();
         self.publish_node_count();
-        self.quorum.tick(self.now);
-        self.run_quorum();
+        self.proposer.tick(self.now);
+        self.run_proposer();
         self.expire_leaves();
         self.expire_pending();
     }
@@ -93,7 +93,7 @@
             }
             self.links
                 .insert(link, Link { peer: Some(addr.clone()), node: None, is_subscriber: false, resume_from: None });
-            self.actions.push(Action::Dial { link, addr });
+            self.effects.push(Effect::Dial { link, addr });
         }
     }
 
