--- a/crates/windvalve/examples/hollow.rs
+++ b/crates/windvalve/examples/hollow.rs
@@ -63,7 +63,7 @@
 }
 
 /// Sends one request on a persistent connection and returns the status.
-fn call(stream: &mut TcpStream, method: &str, path: &str, body: &str) -> std::io::Result<u16> {
+fn send_request(stream: &mut TcpStream, method: &str, path: &str, body: &str) -> std::io::Result<u16> {
     let head = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: ");
     stream.write_all(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes())?;
     let (mut buf, mut received) = ([0u8; 4096], Vec::new());
@@ -86,7 +86,7 @@
 fn put(at: usize, path: &str, body: &str) -> Result<u16, Failure> {
     let mut stream = TcpStream::connect(addr(at))?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
-    Ok(call(&mut stream, "PUT", path, body)?)
+    Ok(send_request(&mut stream, "PUT", path, body)?)
 }
 
 /// Sends heartbeats for databases `from` to `until` forever, each about every 1.2 s.
@@ -106,7 +106,8 @@
             let node = at % controls;
             let stream = streams[node].take().or_else(|| TcpStream::connect(addr(node)).ok());
             let path = format!("/instances/i{at}");
-            streams[node] = stream.and_then(|mut stream| call(&mut stream, "PUT", &path, &body).ok().map(|_| stream));
+            streams[node] =
+                stream.and_then(|mut stream| send_request(&mut stream, "PUT", &path, &body).ok().map(|_| stream));
             let due = Duration::from_millis(1200) * (at - from + 1) as u32 / (until - from) as u32;
             std::thread::sleep(due.saturating_sub(started.elapsed()));
         }
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -78,12 +78,12 @@
     println!("votes in set {}, newest set {}:", seat.installed_set, seat.voters.number);
     seat.voters.members.iter().for_each(|member| println!("  {} disk {:x}", member.addr, member.disk));
     let replicated = state.registers.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL_KEY_PREFIX));
-    for (key, held) in replicated {
+    for (key, register) in replicated {
         println!(
             "{key}: version {}, {} bytes, round {}",
-            held.value.version,
-            held.value.bytes.len(),
-            held.accepted.round
+            register.value.version,
+            register.value.bytes.len(),
+            register.accepted.round
         );
     }
     Ok(())
--- a/crates/wv-shard-forecast/tests/forecast.rs
+++ b/crates/wv-shard-forecast/tests/forecast.rs
@@ -55,18 +55,18 @@
 #[gtest]
 fn given_generated_histories_then_the_default_method_beats_the_naive_one_where_days_vary() {
     for (name, history) in histories::all() {
-        let found = histories::backtest(&history, 3, DEFAULT_METHOD);
+        let result = histories::backtest(&history, 3, DEFAULT_METHOD);
         let naive = histories::backtest(&history, 3, Method::Naive);
         match name {
-            "too short" => expect_that!(found, none()),
+            "too short" => expect_that!(result, none()),
             // The intervals must contain most actual values even after a change of the trend.
-            "step" => expect_that!(found.map(|(_, coverage)| coverage), some(gt(0.7))),
+            "step" => expect_that!(result.map(|(_, coverage)| coverage), some(gt(0.7))),
             "noisy" | "gap" => {
-                expect_that!(found.map(|(error, _)| error), some(lt(naive.map_or(0.0, |(error, _)| error))));
-                expect_that!(found.map(|(_, coverage)| coverage), some(gt(0.85)));
+                expect_that!(result.map(|(error, _)| error), some(lt(naive.map_or(0.0, |(error, _)| error))));
+                expect_that!(result.map(|(_, coverage)| coverage), some(gt(0.85)));
             }
-            "weekly" => expect_that!(found.map(|(error, _)| error), some(lt(naive.map_or(0.0, |(error, _)| error)))),
-            _ => expect_that!(found.map(|(error, _)| error), some(lt(0.05)), "{name}"),
+            "weekly" => expect_that!(result.map(|(error, _)| error), some(lt(naive.map_or(0.0, |(error, _)| error)))),
+            _ => expect_that!(result.map(|(error, _)| error), some(lt(0.05)), "{name}"),
         }
     }
 }
@@ -87,18 +87,18 @@
 #[gtest]
 fn given_steady_growth_then_the_threshold_is_reached_on_time_and_never_by_a_shrinking_shard() {
     let history = histories::history(20, |_| 10_000.0, true, |_| true);
-    let ForecastResult::Available(found) = forecast(&history, (340_000, 0), DEFAULT_METHOD) else {
+    let ForecastResult::Available(known) = forecast(&history, (340_000, 0), DEFAULT_METHOD) else {
         panic!("no forecast")
     };
     // 300,000 rows after twenty days; the threshold is four days away.
     let from = (u64::from(history.points().last().map_or(0, |point| point.hour)) + 1) * HOUR_US;
-    expect_that!(found.crossing.likely_us.map(|at| (at - from).abs_diff(4 * DAY_US)), some(le(2 * HOUR_US)));
-    expect_that!(found.crossing.early_us, le(found.crossing.likely_us));
+    expect_that!(known.crossing.likely_us.map(|at| (at - from).abs_diff(4 * DAY_US)), some(le(2 * HOUR_US)));
+    expect_that!(known.crossing.early_us, le(known.crossing.likely_us));
     let shrinking = histories::history(40, |day| 9_000.0 - 400.0 * day as f64, true, |_| true);
-    let ForecastResult::Available(found) = forecast(&shrinking, (9_000_000, 0), DEFAULT_METHOD) else {
+    let ForecastResult::Available(known) = forecast(&shrinking, (9_000_000, 0), DEFAULT_METHOD) else {
         panic!("no forecast")
     };
-    expect_that!(found.crossing, eq(ThresholdCrossing::default()));
+    expect_that!(known.crossing, eq(ThresholdCrossing::default()));
 }
 
 fn forecast_crossing_at(early_us: u64) -> ForecastResult {
@@ -130,19 +130,20 @@
     expect_that!((advice, should_notify), eq(&(None, false)));
     let (advice, should_notify) = advise(&forecast_crossing_at(49 * HOUR_US), &schedule_at(12), None);
     expect_that!(should_notify, eq(true));
-    let held = advice.unwrap_or_default();
-    expect_that!((held.window_start_us, held.window_end_us), eq((25 * HOUR_US, 29 * HOUR_US)));
+    let previous = advice.unwrap_or_default();
+    expect_that!((previous.window_start_us, previous.window_end_us), eq((25 * HOUR_US, 29 * HOUR_US)));
     // A slightly later crossing keeps the advice without another notification.
     for (hour, early) in [(13, 50), (14, 52), (15, 60)] {
-        let (advice, should_notify) = advise(&forecast_crossing_at(early * HOUR_US), &schedule_at(hour), Some(&held));
+        let (advice, should_notify) =
+            advise(&forecast_crossing_at(early * HOUR_US), &schedule_at(hour), Some(&previous));
         expect_that!(should_notify, eq(false), "{hour}");
-        expect_that!(advice.map(|advice| advice.window_end_us), some(eq(held.window_end_us)));
+        expect_that!(advice.map(|advice| advice.window_end_us), some(eq(previous.window_end_us)));
     }
     // After a missed window the next one is advised, with a notification.
-    let (advice, should_notify) = advise(&forecast_crossing_at(49 * HOUR_US), &schedule_at(30), Some(&held));
+    let (advice, should_notify) = advise(&forecast_crossing_at(49 * HOUR_US), &schedule_at(30), Some(&previous));
     expect_that!((advice.map(|advice| advice.window_start_us), should_notify), eq((Some(49 * HOUR_US), true)));
     // A much later crossing withdraws the advice, with a notification.
-    let (advice, should_notify) = advise(&forecast_crossing_at(90 * HOUR_US), &schedule_at(13), Some(&held));
+    let (advice, should_notify) = advise(&forecast_crossing_at(90 * HOUR_US), &schedule_at(13), Some(&previous));
     expect_that!((advice, should_notify), eq(&(None, true)));
 }
 
