--- a/crates/wv-metrics/src/lib.rs
+++ b/crates/wv-metrics/src/lib.rs
@@ -5,7 +5,7 @@
 
 #[derive(thiserror::Error, Debug)]
 pub enum MetricsError {
-    #[error("cannot encode metrics: {0}")]
+    #[error("metrics page: {0}")]
     Encode(#[from] prometheus::Error),
 }
 
