--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -125,10 +125,10 @@
                 self.on_shard_register(&shard, |read| read.usage = fill);
             }
             (ShardRegisterOp::ReadKeys, OperationOutcome::Written(cell)) => {
-                self.on_shard_register(&shard, |read| read.names.load(&decode_keys(&cell)));
+                self.on_shard_register(&shard, |read| read.names.load_chunk(&decode_keys(&cell)));
             }
             (ShardRegisterOp::ReadNewKeys, OperationOutcome::Written(cell)) => {
-                self.on_shard_register(&shard, |read| read.names.load_fresh(&decode_keys(&cell)));
+                self.on_shard_register(&shard, |read| read.names.load_new(&decode_keys(&cell)));
             }
             (
                 op @ (ShardRegisterOp::WriteSlots(_)
@@ -152,11 +152,11 @@
         let ballot = cell.version >> 16;
         let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
         let held = self.shards.entry(shard.to_owned()).or_default();
-        (held.ballot, held.writes, held.pending_reads) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
+        (held.ballot, held.writes, held.pending_reads) = (ballot, 0, 2 + wv_shard_split::NAME_CHUNKS);
         held.registers = crate::shards::ShardRegisters { map, ..Default::default() };
         self.start_register_op(shard, "fill", ShardRegisterOp::ReadFill, Some(raise_to(ballot)));
         self.start_register_op(shard, "fresh", ShardRegisterOp::ReadNewKeys, Some(raise_to(ballot)));
-        let parts = (0..wv_shard_split::CHUNKS).map(|at| format!("things-{at}"));
+        let parts = (0..wv_shard_split::NAME_CHUNKS).map(|at| format!("things-{at}"));
         parts.for_each(|part| self.start_register_op(shard, &part, ShardRegisterOp::ReadKeys, Some(raise_to(ballot))));
     }
 
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -46,25 +46,25 @@
             .flat_map(|map| &map.moved)
             .map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target }))
             .collect();
-        let (copied, left, surges) = held.split.counts();
+        let (copied, left, surges) = held.split.copy_counts();
         let advice = held.usage.advice.as_ref();
         serde_json::json!({
             "shard": shard, "rows": rows, "bytes": bytes, "error": (held.usage.sample.error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
-            "names": held.split.names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
+            "names": held.split.key_names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::text(advice.early_us), "likely": advice.likely_us.map(wv_calendar::text),
                 "splitFrom": wv_calendar::text(advice.from_us), "splitUntil": wv_calendar::text(advice.until_us),
                 "raised": wv_calendar::text(advice.raised_us),
             })),
             "split": {
-                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.step_name(),
+                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.state_name(),
                 "number": map.map_or(0, |map| map.version), "term": map.map_or(0, |map| map.term),
                 "moving": moving.map(|range| {
                     serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })
                 }),
-                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.why,
+                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.reason,
             },
         })
     }
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -80,7 +80,7 @@
 
     fn held_slots(&self, shard: &str) -> (u16, u16) {
         let moved = self.feed.slots().get(shard).map(|map| map.moved.clone()).unwrap_or_default();
-        wv_shard_split::held(self.initial_slots(shard), &moved)
+        wv_shard_split::held_slots(self.initial_slots(shard), &moved)
     }
 
     /// The deadline of the split that is currently requested or advised, if any.
@@ -123,7 +123,7 @@
             self.update_forecast(shard, &mut held);
         }
         self.write_next_part(shard, &mut held);
-        let is_kept = !held.usage.is_dirty && !held.usage.is_writing && held.split.names.is_kept();
+        let is_kept = !held.usage.is_dirty && !held.usage.is_writing && held.split.key_names.is_stored();
         let calls = if is_kept { std::mem::take(&mut held.usage.pending_calls) } else { Vec::new() };
         calls.into_iter().for_each(|token| self.respond(token, 200, "{}"));
         if is_kept {
@@ -174,13 +174,13 @@
         let is_usage_due = held.usage.is_dirty
             && (held.usage.written_at + WRITE_INTERVAL_US <= self.now || !held.usage.pending_calls.is_empty());
         held.usage.is_writing = true;
-        if let Some(text) = held.split.names.take_fresh() {
+        if let Some(text) = held.split.key_names.take_new() {
             held.usage.in_flight_acks = std::mem::take(&mut held.usage.pending_acks);
             self.write_new_keys(shard, held.next_version(), &text);
         } else if is_usage_due {
             (held.usage.is_dirty, held.usage.written_at) = (false, self.now);
             self.write_fill(shard, held.next_version(), SerBin::serialize_bin(&held.usage.to_stored()));
-        } else if let Some((at, text)) = held.split.names.take_dirty() {
+        } else if let Some((at, text)) = held.split.key_names.take_dirty_chunk() {
             self.write_keys(shard, held.next_version(), (at, &text));
         } else {
             held.usage.is_writing = false;
@@ -198,9 +198,9 @@
         held.usage.is_writing = false;
         let acked = std::mem::take(&mut held.usage.in_flight_acks);
         match (part, is_ours) {
-            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => held.split.names.written(),
-            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => held.split.names.put_back(*at),
-            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => held.split.names.renew(),
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => held.split.key_names.on_chunk_written(),
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => held.split.key_names.restore_chunk(*at),
+            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => held.split.key_names.restore_new(),
             (crate::shard_registers::ShardRegisterOp::WriteFill, false) => held.usage.is_dirty = true,
             _ => {}
         }
@@ -228,9 +228,9 @@
         }
         let Some(held) = self.shards.get_mut(&report.shard).filter(|held| held.split.has_ballot()) else { return };
         held.usage.is_dirty |= held.usage.sample.merge(report.samples) > 0;
-        report.keys.iter().for_each(|name| held.split.names.add(name));
+        report.keys.iter().for_each(|name| held.split.key_names.add(name));
         let ack = (node.to_owned(), report.incarnation, report.serial);
-        if held.split.names.is_kept() && !held.usage.is_writing {
+        if held.split.key_names.is_stored() && !held.usage.is_writing {
             return self.send_samples_ack(&report.shard, ack);
         }
         if !held.usage.pending_acks.contains(&ack) {
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -2,7 +2,7 @@
 use crate::core::{Action, Core};
 use std::collections::BTreeMap;
 use wv_internal_protocol::{Message, SlotMap, WriteMarks};
-use wv_shard_split::{Event, Names, Order, Plan, Side, Split, View};
+use wv_shard_split::{Command, Event, KeyNames, Plan, Side, Split, View};
 
 /// How long contact must have lasted before a split is driven, so that membership is known.
 const STABLE_CONTACT_US: u64 = 1_000_000;
@@ -16,7 +16,7 @@
 pub(crate) struct ShardRegisters {
     pub map: Option<SlotMap>,
     pub usage: Option<crate::shard_usage::StoredUsage>,
-    pub names: Names,
+    pub names: KeyNames,
 }
 
 /// State of one planned shard at its holder.
@@ -89,7 +89,7 @@
     }
 
     pub(crate) fn on_split_event(&mut self, shard: &str, event: Event) {
-        self.with_shard(shard, |split, view| split.event(event, view));
+        self.with_shard(shard, |split, view| split.on_event(event, view));
     }
 
     fn with_shard(&mut self, shard: &str, run: impl FnOnce(&mut Split, &View<'_>)) {
@@ -97,8 +97,8 @@
         let plan = self.shard_plan(shard).map(|plan| Plan {
             shard: plan.shard.clone(),
             target: plan.upper.clone(),
-            pace: plan.max_rows_per_s,
-            seal_us: plan.seal_timeout_us,
+            max_rows_per_s: plan.max_rows_per_s,
+            seal_timeout_us: plan.seal_timeout_us,
         });
         let lead = |service: &str| self.feed.leader(service).map(|lead| (lead.id.clone(), lead.term));
         let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
@@ -106,47 +106,47 @@
         let first = self.initial_slots(shard);
         let is_holder = self.is_shard_holder(shard) && self.is_stable_for(STABLE_CONTACT_US) && !self.is_leaving;
         let view = View {
-            now: self.now,
+            now_us: self.now,
             epoch_us: self.epoch_us(),
             is_holder,
             plan: plan.as_ref(),
-            source: source.as_ref().map(|(id, term)| (id.as_str(), *term)),
-            target: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
+            source_leader: source.as_ref().map(|(id, term)| (id.as_str(), *term)),
+            target_leader: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
             capacity,
-            wanted_until_us: self.split_deadline_us(shard, &held),
-            first,
-            rows: self.shard_totals(shard, &held).0,
+            deadline_us: self.split_deadline_us(shard, &held),
+            initial_slots: first,
+            estimated_rows: self.shard_totals(shard, &held).0,
         };
         run(&mut held.split, &view);
         // A released or lost ballot must not be used for further writes.
-        if !held.split.has_ballot() && held.pending_reads == 0 && held.split.step_name() != "claiming" {
+        if !held.split.has_ballot() && held.pending_reads == 0 && held.split.state_name() != "claiming" {
             held.ballot = 0;
         }
-        let orders = held.split.take_orders();
+        let orders = held.split.take_commands();
         self.shards.insert(shard.to_owned(), held);
         orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
     }
 
-    fn apply_split_order(&mut self, shard: &str, order: Order) {
+    fn apply_split_order(&mut self, shard: &str, order: Command) {
         match order {
-            Order::Claim => self.claim_slots(shard),
-            Order::Write(map) => {
+            Command::Claim => self.claim_slots(shard),
+            Command::Write(map) => {
                 let version = self.shards.entry(shard.to_owned()).or_default().next_version();
                 self.write_slots(shard, version, map);
             }
-            Order::Say(text) => log::warn!("shard {shard}: {text}"),
-            Order::Run { token, side, id, texts } => {
+            Command::Log(text) => log::warn!("shard {shard}: {text}"),
+            Command::Run { token, side, id, statements } => {
                 let plan = self.shard_plan(shard);
                 let service = match side {
                     Side::Source => shard.to_owned(),
                     Side::Target => plan.map(|plan| plan.upper.clone()).unwrap_or_default(),
                 };
                 let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
-                    return self.on_split_event(shard, Event::Ran { token, replies: None });
+                    return self.on_split_event(shard, Event::StatementsRun { token, replies: None });
                 };
                 let run = self.allocate_id();
                 self.shards.entry(shard.to_owned()).or_default().runs.insert(run, token);
-                self.actions.push(Action::RunStatements { request: run, service, id, addr, statements: texts });
+                self.actions.push(Action::RunStatements { request: run, service, id, addr, statements });
             }
         }
     }
@@ -156,7 +156,7 @@
         self.advance_clock(now);
         let found = self.shards.iter_mut().find_map(|(shard, held)| Some((shard.clone(), held.runs.remove(&run)?)));
         if let Some((shard, token)) = found {
-            self.on_split_event(&shard, Event::Ran { token, replies });
+            self.on_split_event(&shard, Event::StatementsRun { token, replies });
         }
         self.run_quorum();
     }
@@ -185,7 +185,7 @@
         if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
             return;
         }
-        self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks });
+        self.on_split_event(&shard, Event::WriteMarks { node: node.to_owned(), marks });
         self.send_to_access_node(
             node,
             Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
--- a/crates/wv-control/src/statements.rs
+++ b/crates/wv-control/src/statements.rs
@@ -25,7 +25,7 @@
                     false
                 }
                 DatabaseLine::Idle(_, pos) => {
-                    reply.pos = pos;
+                    reply.position = pos;
                     true
                 }
                 DatabaseLine::Unknown => return None,
--- a/crates/wv-shard-split/src/lib.rs
+++ b/crates/wv-shard-split/src/lib.rs
@@ -1,53 +1,52 @@
-//! Splitting a shard while it serves: one machine per planned shard; events and time go in, orders come out.
+//! Online shard splits: one state machine per planned shard, driven by events and time, that emits commands.
 //!
-//! Every map that takes something from nodes is written after the shard's log has come to a newer term, and binds to
-//! that term. A node that missed the map is left with connections that the database refuses writes on.
-mod copy;
-mod copying;
-mod machine;
-mod names;
-mod raise;
-mod show;
+//! Every slot map that revokes access is written after the shard's log has reached a newer term, and is bound to that
+//! term. A node that missed the map holds only connections on which the database rejects writes.
+mod copy_states;
+mod key_names;
+mod row_copier;
 mod slots;
-mod steps;
+mod split;
+mod status;
+mod term_probe;
+mod transitions;
 
-pub use copy::{Bounds, Copy, Outcome};
-pub use machine::Split;
-pub use names::{Names, CHUNKS, NAMES_MAX};
-pub use slots::{held, moving};
+pub use key_names::{KeyNames, MAX_NAMES, NAME_CHUNKS};
+pub use row_copier::{CopyContext, CopyOutcome, RowCopier};
+pub use slots::{held_slots, slots_to_move};
+pub use split::Split;
 
 use wv_internal_protocol::SlotMap;
 use wv_wire_protocol::{ErrorCode, LogPosition};
 
-/// What is planned for one shard.
+/// The configured split of one shard.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Plan {
     pub shard: String,
     pub target: String,
-    /// How many rows a second are copied at the most while the source serves all.
-    pub pace: u32,
-    /// Writes to what moves wait no longer than this in one try.
-    pub seal_us: u64,
+    /// Maximum copy rate before the moving slots are sealed.
+    pub max_rows_per_s: u32,
+    /// Maximum time that writes to moving slots are held back in one attempt.
+    pub seal_timeout_us: u64,
 }
 
-/// What the machine reads at each turn.
+/// Inputs to the state machine, read at each event.
 pub struct View<'a> {
-    pub now: u64,
+    pub now_us: u64,
     pub epoch_us: u64,
-    /// The key of this split is held here, and a majority is in fresh contact.
+    /// Whether this node holds the split duty and is in contact with a majority.
     pub is_holder: bool,
     pub plan: Option<&'a Plan>,
-    /// The databases that lead source and target, with the terms told of them.
-    pub source: Option<(&'a str, u64)>,
-    pub target: Option<(&'a str, u64)>,
-    /// Statements that the source's database works on at once.
+    /// The primaries of source and target with their reported terms.
+    pub source_leader: Option<(&'a str, u64)>,
+    pub target_leader: Option<(&'a str, u64)>,
+    /// Number of statements that the source's primary executes concurrently.
     pub capacity: u32,
-    /// A split is due or was requested, and until when it may run.
-    pub wanted_until_us: Option<u64>,
-    /// The slots that the shard was given at first.
-    pub first: (u16, u16),
-    /// The rows that the shard is thought to hold.
-    pub rows: u64,
+    /// The time until which a due or requested split may run.
+    pub deadline_us: Option<u64>,
+    /// The slots that the shard started with.
+    pub initial_slots: (u16, u16),
+    pub estimated_rows: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Hash)]
@@ -56,40 +55,40 @@
     Target,
 }
 
-/// One statement's return.
+/// The reply to one statement.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Reply {
     pub rows: Vec<String>,
     pub code: Option<ErrorCode>,
-    pub pos: Option<LogPosition>,
+    pub position: Option<LogPosition>,
 }
 
-/// What the machine wants done; each but `Say` comes back as an event.
+/// An action to perform; each but `Log` is answered by an event.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Order {
-    /// Take the ballot, then read the map and the names.
+pub enum Command {
+    /// Acquire the ballot, then read the slot map and the key names.
     Claim,
-    /// Write the map under the ballot, make sure that the ballot still stands, and only then tell everyone.
+    /// Write the map under the ballot, confirm that the ballot is still held, and only then publish the map.
     Write(SlotMap),
-    /// Run these texts one after the other on a connection of their own, up to the first that fails.
+    /// Run the statements in order on a dedicated connection, stopping at the first that fails.
     Run {
         token: u64,
         side: Side,
         id: String,
-        texts: Vec<String>,
+        statements: Vec<String>,
     },
-    Say(String),
+    Log(String),
 }
 
-/// What came of an order.
+/// An input to the state machine, most of them results of commands.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// The map as it stands on a majority, and the names known; none where the ballot could not be had.
-    Claimed(Option<(Option<SlotMap>, Names)>),
-    /// The map as written, with its number; none where another holds the ballot.
+    /// The map stored on a majority and the known key names; `None` if the ballot was not acquired.
+    Claimed(Option<(Option<SlotMap>, KeyNames)>),
+    /// The written map with its version; `None` if the ballot was lost.
     Written(Option<SlotMap>),
-    /// The replies up to the first that failed; none where the connection did not stand.
-    Ran { token: u64, replies: Option<Vec<Reply>> },
-    /// Things that a node is about to write to.
-    Marks { node: String, marks: wv_internal_protocol::WriteMarks },
+    /// The replies up to the first failed statement; `None` if the connection failed or the last outcome is unknown.
+    StatementsRun { token: u64, replies: Option<Vec<Reply>> },
+    /// Keys that a node is about to write.
+    WriteMarks { node: String, marks: wv_internal_protocol::WriteMarks },
 }
--- a/crates/wv-simulation/src/splits.rs
+++ b/crates/wv-simulation/src/splits.rs
@@ -80,7 +80,7 @@
             match DatabaseLine::parse(line) {
                 DatabaseLine::Row(row) => reply.rows.push(String::from_utf8_lossy(row).into_owned()),
                 DatabaseLine::Error(code, _) => reply.code = Some(code),
-                DatabaseLine::Idle(_, pos) => reply.pos = pos,
+                DatabaseLine::Idle(_, pos) => reply.position = pos,
                 _ => {}
             }
             rest = &rest[len..];
