--- a/crates/windvalve/src/hunt.rs
+++ b/crates/windvalve/src/hunt.rs
@@ -2,7 +2,7 @@
 use crate::{read, text, MainError};
 use clap::ArgMatches;
 use std::sync::atomic::{AtomicU64, Ordering};
-use wv_replay::{hunt, Hunt, Played};
+use wv_replay::{search_seeds, NemesisRun, SeedSearch};
 use wv_simulation::nemesis::Day;
 
 /// Progress is told each time so many days are over.
@@ -17,11 +17,11 @@
 pub fn play(found: &ArgMatches, path: &str) -> Result<(), MainError> {
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
     let day = Day::parse(&body).map_err(|error| MainError::Nemesis(path.to_owned(), error))?;
-    let played = Played::of(&day);
+    let played = NemesisRun::play(&day);
     if found.get_flag("json") {
-        println!("{}", played.json());
+        println!("{}", played.to_json());
     } else {
-        print!("{}", played.text());
+        print!("{}", played.to_text());
     }
     played.findings.is_empty().then_some(()).ok_or(MainError::Broken)
 }
@@ -40,7 +40,7 @@
         return Err(MainError::Write(path.to_owned(), error));
     }
     let count = AtomicU64::new(0);
-    let caught = hunt(&Hunt { days, seed: seed as u64, jobs }, |seed, finding| {
+    let caught = search_seeds(&SeedSearch { count: days, first_seed: seed as u64, threads: jobs }, |seed, finding| {
         let over = count.fetch_add(1, Ordering::Relaxed) + 1;
         finding.into_iter().for_each(|found| eprintln!("seed {seed}: {}: {}", found.check, found.text));
         if over.is_multiple_of(TELL_EVERY) || over == days {
@@ -54,7 +54,7 @@
     let seeds: Vec<String> = caught.iter().map(|caught| caught.seed.to_string()).collect();
     println!("{days} days from seed {seed} on: {} broke a rule, of the seeds {}", caught.len(), seeds.join(", "));
     eprintln!("the day of seed {} is made short", first.seed);
-    let shortest = wv_replay::shortest(first.seed, |day| eprintln!("{} events", day.events.len()));
+    let shortest = wv_replay::minimize_seed(first.seed, |day| eprintln!("{} events", day.events.len()));
     std::fs::write(path, shortest.unwrap_or_default()).map_err(|error| MainError::Write(path.to_owned(), error))?;
     println!("the shortest day of seed {} is in {path}: windvalve replay {path}", first.seed);
     Err(MainError::Broken)
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -24,7 +24,7 @@
     #[error("--out {0}: {1}")]
     Write(String, std::io::Error),
     #[error(transparent)]
-    Hour(#[from] wv_replay::HourError),
+    Hour(#[from] wv_replay::RecordingError),
     #[error("--{0}: {1} is not within {2}")]
     Flag(&'static str, f64, &'static str),
     #[error("--calendar: {0}")]
@@ -106,7 +106,7 @@
     }
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
     if found.get_flag("from-log") {
-        print!("{}", wv_replay::from_ring(&body));
+        print!("{}", wv_replay::scenario_from_log(&body));
         return Ok(());
     }
     let until = found.get_one::<f64>("until").copied();
@@ -114,15 +114,15 @@
         return Err(MainError::Flag("until", wrong, "0 to 86400 seconds"));
     }
     let until_us = until.map(|until| (until * 1e6) as u64);
-    let report = wv_replay::Day::parse(&body)
-        .and_then(|day| wv_replay::play(&day, until_us, text(found, "service")))
+    let report = wv_replay::Scenario::parse(&body)
+        .and_then(|day| wv_replay::play_scenario(&day, until_us, text(found, "service")))
         .map_err(|error| MainError::Replay(path.to_owned(), error))?;
     if found.get_flag("json") {
-        println!("{}", report.json());
+        println!("{}", report.to_json());
     } else {
-        print!("{}", report.text());
+        print!("{}", report.to_text());
     }
-    report.is_sound().then_some(()).ok_or(MainError::Broken)
+    report.is_ok().then_some(()).ok_or(MainError::Broken)
 }
 
 fn calendar(found: &ArgMatches) -> Result<wv_calendar::Calendar, MainError> {
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -31,7 +31,7 @@
                 && (!session.is_new || owned.contains(session.node.as_str()))
         };
         let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
-        let wanted = wv_shard_assignment::assign(&conf.partners, &nodes, &conf.shards, &owners);
+        let wanted = wv_shard_assignment::assign_owners(&conf.partners, &nodes, &conf.shards, &owners);
         let is_due = |(service, node): &(String, String)| {
             let owner = owners.get(service);
             let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|session| session.is_leaving));
@@ -124,7 +124,7 @@
         };
         let members = self.membership.access_nodes(self.now);
         let nodes: BTreeSet<&str> = members.keys().map(String::as_str).collect();
-        let seats = wv_shard_assignment::seats(&conf.partners, &nodes);
+        let seats = wv_shard_assignment::live_nodes_by_partner(&conf.partners, &nodes);
         let quotas = wv_shard_assignment::quotas(&conf.partners, &seats, conf.shards.len());
         let partner_of = |node: &str| seats.iter().position(|seat| seat.contains(&node));
         let owner = |service: &String| self.feed.owners().get(service);
--- a/crates/wv-replay/src/lib.rs
+++ b/crates/wv-replay/src/lib.rs
@@ -1,28 +1,28 @@
-//! Replay of recorded days: a documented line format played through the in-memory fleet with the real logic.
-mod day;
-mod hour;
-mod hunt;
-mod make;
-mod play;
-mod rerun;
-mod ring;
-mod tally;
+//! Replays scenario files and recorded client traffic on a simulated fleet that runs the production logic.
+mod generator;
+mod log_import;
+mod recording;
+mod recording_player;
+mod recording_report;
+mod scenario;
+mod scenario_player;
+mod seed_search;
 
-pub use day::{Day, Event, What};
-pub use hour::{kind_text, Entry, Hour, HourError, Noted, VERSION};
-pub use hunt::{hunt, shortest, Caught, Hunt, Played};
-pub use make::{make, Recipe};
-pub use play::{play, Line, Report};
-pub use rerun::{rerun, Course, Drop};
-pub use ring::from_ring;
-pub use tally::{Tally, Told};
+pub use generator::{generate_recording, GeneratorOptions};
+pub use log_import::scenario_from_log;
+pub use recording::{format_kind, RecordedAction, RecordedEvent, Recording, RecordingError, FORMAT_VERSION};
+pub use recording_player::{play_recording, NodeDrop, PlaybackOptions};
+pub use recording_report::{DropOutcome, RecordingReport};
+pub use scenario::{Action, Event, Scenario};
+pub use scenario_player::{play_scenario, ScenarioReport, TimelineEntry};
+pub use seed_search::{minimize_seed, search_seeds, NemesisRun, SeedFailure, SeedSearch};
 
 #[derive(thiserror::Error, Debug, PartialEq, Eq)]
 pub enum ReplayError {
     #[error("line {line}: {found:?}: expected {expected}")]
-    Line { line: usize, found: String, expected: &'static str },
-    #[error("line {line}: there is no {kind} {name:?} in this day's fleet")]
+    InvalidLine { line: usize, found: String, expected: &'static str },
+    #[error("line {line}: no {kind} {name:?} in the fleet")]
     Unknown { line: usize, kind: &'static str, name: String },
-    #[error("the day has no events")]
+    #[error("the scenario has no events")]
     Empty,
 }
--- a/crates/wv-replay/src/hunt.rs
+++ b/crates/wv-replay/src/seed_search.rs
@@ -1,63 +1,65 @@
-//! The hunt: many days of the nemesis, drawn and played, and the first that breaks a rule made short.
+//! Random fault-injection search: plays nemesis schedules generated from seeds and minimizes one that fails.
 use wv_simulation::nemesis::{check, draw, play, shrink, Day, Finding, History};
 
-/// So many days, from this seed on, by so many threads.
+/// The range of seeds to try, and the number of threads.
 #[derive(Clone, Copy, Debug)]
-pub struct Hunt {
-    pub days: u64,
-    pub seed: u64,
-    pub jobs: u64,
+pub struct SeedSearch {
+    pub count: u64,
+    pub first_seed: u64,
+    pub threads: u64,
 }
 
-/// A seed whose day broke a rule, and the first of what it broke.
+/// A seed whose schedule violated an invariant, with the first violation.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Caught {
+pub struct SeedFailure {
     pub seed: u64,
     pub finding: Finding,
 }
 
-/// Plays the day of each seed; `tell` hears the seed and what came of it, in no order where there are several threads.
-/// Returns the seeds that broke a rule, lowest first.
-pub fn hunt(hunt: &Hunt, tell: impl Fn(u64, Option<&Finding>) + Sync) -> Vec<Caught> {
-    let jobs = hunt.jobs.max(1);
-    let part = |job: u64| -> Vec<Caught> {
-        let seeds = (hunt.seed..hunt.seed.saturating_add(hunt.days)).filter(|seed| seed % jobs == job);
-        let caught = seeds.filter_map(|seed| {
+/// Plays the schedule of each seed and calls `on_result` after each, in no particular order with several threads.
+/// Returns the failures ordered by seed.
+pub fn search_seeds(search: &SeedSearch, on_result: impl Fn(u64, Option<&Finding>) + Sync) -> Vec<SeedFailure> {
+    let threads = search.threads.max(1);
+    let run_thread = |thread: u64| -> Vec<SeedFailure> {
+        let seeds =
+            (search.first_seed..search.first_seed.saturating_add(search.count)).filter(|seed| seed % threads == thread);
+        let failures = seeds.filter_map(|seed| {
             let day = draw(seed);
             let finding = check(&play(&day), day.bound).into_iter().next();
-            tell(seed, finding.as_ref());
-            finding.map(|finding| Caught { seed, finding })
+            on_result(seed, finding.as_ref());
+            finding.map(|finding| SeedFailure { seed, finding })
         });
-        caught.collect()
+        failures.collect()
     };
-    let mut all: Vec<Caught> = std::thread::scope(|scope| {
-        let parts: Vec<_> = (0..jobs).map(|job| scope.spawn(move || part(job))).collect();
-        parts.into_iter().flat_map(|part| part.join().unwrap_or_default()).collect()
+    let mut all: Vec<SeedFailure> = std::thread::scope(|scope| {
+        let handles: Vec<_> = (0..threads).map(|thread| scope.spawn(move || run_thread(thread))).collect();
+        handles.into_iter().flat_map(|handle| handle.join().unwrap_or_default()).collect()
     });
-    all.sort_by_key(|caught| caught.seed);
+    all.sort_by_key(|failure| failure.seed);
     all
 }
 
-/// The day of a seed made as short as it still breaks the same rule, as the text of a file: none if it breaks none.
-pub fn shortest(seed: u64, tell: impl FnMut(&Day)) -> Option<String> {
-    let (day, finding) = shrink(&draw(seed), tell)?;
+/// Minimizes the schedule of a seed while it still violates the same invariant, and returns it as file text. `None` if
+/// the schedule violates none.
+pub fn minimize_seed(seed: u64, on_step: impl FnMut(&Day)) -> Option<String> {
+    let (day, finding) = shrink(&draw(seed), on_step)?;
     Some(format!("# {}: {}\n{day}", finding.check, finding.text.replace('\n', " ")))
 }
 
-/// A nemesis day played from its file: the course and what was broken, as text or as JSON.
-pub struct Played {
+/// The history and the violations of one nemesis schedule, reported as text or JSON.
+pub struct NemesisRun {
     pub history: History,
     pub findings: Vec<Finding>,
 }
 
-impl Played {
-    pub fn of(day: &Day) -> Played {
+impl NemesisRun {
+    pub fn play(day: &Day) -> NemesisRun {
         let history = play(day);
         let findings = check(&history, day.bound);
-        Played { history, findings }
+        NemesisRun { history, findings }
     }
 
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut out = String::new();
         for (at, text) in &self.history.course {
             out.push_str(&format!("{:>10.3}  {text}\n", *at as f64 / 1e6));
@@ -84,7 +86,7 @@
         out
     }
 
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         let line = |(at, text): &(u64, String)| serde_json::json!({"at_us": at, "text": text});
         let broken = |found: &Finding| serde_json::json!({"check": found.check, "text": found.text});
         serde_json::json!({
--- a/crates/wv-shard-split/src/row_copier.rs
+++ b/crates/wv-shard-split/src/row_copier.rs
@@ -138,8 +138,8 @@
         if status.is_some_and(|status| !status.is_primary || status.term != expected_term) {
             return (CopyOutcome::Abort, Vec::new());
         }
-        // The commit may have been sent and could still overwrite newer copies. Only a newer term of the target prevents
-        // that.
+        // The commit may have been sent and could still overwrite newer copies; only a newer term of the target
+        // prevents that.
         if batch.is_writing && replies.is_none() {
             return (CopyOutcome::Abort, Vec::new());
         }
