--- a/crates/wv-replay/src/scenario.rs
+++ b/crates/wv-replay/src/scenario.rs
@@ -5,6 +5,7 @@
 const MAX_NODES: usize = 200;
 const MAX_TIME_S: f64 = 86_400.0;
 
+/// What an event does. The timeline contains the debug output, so names of variants and fields are part of it.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// Applies the default routes under this version.
--- a/crates/wv-shard-split/src/key_names.rs
+++ b/crates/wv-shard-split/src/key_names.rs
@@ -3,7 +3,7 @@
 
 /// Number of chunks that the names are stored in, each written separately.
 pub const NAME_CHUNKS: usize = 16;
-/// Maximum number of stored names; a shard with more keys is not split automatically.
+/// Maximum number of stored names; a shard with more keys is not split.
 pub const MAX_NAMES: usize = 262_144;
 
 /// New names are stored in a separate list, which is folded into the chunks at this length.
--- a/crates/wv-shard-split/src/split.rs
+++ b/crates/wv-shard-split/src/split.rs
@@ -13,7 +13,8 @@
 /// A split is not started sooner than this, so that all nodes know its plan.
 const MIN_PLAN_AGE_US: u64 = 10_000_000;
 
-/// The map to write once the databases have reached the required terms.
+/// The map to write once the databases have reached the required terms. The reason shown to operators contains the
+/// variant names.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Goal {
     /// Bind the map to the current term of the source, which ends any attempt in progress.
