--- a/crates/windvalve/src/fuzz.rs
+++ b/crates/windvalve/src/fuzz.rs
@@ -3,7 +3,7 @@
 use crate::{read, text, MainError};
 use clap::ArgMatches;
 use std::sync::atomic::{AtomicU64, Ordering};
-use wv_replay::{hunt, Hunt, Played};
+use wv_replay::{search_seeds, NemesisRun, SeedSearch};
 use wv_simulation::nemesis::Day;
 
 /// Number of scenarios between two progress lines.
@@ -18,11 +18,11 @@
 pub fn play(args: &ArgMatches, path: &str) -> Result<(), MainError> {
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
     let day = Day::parse(&body).map_err(|error| MainError::Scenario(path.to_owned(), error))?;
-    let outcome = Played::of(&day);
+    let outcome = NemesisRun::play(&day);
     if args.get_flag("json") {
-        println!("{}", outcome.json());
+        println!("{}", outcome.to_json());
     } else {
-        print!("{}", outcome.text());
+        print!("{}", outcome.to_text());
     }
     outcome.findings.is_empty().then_some(()).ok_or(MainError::RuleViolation)
 }
@@ -41,7 +41,7 @@
         return Err(MainError::Write(path.to_owned(), error));
     }
     let done_count = AtomicU64::new(0);
-    let failures = hunt(&Hunt { days, seed: seed as u64, jobs }, |seed, finding| {
+    let failures = search_seeds(&SeedSearch { count: days, first_seed: seed as u64, threads: jobs }, |seed, finding| {
         let done = done_count.fetch_add(1, Ordering::Relaxed) + 1;
         finding.into_iter().for_each(|finding| eprintln!("seed {seed}: {}: {}", finding.check, finding.text));
         if done.is_multiple_of(PROGRESS_INTERVAL) || done == days {
@@ -55,7 +55,7 @@
     let seeds: Vec<String> = failures.iter().map(|failure| failure.seed.to_string()).collect();
     println!("{days} days from seed {seed} on: {} broke a rule, of the seeds {}", failures.len(), seeds.join(", "));
     eprintln!("shrinking the day of seed {}", first.seed);
-    let shortest = wv_replay::shortest(first.seed, |day| eprintln!("{} events", day.events.len()));
+    let shortest = wv_replay::minimize_seed(first.seed, |day| eprintln!("{} events", day.events.len()));
     std::fs::write(path, shortest.unwrap_or_default()).map_err(|error| MainError::Write(path.to_owned(), error))?;
     println!("the shortest day of seed {} is in {path}: windvalve replay {path}", first.seed);
     Err(MainError::RuleViolation)
--- a/crates/windvalve/src/recording.rs
+++ b/crates/windvalve/src/recording.rs
@@ -2,7 +2,9 @@
 use crate::{read, MainError};
 use clap::ArgMatches;
 use std::collections::BTreeMap;
-use wv_replay::{make, rerun, Course, Drop, Hour, HourError, Recipe};
+use wv_replay::{
+    generate_recording, play_recording, GeneratorOptions, NodeDrop, PlaybackOptions, Recording, RecordingError,
+};
 
 fn number(
     args: &ArgMatches,
@@ -15,11 +17,12 @@
     (range.0..=range.1).contains(&value).then_some(value).ok_or(MainError::OutOfRange(name, value, range_text))
 }
 
-fn load(path: &str) -> Result<Hour, MainError> {
+fn load(path: &str) -> Result<Recording, MainError> {
     let body = read(path)?;
-    let body = String::from_utf8(body)
-        .map_err(|_| MainError::Recording(HourError::NoRecording(path.to_owned(), "not valid UTF-8".to_owned())))?;
-    Ok(Hour::parse(path, &body)?)
+    let body = String::from_utf8(body).map_err(|_| {
+        MainError::Recording(RecordingError::NotARecording(path.to_owned(), "not valid UTF-8".to_owned()))
+    })?;
+    Ok(Recording::parse(path, &body)?)
 }
 
 /// Whether the file is a recording rather than a scenario, determined by its first word.
@@ -28,16 +31,16 @@
 }
 
 pub fn generate(args: &ArgMatches, users: &str) -> Result<(), MainError> {
-    let recipe = Recipe {
-        users: users.to_owned(),
+    let recipe = GeneratorOptions {
+        profile: users.to_owned(),
         nodes: number(args, "nodes", 6.0, (1.0, 2000.0), "1 to 2000")? as usize,
         services: number(args, "services", 2.0, (1.0, 2000.0), "1 to 2000")? as usize,
         sessions: number(args, "sessions", 200.0, (1.0, 1e6), "1 to 1000000")? as usize,
         seconds: number(args, "seconds", 60.0, (2.0, 86_400.0), "2 to 86400 seconds")? as u64,
-        per_s: number(args, "rate", 100.0, (0.1, 1e5), "0.1 to 100000 a second")?,
+        requests_per_s: number(args, "rate", 100.0, (0.1, 1e5), "0.1 to 100000 a second")?,
         seed: number(args, "seed", 1.0, (0.0, 1e15), "0 to 10^15")? as u64,
     };
-    print!("{}", make(&recipe)?.text());
+    print!("{}", generate_recording(&recipe)?.to_text());
     Ok(())
 }
 
@@ -46,22 +49,22 @@
     let all = args.get_many::<String>("offset").unwrap_or_default();
     let parse = |text: &String| {
         let pair = text.split_once('=').and_then(|(node, seconds)| Some((node, seconds.parse::<f64>().ok()?)));
-        let invalid = || MainError::Recording(HourError::Setting(format!("--offset {text}: expected NODE=SECONDS")));
+        let invalid = || MainError::Recording(RecordingError::Invalid(format!("--offset {text}: expected NODE=SECONDS")));
         pair.map(|(node, seconds)| (node.to_owned(), (seconds * 1e6) as i64)).ok_or_else(invalid)
     };
     all.map(parse).collect()
 }
 
-fn load_merged(args: &ArgMatches, paths: &[String]) -> Result<Hour, MainError> {
-    let parts: Vec<(String, Hour)> =
+fn load_merged(args: &ArgMatches, paths: &[String]) -> Result<Recording, MainError> {
+    let parts: Vec<(String, Recording)> =
         paths.iter().map(|path| Ok((path.clone(), load(path)?))).collect::<Result<_, MainError>>()?;
-    let is_merged = parts.len() == 1 && parts[0].1.head.contains_key("nodes");
+    let is_merged = parts.len() == 1 && parts[0].1.header.contains_key("nodes");
     match parts.into_iter().next().filter(|_| is_merged) {
         Some((_, hour)) => Ok(hour),
         None => {
-            let parts: Vec<(String, Hour)> =
+            let parts: Vec<(String, Recording)> =
                 paths.iter().map(|path| Ok((path.clone(), load(path)?))).collect::<Result<_, MainError>>()?;
-            Ok(Hour::merge(&parts, &clock_offsets(args)?)?)
+            Ok(Recording::merge(&parts, &clock_offsets(args)?)?)
         }
     }
 }
@@ -69,10 +72,10 @@
 pub fn run(args: &ArgMatches, paths: &[String]) -> Result<(), MainError> {
     let hour = load_merged(args, paths)?;
     if args.get_flag("merge") {
-        print!("{}", hour.text());
+        print!("{}", hour.to_text());
         return Ok(());
     }
-    let drops: Result<Vec<Drop>, HourError> =
+    let drops: Result<Vec<NodeDrop>, RecordingError> =
         args.get_many::<String>("drop").unwrap_or_default().map(|text| text.parse()).collect();
     let from = number(args, "from", 0.0, (0.0, 1e6), "0 to 1000000 seconds")?;
     let until = number(args, "until", 1e6, (0.0, 1e6), "0 to 1000000 seconds")?;
@@ -80,20 +83,20 @@
         return Err(MainError::OutOfRange("until", until, "the times after --from"));
     }
     let browse = args.get_one::<f64>("browse-ms").copied();
-    let course = Course {
+    let course = PlaybackOptions {
         drops: drops?,
-        controls: number(args, "control", 3.0, (1.0, 99.0), "1 to 99")? as usize,
+        control_nodes: number(args, "control", 3.0, (1.0, 99.0), "1 to 99")? as usize,
         from_us: (from * 1e6) as u64,
         until_us: (until * 1e6) as u64,
         seed: number(args, "seed", 1.0, (0.0, 1e15), "0 to 10^15")? as u64,
-        work_us: (number(args, "work-ms", 3.0, (0.1, 10_000.0), "0.1 to 10000")? * 1e3) as u64,
-        browse_us: browse.map(|ms| (ms * 1e3) as u64),
+        statement_us: (number(args, "work-ms", 3.0, (0.1, 10_000.0), "0.1 to 10000")? * 1e3) as u64,
+        browse_limit_us: browse.map(|ms| (ms * 1e3) as u64),
     };
-    let tally = rerun(&hour, &course)?;
+    let tally = play_recording(&hour, &course)?;
     if args.get_flag("json") {
-        println!("{}", tally.json());
+        println!("{}", tally.to_json());
     } else {
-        print!("{}", tally.text());
+        print!("{}", tally.to_text());
     }
-    tally.faults().is_empty().then_some(()).ok_or(MainError::RuleViolation)
+    tally.violations().is_empty().then_some(()).ok_or(MainError::RuleViolation)
 }
