--- a/crates/windvalve/src/hunt.rs
+++ b/crates/windvalve/src/hunt.rs
@@ -3,20 +3,20 @@
 use clap::ArgMatches;
 use std::sync::atomic::{AtomicU64, Ordering};
 use wv_replay::{hunt, Hunt, Played};
-use wv_simulation::nemesis::Day;
+use wv_simulation::nemesis::Schedule;
 
 /// Progress is told each time so many days are over.
 const TELL_EVERY: u64 = 100;
 
 /// Whether the file holds a day of the nemesis: by its first word that is no comment.
 pub fn is_day(path: &str) -> Result<bool, MainError> {
-    Ok(Day::is_one(&String::from_utf8_lossy(&read(path)?)))
+    Ok(Schedule::is_schedule(&String::from_utf8_lossy(&read(path)?)))
 }
 
 /// Plays a day of the nemesis.
 pub fn play(found: &ArgMatches, path: &str) -> Result<(), MainError> {
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
-    let day = Day::parse(&body).map_err(|error| MainError::Nemesis(path.to_owned(), error))?;
+    let day = Schedule::parse(&body).map_err(|error| MainError::Nemesis(path.to_owned(), error))?;
     let played = Played::of(&day);
     if found.get_flag("json") {
         println!("{}", played.json());
--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -20,7 +20,7 @@
     #[error("{0}: {1}")]
     Replay(String, wv_replay::ReplayError),
     #[error("{0}: {1}")]
-    Nemesis(String, wv_simulation::nemesis::DayError),
+    Nemesis(String, wv_simulation::nemesis::ScheduleError),
     #[error("--out {0}: {1}")]
     Write(String, std::io::Error),
     #[error(transparent)]
--- a/crates/wv-replay/src/hunt.rs
+++ b/crates/wv-replay/src/hunt.rs
@@ -1,5 +1,5 @@
 //! The hunt: many days of the nemesis, drawn and played, and the first that breaks a rule made short.
-use wv_simulation::nemesis::{check, draw, play, shrink, Day, Finding, History};
+use wv_simulation::nemesis::{check, generate, run, shrink, Finding, History, Schedule};
 
 /// So many days, from this seed on, by so many threads.
 #[derive(Clone, Copy, Debug)]
@@ -23,8 +23,8 @@
     let part = |job: u64| -> Vec<Caught> {
         let seeds = (hunt.seed..hunt.seed.saturating_add(hunt.days)).filter(|seed| seed % jobs == job);
         let caught = seeds.filter_map(|seed| {
-            let day = draw(seed);
-            let finding = check(&play(&day), day.bound).into_iter().next();
+            let day = generate(seed);
+            let finding = check(&run(&day), day.fault_bound).into_iter().next();
             tell(seed, finding.as_ref());
             finding.map(|finding| Caught { seed, finding })
         });
@@ -39,8 +39,8 @@
 }
 
 /// The day of a seed made as short as it still breaks the same rule, as the text of a file: none if it breaks none.
-pub fn shortest(seed: u64, tell: impl FnMut(&Day)) -> Option<String> {
-    let (day, finding) = shrink(&draw(seed), tell)?;
+pub fn shortest(seed: u64, tell: impl FnMut(&Schedule)) -> Option<String> {
+    let (day, finding) = shrink(&generate(seed), tell)?;
     Some(format!("# {}: {}\n{day}", finding.check, finding.text.replace('\n', " ")))
 }
 
@@ -51,25 +51,25 @@
 }
 
 impl Played {
-    pub fn of(day: &Day) -> Played {
-        let history = play(day);
-        let findings = check(&history, day.bound);
+    pub fn of(day: &Schedule) -> Played {
+        let history = run(day);
+        let findings = check(&history, day.fault_bound);
         Played { history, findings }
     }
 
     pub fn text(&self) -> String {
         let mut out = String::new();
-        for (at, text) in &self.history.course {
+        for (at, text) in &self.history.timeline {
             out.push_str(&format!("{:>10.3}  {text}\n", *at as f64 / 1e6));
         }
-        for answer in &self.history.answers {
-            let order = &self.history.orders[answer.order];
+        for answer in &self.history.responses {
+            let order = &self.history.updates[answer.update];
             let valid = if order.is_valid { "order" } else { "invalid order" };
-            let (sent, heard) = (answer.sent as f64 / 1e6, answer.heard as f64 / 1e6);
-            let (number, status) = (order.number, answer.status);
+            let (sent, heard) = (answer.sent_us as f64 / 1e6, answer.received_us as f64 / 1e6);
+            let (number, status) = (order.version, answer.status);
             out.push_str(&format!(
                 "{heard:>10.3}  {valid} {number} (content {}), sent at {sent:.3}, is answered with {status} by {}\n",
-                answer.order, answer.control
+                answer.update, answer.control
             ));
         }
         let History { done, failed, .. } = self.history;
@@ -88,7 +88,7 @@
         let line = |(at, text): &(u64, String)| serde_json::json!({"at_us": at, "text": text});
         let broken = |found: &Finding| serde_json::json!({"check": found.check, "text": found.text});
         serde_json::json!({
-            "timeline": self.history.course.iter().map(line).collect::<Vec<_>>(),
+            "timeline": self.history.timeline.iter().map(line).collect::<Vec<_>>(),
             "done": self.history.done, "failed": self.history.failed,
             "broken": self.findings.iter().map(broken).collect::<Vec<_>>(),
         })
--- a/crates/wv-simulation/src/nemesis/check.rs
+++ b/crates/wv-simulation/src/nemesis/check.rs
@@ -1,8 +1,8 @@
-//! Rules over histories. Each names what broke it; a history that keeps them all leaves nothing.
-use super::{Bound, History};
+//! Consistency checks over the history of a run.
+use super::{FaultBound, History};
 use std::collections::BTreeMap;
 
-/// One rule that was broken.
+/// A violation and the check that found it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Finding {
     pub check: &'static str,
@@ -11,7 +11,7 @@
 
 type Check = (&'static str, fn(&History) -> Option<String>);
 
-/// All rules over histories, by name; those of statements and of the calm at the end come with their own.
+/// The checks over histories, by name. Findings of the oracle and of the recovery checks carry their own names.
 pub const CHECKS: [Check; 10] = [
     ("one-content", one_content),
     ("two-verdicts", two_verdicts),
@@ -25,135 +25,161 @@
     ("fence", fence),
 ];
 
-/// Judges a history.
-pub fn check(history: &History, bound: Bound) -> Vec<Finding> {
-    let rules = CHECKS.iter().filter_map(|(check, rule)| rule(history).map(|text| Finding { check, text }));
-    let statement = |text: &String| Finding { check: statement_rule(text), text: text.clone() };
-    let calm = history.calm.iter().filter(|_| bound != Bound::Wild);
-    let calm = calm.map(|calm| Finding { check: calm.check, text: calm.text.clone() });
-    rules.chain(history.statements.iter().map(statement)).chain(calm).collect()
+pub fn check(history: &History, fault_bound: FaultBound) -> Vec<Finding> {
+    let violations =
+        CHECKS.iter().filter_map(|(check, check_fn)| check_fn(history).map(|text| Finding { check, text }));
+    let statement = |text: &String| Finding { check: statement_check(text), text: text.clone() };
+    let recovery_failures = history.recovery_failures.iter().filter(|_| fault_bound != FaultBound::Unlimited);
+    let recovery_failures =
+        recovery_failures.map(|failure| Finding { check: failure.check, text: failure.text.clone() });
+    violations.chain(history.statement_violations.iter().map(statement)).chain(recovery_failures).collect()
 }
 
-fn statement_rule(text: &str) -> &'static str {
-    let names = ["LOST", "TWICE", "REFUSED", "STALE", "PINNED", "MIXED", "DRAIN"];
-    names.into_iter().find(|name| text.starts_with(name)).unwrap_or("statement")
+fn statement_check(text: &str) -> &'static str {
+    let checks = ["LOST", "TWICE", "REFUSED", "STALE", "PINNED", "MIXED", "DRAIN"];
+    checks.into_iter().find(|name| text.starts_with(name)).unwrap_or("statement")
 }
 
-/// Under one number at most one content is acknowledged as in force: two may be only where both were overtaken, so
-/// that a higher number had been sent before either was acknowledged.
+/// At most one content is acknowledged per version. Several are allowed only if none of them was read and a higher
+/// version had been sent before the first acknowledgement.
 fn one_content(history: &History) -> Option<String> {
-    let mut acked: BTreeMap<u64, Vec<(usize, u64)>> = BTreeMap::new();
-    for (at, order) in history.orders.iter().enumerate() {
-        if let Some(first) = history.acks(at).map(|answer| answer.heard).min() {
-            acked.entry(order.number).or_default().push((at, first));
+    let mut acknowledged: BTreeMap<u64, Vec<(usize, u64)>> = BTreeMap::new();
+    for (index, update) in history.updates.iter().enumerate() {
+        if let Some(first) = history.acknowledgements(index).map(|response| response.received_us).min() {
+            acknowledged.entry(update.version).or_default().push((index, first));
         }
     }
-    let is_shown = |order: &usize| history.reads.iter().any(|read| read.order == Some(*order));
-    acked.into_iter().filter(|(_, orders)| orders.len() > 1).find_map(|(number, orders)| {
-        let first = orders.iter().map(|(_, first)| *first).min().unwrap_or(0);
-        let is_overtaken = history.orders.iter().any(|order| order.number > number && order.first_sent < first);
-        let is_any_shown = orders.iter().any(|(order, _)| is_shown(order));
-        (!is_overtaken || is_any_shown).then(|| format!("number {number}: {} contents acknowledged", orders.len()))
+    let is_read = |update: &usize| history.reads.iter().any(|read| read.update == Some(*update));
+    acknowledged.into_iter().filter(|(_, updates)| updates.len() > 1).find_map(|(version, updates)| {
+        let first = updates.iter().map(|(_, first)| *first).min().unwrap_or(0);
+        let is_superseded =
+            history.updates.iter().any(|update| update.version > version && update.first_sent_us < first);
+        let is_any_read = updates.iter().any(|(update, _)| is_read(update));
+        (!is_superseded || is_any_read)
+            .then(|| format!("version {version}: {} different contents acknowledged", updates.len()))
     })
 }
 
-/// No order is both acknowledged and refused.
+/// No update is both acknowledged and rejected.
 fn two_verdicts(history: &History) -> Option<String> {
-    let refused = history.answers.iter().filter(|answer| answer.is_refusal());
-    refused.into_iter().find_map(|refused| {
-        let acked = history.acks(refused.order).next()?;
-        let number = history.orders[refused.order].number;
+    let rejections = history.responses.iter().filter(|response| response.is_rejection());
+    rejections.into_iter().find_map(|rejection| {
+        let acknowledged = history.acknowledgements(rejection.update).next()?;
+        let version = history.updates[rejection.update].version;
         Some(format!(
-            "order {number} is acknowledged by {} at {} and refused ({}) by {} at {}",
-            acked.control, acked.heard, refused.status, refused.control, refused.heard
+            "update {version} is acknowledged by {} at {} and rejected ({}) by {} at {}",
+            acknowledged.control, acknowledged.received_us, rejection.status, rejection.control, rejection.received_us
         ))
     })
 }
 
-/// A valid order is refused only where another content was sent under its number.
+/// A valid update is rejected only if another one was sent with the same version.
 fn refused_without_rival(history: &History) -> Option<String> {
-    history.answers.iter().filter(|answer| answer.is_refusal()).find_map(|answer| {
-        let order = &history.orders[answer.order];
-        let is_rival = |(at, other): (usize, &super::Order)| {
-            at != answer.order && other.is_valid && other.number == order.number && other.first_sent < answer.heard
+    history.responses.iter().filter(|response| response.is_rejection()).find_map(|response| {
+        let update = &history.updates[response.update];
+        let is_conflicting = |(index, other): (usize, &super::ConfigUpdate)| {
+            index != response.update
+                && other.is_valid
+                && other.version == update.version
+                && other.first_sent_us < response.received_us
         };
-        let has_rival = history.orders.iter().enumerate().any(is_rival);
-        (order.is_valid && !has_rival).then(|| {
-            format!("order {} is refused ({}) by {} at {}", order.number, answer.status, answer.control, answer.heard)
+        let has_conflict = history.updates.iter().enumerate().any(is_conflicting);
+        (update.is_valid && !has_conflict).then(|| {
+            format!(
+                "update {} is rejected ({}) by {} at {}",
+                update.version, response.status, response.control, response.received_us
+            )
         })
     })
 }
 
 fn invalid_acknowledged(history: &History) -> Option<String> {
-    let acked = |(at, order): (usize, &super::Order)| {
-        let answer = history.acks(at).next().filter(|_| !order.is_valid)?;
-        Some(format!("an invalid order {} is acknowledged by {} at {}", order.number, answer.control, answer.heard))
+    let acknowledged = |(index, update): (usize, &super::ConfigUpdate)| {
+        let response = history.acknowledgements(index).next().filter(|_| !update.is_valid)?;
+        Some(format!(
+            "invalid update {} is acknowledged by {} at {}",
+            update.version, response.control, response.received_us
+        ))
     };
-    history.orders.iter().enumerate().find_map(acked)
+    history.updates.iter().enumerate().find_map(acknowledged)
 }
 
-/// What was refused, or is invalid, is never read.
+/// Rejected and invalid updates are never read.
 fn refused_in_force(history: &History) -> Option<String> {
     history.reads.iter().find_map(|read| {
-        let order = read.order?;
-        let is_refused = history.answers.iter().any(|answer| answer.order == order && answer.is_refusal());
-        (is_refused || !history.orders[order].is_valid)
-            .then(|| format!("{} shows order {} at {}, which was refused", read.control, read.number, read.heard))
+        let update = read.update?;
+        let is_rejected = history.responses.iter().any(|response| response.update == update && response.is_rejection());
+        (is_rejected || !history.updates[update].is_valid).then(|| {
+            format!("{} returns update {} at {}, which was rejected", read.control, read.version, read.received_us)
+        })
     })
 }
 
-/// What is read was sent, under the number it bears, and before.
+/// Every configuration read was sent before, with the version that it carries.
 fn read_unknown(history: &History) -> Option<String> {
     history.reads.iter().find_map(|read| {
-        let is_known = read.order.is_some_and(|order| {
-            history.orders[order].number == read.number && history.orders[order].first_sent <= read.heard
+        let was_sent = read.update.is_some_and(|update| {
+            history.updates[update].version == read.version && history.updates[update].first_sent_us <= read.received_us
         });
-        (!is_known).then(|| format!("{} shows a {} that nobody sent, at {}", read.control, read.number, read.heard))
+        (!was_sent).then(|| {
+            format!("{} returns version {} at {}, which was never sent", read.control, read.version, read.received_us)
+        })
     })
 }
 
-/// Every reading shows at least what was acknowledged, or read, before it began.
+/// A read returns at least the newest version that was acknowledged or read before it was sent.
 fn read_stale(history: &History) -> Option<String> {
     history.reads.iter().find_map(|read| {
-        let acked = history.newest_acked(read.sent);
-        let shown = history.reads.iter().filter(|other| other.heard < read.sent).map(|other| other.number).max();
-        let newest = acked.max(shown.unwrap_or(0));
-        (read.number < newest).then(|| {
-            format!("{} shows {} at {}, and {newest} stood at {}", read.control, read.number, read.heard, read.sent)
+        let acknowledged = history.newest_acknowledged(read.sent_us);
+        let read_version =
+            history.reads.iter().filter(|other| other.received_us < read.sent_us).map(|other| other.version).max();
+        let newest = acknowledged.max(read_version.unwrap_or(0));
+        (read.version < newest).then(|| {
+            format!(
+                "{} returns version {} at {}, but {newest} was acknowledged or read before {}",
+                read.control, read.version, read.received_us, read.sent_us
+            )
         })
     })
 }
 
-/// No access node goes back in one life.
+/// The version on an access node never decreases within one incarnation.
 fn went_back(history: &History) -> Option<String> {
-    let mut held: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    history.seen.iter().find_map(|seen| {
-        let before = held.insert((seen.node.as_str(), seen.life), seen.version).unwrap_or(0);
-        (seen.version < before).then(|| format!("{} goes from {before} to {} at {}", seen.node, seen.version, seen.at))
+    let mut previous: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+    history.observed_versions.iter().find_map(|observed| {
+        let before = previous.insert((observed.node.as_str(), observed.incarnation), observed.version).unwrap_or(0);
+        (observed.version < before).then(|| {
+            format!("{} goes back from version {before} to {} at {}", observed.node, observed.version, observed.at_us)
+        })
     })
 }
 
 fn one_lead(history: &History) -> Option<String> {
-    let mut held: BTreeMap<(&str, u64), &str> = BTreeMap::new();
-    history.leads.iter().find_map(|(service, term, id)| {
-        let before = held.insert((service.as_str(), *term), id.as_str()).unwrap_or(id);
-        (before != id).then(|| format!("{before} and {id} lead {service} under term {term}"))
+    let mut previous: BTreeMap<(&str, u64), &str> = BTreeMap::new();
+    history.primaries.iter().find_map(|(service, term, id)| {
+        let before = previous.insert((service.as_str(), *term), id.as_str()).unwrap_or(id);
+        (before != id).then(|| format!("{before} and {id} are both primary of {service} in term {term}"))
     })
 }
 
-/// What the platform takes rises, and no two holders call under one fence.
+/// Fencing tokens that the platform accepts never decrease, and no two nodes use the same one.
 fn fence(history: &History) -> Option<String> {
-    let mut held: BTreeMap<&str, (u64, (usize, u64))> = BTreeMap::new();
-    let taken = history.posts.iter().filter(|post| post.code.is_some_and(|code| code != 409));
-    let fell = taken.into_iter().find_map(|post| {
-        let before = held.insert(post.service.as_str(), (post.fence, post.holder)).unwrap_or_default();
-        (post.fence < before.0).then(|| format!("{} falls from {} to {}", post.service, before.0, post.fence))
+    let mut previous: BTreeMap<&str, (u64, (usize, u64))> = BTreeMap::new();
+    let accepted = history.platform_calls.iter().filter(|call| call.status.is_some_and(|status| status != 409));
+    let decreased = accepted.into_iter().find_map(|call| {
+        let before = previous.insert(call.service.as_str(), (call.fencing_token, call.holder)).unwrap_or_default();
+        (call.fencing_token < before.0)
+            .then(|| format!("fencing token of {} decreases from {} to {}", call.service, before.0, call.fencing_token))
     });
     let mut holders: BTreeMap<(&str, u64), usize> = BTreeMap::new();
-    let shared = history.posts.iter().find_map(|post| {
-        let before = *holders.entry((post.service.as_str(), post.fence)).or_insert(post.holder.0);
-        (before != post.holder.0)
-            .then(|| format!("c{before} and c{} both call for {} under {}", post.holder.0, post.service, post.fence))
+    let shared = history.platform_calls.iter().find_map(|call| {
+        let before = *holders.entry((call.service.as_str(), call.fencing_token)).or_insert(call.holder.0);
+        (before != call.holder.0).then(|| {
+            format!(
+                "c{before} and c{} both call for {} with fencing token {}",
+                call.holder.0, call.service, call.fencing_token
+            )
+        })
     });
-    fell.or(shared)
+    decreased.or(shared)
 }
--- a/crates/wv-simulation/src/nemesis/history.rs
+++ b/crates/wv-simulation/src/nemesis/history.rs
@@ -1,104 +1,105 @@
-//! What operators, nodes and databases wrote down in a day.
+//! The history of a run, as recorded by operators, nodes and databases.
 
-/// What was sent under a number.
+/// A configuration update sent by an operator.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Order {
-    pub number: u64,
+pub struct ConfigUpdate {
+    pub version: u64,
     pub body: Vec<u8>,
     pub is_valid: bool,
-    pub first_sent: u64,
+    pub first_sent_us: u64,
 }
 
-/// One answer to one sending of an order.
+/// The response to one request that sent an update; updates may be sent repeatedly.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Answer {
-    pub order: usize,
+pub struct UpdateResponse {
+    pub update: usize,
     pub control: String,
-    pub sent: u64,
-    pub heard: u64,
+    pub sent_us: u64,
+    pub received_us: u64,
     pub status: u16,
 }
 
-/// One reading of the configuration that was answered with 200: its number, and which order it shows.
+/// A read of the configuration that returned 200: its version and the update whose content matches.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Read {
+pub struct ConfigRead {
     pub control: String,
-    pub sent: u64,
-    pub heard: u64,
-    pub number: u64,
-    pub order: Option<usize>,
+    pub sent_us: u64,
+    pub received_us: u64,
+    pub version: u64,
+    pub update: Option<usize>,
 }
 
-/// The version by which an access node, in one of its lives, goes from a moment on.
+/// The configuration version that an access node applies from a point in time on.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Seen {
+pub struct VersionObservation {
     pub node: String,
-    pub life: u64,
-    pub at: u64,
+    pub incarnation: u64,
+    pub at_us: u64,
     pub version: u64,
 }
 
-/// One call to the platform, and what it returned.
+/// A promotion call to the platform and its result.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Post {
-    pub at: u64,
-    /// The node and its life.
+pub struct PlatformCall {
+    pub at_us: u64,
+    /// The index and the incarnation of the control node.
     pub holder: (usize, u64),
     pub service: String,
-    pub id: String,
-    pub fence: u64,
-    pub code: Option<u16>,
+    pub instance_id: String,
+    pub fencing_token: u64,
+    pub status: Option<u16>,
 }
 
-/// What the fleet was asked once all troubles were over: what, of whom, and what came that should not have.
+/// A check that failed after the last fault had ended.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Calm {
+pub struct RecoveryFailure {
     pub check: &'static str,
     pub text: String,
 }
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct History {
-    pub orders: Vec<Order>,
-    pub answers: Vec<Answer>,
-    pub reads: Vec<Read>,
-    pub seen: Vec<Seen>,
-    pub posts: Vec<Post>,
-    pub calm: Vec<Calm>,
-    /// Rules of statements that were broken, as the databases and clients saw them.
-    pub statements: Vec<String>,
-    /// Who led under which term, by service.
-    pub leads: Vec<(String, u64, String)>,
+    pub updates: Vec<ConfigUpdate>,
+    pub responses: Vec<UpdateResponse>,
+    pub reads: Vec<ConfigRead>,
+    pub observed_versions: Vec<VersionObservation>,
+    pub platform_calls: Vec<PlatformCall>,
+    pub recovery_failures: Vec<RecoveryFailure>,
+    /// Violations found in the statements of clients.
+    pub statement_violations: Vec<String>,
+    /// Service, term and instance id of each primary observed.
+    pub primaries: Vec<(String, u64, String)>,
     pub done: u32,
     pub failed: u32,
-    /// The course in words, with times, to read beside the rest.
-    pub course: Vec<(u64, String)>,
+    /// Log lines with their virtual times in microseconds.
+    pub timeline: Vec<(u64, String)>,
 }
 
-impl Answer {
-    pub fn is_ack(&self) -> bool {
+impl UpdateResponse {
+    pub fn is_acknowledged(&self) -> bool {
         self.status / 100 == 2
     }
 
-    /// Whether it says that the order is not taken; 408 and 429 only put off.
-    pub fn is_refusal(&self) -> bool {
+    /// Whether the update was rejected for good; 408 and 429 ask for a retry.
+    pub fn is_rejection(&self) -> bool {
         self.status / 100 == 4 && !matches!(self.status, 408 | 429)
     }
 }
 
 impl History {
-    /// Times at which an order was acknowledged.
-    pub fn acks(&self, order: usize) -> impl Iterator<Item = &Answer> {
-        self.answers.iter().filter(move |answer| answer.order == order && answer.is_ack())
+    /// The responses that acknowledge an update.
+    pub fn acknowledgements(&self, update: usize) -> impl Iterator<Item = &UpdateResponse> {
+        self.responses.iter().filter(move |response| response.update == update && response.is_acknowledged())
     }
 
-    /// The newest number acknowledged before `at`.
-    pub fn newest_acked(&self, at: u64) -> u64 {
-        let acked = self.answers.iter().filter(|answer| answer.is_ack() && answer.heard < at);
-        acked.map(|answer| self.orders[answer.order].number).max().unwrap_or(0)
+    /// The highest version acknowledged before `at_us`.
+    pub fn newest_acknowledged(&self, at_us: u64) -> u64 {
+        let acknowledged =
+            self.responses.iter().filter(|response| response.is_acknowledged() && response.received_us < at_us);
+        acknowledged.map(|response| self.updates[response.update].version).max().unwrap_or(0)
     }
 
-    /// Everything in one number: two plays of one day must have the same.
+    /// A hash of the whole history: runs of one schedule must have equal digests.
     pub fn digest(&self) -> u64 {
         use std::hash::{BuildHasher, Hasher};
         let mut hasher = ahash::RandomState::with_seeds(1, 2, 3, 4).build_hasher();
--- a/crates/wv-simulation/src/nemesis/mod.rs
+++ b/crates/wv-simulation/src/nemesis/mod.rs
@@ -1,125 +1,147 @@
-//! The fleet under any trouble: days drawn from a seed, played with the real logic, their histories checked, and
-//! days that break a rule made short.
-mod bases;
-mod calm;
+//! Randomized fault injection: schedules generated from a seed run against the real node logic, their histories are
+//! checked for violations, and failing schedules are shrunk.
 mod check;
-mod draw;
-mod draw_calls;
+mod databases;
+mod faults;
+mod format;
+mod generate;
+mod generate_operations;
 mod history;
 mod operator;
-mod play;
+mod recovery;
+mod run;
 mod shrink;
-mod text;
-mod trouble;
 
 pub use check::{check, Finding, CHECKS};
-pub use draw::draw;
-pub use history::{Answer, Calm, History, Order, Post, Read, Seen};
-pub use play::play;
-pub use shrink::{shrink, shrink_by};
-pub use text::DayError;
+pub use format::ScheduleError;
+pub use generate::generate;
+pub use history::{
+    ConfigRead, ConfigUpdate, History, PlatformCall, RecoveryFailure, UpdateResponse, VersionObservation,
+};
+pub use run::run;
+pub use shrink::{shrink, shrink_with};
 
-/// How much is asked of the fleet.
+/// How many faults a schedule may combine, and so which guarantees are checked.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Bound {
-    /// No more is lost at once than the core bears: all promises hold.
-    Within,
-    /// More is down at once, yet no more disks are lost than the core bears: safety, and all of it after the end.
-    Beyond,
-    /// Anything: safety alone.
-    Wild,
+pub enum FaultBound {
+    /// Concurrent faults stay within the fault tolerance of the core: safety and liveness are checked.
+    WithinTolerance,
+    /// More nodes may be down at once, but no more disks are lost than tolerated: safety throughout, and liveness
+    /// after the last fault ends.
+    BeyondTolerance,
+    /// Any combination of faults: only safety is checked.
+    Unlimited,
 }
 
-/// What befalls the fleet, or is asked of it.
+/// A fault or an operator action.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Kind {
-    /// A node is cut off from all others; in one direction only.
+pub enum EventKind {
+    /// Cuts the targets off from all other endpoints, in both directions.
     Isolate,
-    Deafen,
-    Mute,
-    /// Two ends, both ways or from the first to the second.
-    Wall,
-    OneWay,
-    /// Both ways, and for ever: never drawn, as no fleet can be well after it; it proves that checks can fail.
-    Rift,
-    /// Those named are cut off from all other control nodes.
-    Part,
+    DropInbound,
+    DropOutbound,
+    /// Cuts the links between the first target and the others, in both directions.
+    Partition,
+    /// Cuts the links from the first target to the others.
+    OneWayPartition,
+    /// A partition that never heals. Not generated, as no fleet recovers from it; tests use it to make checks fail.
+    PermanentPartition,
+    /// Cuts the targets off from all other control nodes.
+    IsolateFromPeers,
     Freeze,
-    /// By so many milliseconds each event.
+    /// Delays each event of the node by `amount` milliseconds.
     Slow,
     Kill,
-    /// A loss of power; in the middle of the next write.
-    Power,
-    Tear,
-    /// The disk is lost; the machine is gone for good and another one comes; planned, after a SIGTERM.
-    Wipe,
+    PowerLoss,
+    /// Power loss in the middle of the next disk write.
+    TornWrite,
+    LoseDisk,
+    /// The node is lost permanently and a new one joins.
     Replace,
-    Quit,
-    Stall,
-    Full,
-    /// The time of day steps by so many milliseconds, backwards for odd ones.
-    Clock,
-    Reset,
-    /// An access node is told to end, killed after a while, and comes back.
-    Term,
+    /// The node is shut down by SIGTERM and a new one joins.
+    Decommission,
+    DiskStall,
+    DiskFull,
+    /// Steps the wall clock by `amount` milliseconds, backwards if odd.
+    ClockStep,
+    ResetLinks,
+    /// Sends SIGTERM to an access node, kills it after the grace period and restarts it.
+    Terminate,
     Crash,
-    Dark,
-    Lag,
-    /// A database leaves in order, or says so only by its DELETE; another one comes.
+    Unreachable,
+    ReplicationLag,
+    /// A database drains before its DELETE; a new one joins.
     Drain,
-    Leave,
-    Break,
-    Platform,
-    Sluggish,
-    /// One order; two contents under one number so many microseconds apart; so many orders at once.
-    Order,
-    Race,
-    Storm,
-    /// An order that was sent before, again.
-    Repeat,
-    Invalid,
-    /// Operators hear no answers; what they send arrives once more, late.
-    Unheard,
-    Echo,
+    /// A database sends its DELETE without draining; a new one joins.
+    Deregister,
+    ResetConnections,
+    PlatformOutage,
+    SlowPromotion,
+    /// Sends one configuration update.
+    Update,
+    /// Sends two different updates with one version, `amount` microseconds apart.
+    ConcurrentUpdates,
+    /// Sends `amount` updates at once, at most 8.
+    UpdateBurst,
+    /// Sends an earlier update again.
+    ResendUpdate,
+    InvalidUpdate,
+    /// Operators lose responses.
+    LostResponses,
+    /// Requests of operators are delivered a second time after a delay.
+    DelayedDuplicates,
 }
 
-/// One event: what, whom it befalls, for how long, and by how much.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Event {
     pub at_ms: u64,
-    pub kind: Kind,
+    pub kind: EventKind,
     pub targets: Vec<String>,
-    pub for_ms: u64,
-    pub by: u64,
+    pub duration_ms: u64,
+    /// Magnitude; the unit depends on the kind.
+    pub amount: u64,
 }
 
-/// A day of the nemesis.
+/// A fault schedule and the size of the fleet that it runs against.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Day {
+pub struct Schedule {
     pub seed: u64,
-    pub access: usize,
-    /// Control nodes with a disk, and those without.
-    pub core: usize,
-    pub thin: usize,
-    pub bound: Bound,
+    pub access_nodes: usize,
+    /// Control nodes with a disk.
+    pub core_nodes: usize,
+    /// Control nodes without a disk.
+    pub diskless_nodes: usize,
+    pub fault_bound: FaultBound,
     pub events: Vec<Event>,
 }
 
 impl Event {
     pub fn end_ms(&self) -> u64 {
-        self.at_ms + self.for_ms
+        self.at_ms + self.duration_ms
     }
 }
 
-impl Kind {
-    /// What is asked of the fleet rather than done to it.
-    pub fn is_call(self) -> bool {
-        matches!(self, Kind::Order | Kind::Race | Kind::Storm | Kind::Repeat | Kind::Invalid)
+impl EventKind {
+    /// Whether the event is an operator action rather than a fault.
+    pub fn is_operator_action(self) -> bool {
+        use EventKind::{ConcurrentUpdates, InvalidUpdate, ResendUpdate, Update, UpdateBurst};
+        matches!(self, Update | ConcurrentUpdates | UpdateBurst | ResendUpdate | InvalidUpdate)
     }
 
-    /// Whether it may cost a database's clients or its service, but no node.
-    pub fn is_base(self) -> bool {
-        use Kind::{Break, Crash, Dark, Drain, Lag, Leave, Platform, Sluggish};
-        matches!(self, Crash | Dark | Lag | Drain | Leave | Break | Platform | Sluggish)
+    /// Whether the event affects databases or the platform, but no node.
+    pub fn is_database_event(self) -> bool {
+        use EventKind::Unreachable;
+        use EventKind::{Crash, Deregister, Drain, PlatformOutage, ReplicationLag, ResetConnections, SlowPromotion};
+        matches!(
+            self,
+            Crash
+                | Unreachable
+                | ReplicationLag
+                | Drain
+                | Deregister
+                | ResetConnections
+                | PlatformOutage
+                | SlowPromotion
+        )
     }
 }
--- a/crates/wv-simulation/src/nemesis/operator.rs
+++ b/crates/wv-simulation/src/nemesis/operator.rs
@@ -1,60 +1,61 @@
-//! Operators and readers of the configuration: they send, follow, repeat and insist as the pages say.
-use super::{Answer, History, Order, Read};
+//! Simulated operators and configuration readers: they follow redirects, and retry updates until a final response.
+use super::{ConfigRead, ConfigUpdate, History, UpdateResponse};
 use crate::{Luck, World, MS, S};
 use std::collections::BTreeSet;
 
-/// A node that says nothing for so long is given up for another one.
-const SILENCE: u64 = S;
-const PAUSE: u64 = 100 * MS;
-const HOPS: u32 = 2;
+/// A call without a response for this long is retried on another node.
+const RESPONSE_TIMEOUT_US: u64 = S;
+const RETRY_DELAY_US: u64 = 100 * MS;
+const REDIRECTS_MAX: u32 = 2;
 
 #[derive(Clone, Copy)]
-enum What {
-    /// An operator's sending of an order; one that nobody waits for.
-    Put(usize),
-    Echo(usize),
-    Get,
+enum CallKind {
+    /// Sends the update with this index.
+    PutUpdate(usize),
+    /// Sends an update again; no operator waits for the response.
+    Duplicate(usize),
+    Read,
 }
 
 struct Call {
-    what: What,
+    kind: CallKind,
     token: u64,
     control: usize,
-    sent: u64,
-    hops: u32,
+    sent_us: u64,
+    redirects: u32,
 }
 
-/// One operator with one order.
-struct Op {
-    order: usize,
-    /// When it sends next; none while it waits for an answer to this call.
-    next: Option<u64>,
-    waits_for: u64,
-    at: usize,
-    tries: u32,
-    refusals: u32,
+/// An update that an operator retries until it gets a final response.
+struct UpdateTask {
+    update: usize,
+    /// When it is sent next; none while the response to `awaited_token` is outstanding.
+    next_us: Option<u64>,
+    awaited_token: u64,
+    control: usize,
+    attempts: u32,
+    rejections: u32,
 }
 
-pub(super) struct Operators {
-    luck: Luck,
+pub(super) struct OperatorClients {
+    rng: Luck,
     calls: Vec<Call>,
-    ops: Vec<Op>,
-    /// What is sent once more: when, to whom, and which order.
-    echoes: Vec<(u64, usize, usize)>,
-    pub number: u64,
-    pub is_unheard: bool,
-    pub is_echoing: bool,
+    tasks: Vec<UpdateTask>,
+    /// Duplicates to send: time, control node and update.
+    duplicates: Vec<(u64, usize, usize)>,
+    pub version: u64,
+    pub is_losing_responses: bool,
+    pub is_duplicating: bool,
 }
 
-fn variant(number: u64, which: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(number)).into_owned();
-    text.replace("\"targetMs\":800", &format!("\"targetMs\":{}", 800 + which)).into_bytes()
+fn valid_body(version: u64, variant: u64) -> Vec<u8> {
+    let text = String::from_utf8_lossy(&World::conf(version)).into_owned();
+    text.replace("\"targetMs\":800", &format!("\"targetMs\":{}", 800 + variant)).into_bytes()
 }
 
-/// Orders that no node may take, each for another reason.
-fn spoilt(number: u64, which: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(number)).into_owned();
-    let text = match which % 4 {
+/// Bodies that every node must reject, each for another reason.
+fn invalid_body(version: u64, variant: u64) -> Vec<u8> {
+    let text = String::from_utf8_lossy(&World::conf(version)).into_owned();
+    let text = match variant % 4 {
         0 => text.replace("\"expiryMs\":1000", "\"expiryMs\":0"),
         1 => text.replace("\"destination\":\"s\"", "\"destination\":\"nowhere\""),
         2 => text.replace("\"host\":\"b\"", "\"host\":\"p\""),
@@ -63,164 +64,183 @@
     text.into_bytes()
 }
 
-impl Operators {
-    pub fn new(seed: u64) -> Operators {
-        let (calls, ops, echoes) = (Vec::new(), Vec::new(), Vec::new());
-        let luck = Luck::new(seed ^ 0x0b5);
-        Operators { luck, calls, ops, echoes, number: 0, is_unheard: false, is_echoing: false }
+impl OperatorClients {
+    pub fn new(seed: u64) -> OperatorClients {
+        let (calls, tasks, duplicates) = (Vec::new(), Vec::new(), Vec::new());
+        let rng = Luck::new(seed ^ 0x0b5);
+        OperatorClients { rng, calls, tasks, duplicates, version: 0, is_losing_responses: false, is_duplicating: false }
     }
 
-    /// The next number of a valid order; they go up in uneven steps.
-    pub fn next_number(&mut self) -> u64 {
-        self.number += 1 + self.luck.below(3);
-        self.number
+    /// The version for the next valid update; versions may skip numbers.
+    pub fn next_version(&mut self) -> u64 {
+        self.version += 1 + self.rng.below(3);
+        self.version
     }
 
-    pub fn write(&mut self, history: &mut History, number: u64, which: u64, now: u64) -> usize {
-        let order = Order { number, body: variant(number, which), is_valid: true, first_sent: now };
-        history.orders.push(order);
-        history.orders.len() - 1
+    pub fn create_update(&mut self, history: &mut History, version: u64, variant: u64, now: u64) -> usize {
+        let update = ConfigUpdate { version, body: valid_body(version, variant), is_valid: true, first_sent_us: now };
+        history.updates.push(update);
+        history.updates.len() - 1
     }
 
-    pub fn write_invalid(&mut self, history: &mut History, which: u64, now: u64) -> usize {
-        let number = self.number + 1;
-        history.orders.push(Order { number, body: spoilt(number, which), is_valid: false, first_sent: now });
-        history.orders.len() - 1
+    pub fn create_invalid_update(&mut self, history: &mut History, variant: u64, now: u64) -> usize {
+        let version = self.version + 1;
+        history.updates.push(ConfigUpdate {
+            version,
+            body: invalid_body(version, variant),
+            is_valid: false,
+            first_sent_us: now,
+        });
+        history.updates.len() - 1
     }
 
-    /// An operator begins to send an order, first to this node.
-    pub fn send(&mut self, order: usize, at: usize, when: u64) {
-        self.ops.push(Op { order, next: Some(when), waits_for: 0, at, tries: 0, refusals: 0 });
+    /// Starts sending an update, first to the given control node.
+    pub fn send(&mut self, update: usize, control: usize, at_us: u64) {
+        self.tasks.push(UpdateTask {
+            update,
+            next_us: Some(at_us),
+            awaited_token: 0,
+            control,
+            attempts: 0,
+            rejections: 0,
+        });
     }
 
-    /// Orders on which somebody is still at work.
-    pub fn open(&self) -> Vec<usize> {
-        self.ops.iter().map(|op| op.order).collect()
+    /// Updates that have no final response yet.
+    pub fn unfinished_updates(&self) -> Vec<usize> {
+        self.tasks.iter().map(|task| task.update).collect()
     }
 
-    pub fn read(&mut self, world: &mut World, gone: &BTreeSet<String>) {
-        if let Some(at) = self.pick(world, gone) {
-            self.call(world, What::Get, at, b"", 0);
+    pub fn read(&mut self, world: &mut World, removed: &BTreeSet<String>) {
+        if let Some(index) = self.pick_control(world, removed) {
+            self.call(world, CallKind::Read, index, b"", 0);
         }
     }
 
-    pub fn read_at(&mut self, world: &mut World, at: usize) {
-        self.call(world, What::Get, at, b"", 0);
+    pub fn read_from(&mut self, world: &mut World, control: usize) {
+        self.call(world, CallKind::Read, control, b"", 0);
     }
 
-    /// Any node that the operator's list has.
-    fn pick(&mut self, world: &World, gone: &BTreeSet<String>) -> Option<usize> {
-        let listed = |at: &usize| !gone.contains(&world.controls[*at].name);
-        let listed: Vec<usize> = (0..world.controls.len()).filter(listed).collect();
-        listed.get(self.luck.below(listed.len() as u64) as usize).copied()
+    /// A random control node that has not been removed.
+    fn pick_control(&mut self, world: &World, removed: &BTreeSet<String>) -> Option<usize> {
+        let is_listed = |index: &usize| !removed.contains(&world.controls[*index].name);
+        let listed: Vec<usize> = (0..world.controls.len()).filter(is_listed).collect();
+        listed.get(self.rng.below(listed.len() as u64) as usize).copied()
     }
 
-    fn call(&mut self, world: &mut World, what: What, at: usize, body: &[u8], hops: u32) -> u64 {
-        let method = if matches!(what, What::Get) { "GET" } else { "PUT" };
-        let sent = world.now;
-        let token = world.call(at, method, "/configuration", body);
+    fn call(&mut self, world: &mut World, kind: CallKind, index: usize, body: &[u8], redirects: u32) -> u64 {
+        let method = if matches!(kind, CallKind::Read) { "GET" } else { "PUT" };
+        let sent_us = world.now;
+        let token = world.call(index, method, "/configuration", body);
         if token > 0 {
-            self.calls.push(Call { what, token, control: at, sent, hops });
+            self.calls.push(Call { kind, token, control: index, sent_us, redirects });
         }
         token
     }
 
-    /// Takes in what came, and sends what is due.
-    pub fn listen(&mut self, world: &mut World, history: &mut History, gone: &BTreeSet<String>) {
-        let (came, waiting): (Vec<Call>, Vec<Call>) =
+    /// Handles completed calls, and sends updates that are due.
+    pub fn poll(&mut self, world: &mut World, history: &mut History, removed: &BTreeSet<String>) {
+        let (completed, waiting): (Vec<Call>, Vec<Call>) =
             std::mem::take(&mut self.calls).into_iter().partition(|call| world.returns.contains_key(&call.token));
         self.calls = waiting;
-        for call in came {
+        for call in completed {
             let (status, body) = world.returns.remove(&call.token).unwrap_or_default();
-            self.take(world, history, &call, status, &body);
+            self.on_response(world, history, &call, status, &body);
         }
-        self.send_due(world, history, gone);
+        self.send_due(world, history, removed);
     }
 
-    fn take(&mut self, world: &mut World, history: &mut History, call: &Call, status: u16, body: &[u8]) {
+    fn on_response(&mut self, world: &mut World, history: &mut History, call: &Call, status: u16, body: &[u8]) {
         let (now, control) = (world.now, world.controls[call.control].name.clone());
-        if status == 307 && call.hops < HOPS {
-            let place = String::from_utf8_lossy(body).into_owned();
-            let addr = place.trim_start_matches("http://").split('/').next().unwrap_or_default().to_owned();
-            let Some(to) = world.controls.iter().position(|held| held.addr == addr) else { return };
-            let body = match call.what {
-                What::Put(order) | What::Echo(order) => history.orders[order].body.clone(),
-                What::Get => Vec::new(),
+        if status == 307 && call.redirects < REDIRECTS_MAX {
+            let location = String::from_utf8_lossy(body).into_owned();
+            let addr = location.trim_start_matches("http://").split('/').next().unwrap_or_default().to_owned();
+            let Some(to) = world.controls.iter().position(|node| node.addr == addr) else { return };
+            let body = match call.kind {
+                CallKind::PutUpdate(update) | CallKind::Duplicate(update) => history.updates[update].body.clone(),
+                CallKind::Read => Vec::new(),
             };
-            let token = self.call(world, call.what, to, &body, call.hops + 1);
-            let op = self.ops.iter_mut().find(|op| op.waits_for == call.token && call.token > 0);
-            op.into_iter().for_each(|op| op.waits_for = token);
+            let token = self.call(world, call.kind, to, &body, call.redirects + 1);
+            let task = self.tasks.iter_mut().find(|task| task.awaited_token == call.token && call.token > 0);
+            task.into_iter().for_each(|task| task.awaited_token = token);
             return;
         }
-        match call.what {
-            What::Get if status == 200 => {
-                let number = serde_json::from_slice::<serde_json::Value>(body).unwrap_or_default();
-                let number = number["issue"].as_u64().unwrap_or(0);
-                let order = history.orders.iter().position(|order| order.body == body);
-                history.reads.push(Read { control, sent: call.sent, heard: now, number, order });
+        match call.kind {
+            CallKind::Read if status == 200 => {
+                let content = serde_json::from_slice::<serde_json::Value>(body).unwrap_or_default();
+                let version = content["issue"].as_u64().unwrap_or(0);
+                let update = history.updates.iter().position(|update| update.body == body);
+                history.reads.push(ConfigRead { control, sent_us: call.sent_us, received_us: now, version, update });
             }
-            What::Get => {}
-            What::Put(order) | What::Echo(order) => {
-                history.answers.push(Answer { order, control, sent: call.sent, heard: now, status });
-                let is_lost = self.is_unheard && self.luck.is(70);
-                let at = self.ops.iter().position(|op| op.waits_for == call.token && op.next.is_none());
-                if let Some(at) = at.filter(|_| !is_lost) {
-                    self.told(at, status, now);
+            CallKind::Read => {}
+            CallKind::PutUpdate(update) | CallKind::Duplicate(update) => {
+                history.responses.push(UpdateResponse {
+                    update,
+                    control,
+                    sent_us: call.sent_us,
+                    received_us: now,
+                    status,
+                });
+                let is_response_lost = self.is_losing_responses && self.rng.is(70);
+                let index =
+                    self.tasks.iter().position(|task| task.awaited_token == call.token && task.next_us.is_none());
+                if let Some(index) = index.filter(|_| !is_response_lost) {
+                    self.complete_attempt(index, status, now);
                 }
             }
         }
     }
 
-    /// The operator hears a status: it is done, or goes on to another node.
-    fn told(&mut self, at: usize, status: u16, now: u64) {
-        let op = &mut self.ops[at];
-        op.refusals += u32::from(status / 100 == 4 && !matches!(status, 408 | 429));
-        let is_clear = matches!(status, 200..=299 | 400 | 409 | 412 | 413 | 422) || op.refusals >= 3;
-        if is_clear {
-            self.ops.remove(at);
+    /// Finishes a task on a final status, or schedules a retry on another node.
+    fn complete_attempt(&mut self, index: usize, status: u16, now: u64) {
+        let task = &mut self.tasks[index];
+        task.rejections += u32::from(status / 100 == 4 && !matches!(status, 408 | 429));
+        let is_final = matches!(status, 200..=299 | 400 | 409 | 412 | 413 | 422) || task.rejections >= 3;
+        if is_final {
+            self.tasks.remove(index);
             return;
         }
-        op.next = Some(now + (PAUSE << op.tries.min(4)));
+        task.next_us = Some(now + (RETRY_DELAY_US << task.attempts.min(4)));
     }
 
-    fn send_due(&mut self, world: &mut World, history: &History, gone: &BTreeSet<String>) {
+    fn send_due(&mut self, world: &mut World, history: &History, removed: &BTreeSet<String>) {
         let now = world.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.echoes).into_iter().partition(|echo| echo.0 <= now);
-        self.echoes = later;
-        for (_, at, order) in due {
-            self.call(world, What::Echo(order), at, &history.orders[order].body, 0);
+            std::mem::take(&mut self.duplicates).into_iter().partition(|entry| entry.0 <= now);
+        self.duplicates = later;
+        for (_, index, update) in due {
+            self.call(world, CallKind::Duplicate(update), index, &history.updates[update].body, 0);
         }
-        for at in 0..self.ops.len() {
-            if self.ops[at].next.is_none_or(|next| next > now) {
+        for index in 0..self.tasks.len() {
+            if self.tasks[index].next_us.is_none_or(|next_us| next_us > now) {
                 continue;
             }
-            // After the first try, to any node.
-            let to = match self.ops[at].tries {
-                0 => Some(self.ops[at].at),
-                _ => self.pick(world, gone),
+            // Retries go to any node.
+            let to = match self.tasks[index].attempts {
+                0 => Some(self.tasks[index].control),
+                _ => self.pick_control(world, removed),
             };
             let Some(to) = to else { continue };
-            let order = self.ops[at].order;
-            if self.is_echoing && self.luck.is(60) {
-                let (after, to) = (self.luck.below(3 * S), self.pick(world, gone).unwrap_or(to));
-                self.echoes.push((now + after, to, order));
+            let update = self.tasks[index].update;
+            if self.is_duplicating && self.rng.is(60) {
+                let (after, to) = (self.rng.below(3 * S), self.pick_control(world, removed).unwrap_or(to));
+                self.duplicates.push((now + after, to, update));
             }
-            let token = self.call(world, What::Put(order), to, &history.orders[order].body, 0);
-            let op = &mut self.ops[at];
-            op.tries += 1;
-            (op.waits_for, op.next) = (token, None);
+            let token = self.call(world, CallKind::PutUpdate(update), to, &history.updates[update].body, 0);
+            let task = &mut self.tasks[index];
+            task.attempts += 1;
+            (task.awaited_token, task.next_us) = (token, None);
             if token == 0 {
-                op.next = Some(now + (PAUSE << op.tries.min(4)));
+                task.next_us = Some(now + (RETRY_DELAY_US << task.attempts.min(4)));
             }
         }
-        let silent: BTreeSet<u64> =
-            self.calls.iter().filter(|call| call.sent + SILENCE <= now).map(|call| call.token).collect();
-        let heard: BTreeSet<u64> = self.calls.iter().map(|call| call.token).collect();
-        for op in self.ops.iter_mut().filter(|op| op.next.is_none()) {
-            // Silent, or answered where the answer was lost on its way.
-            if silent.contains(&op.waits_for) || !heard.contains(&op.waits_for) {
-                op.next = Some(now + (PAUSE << op.tries.min(4)));
+        let timed_out: BTreeSet<u64> =
+            self.calls.iter().filter(|call| call.sent_us + RESPONSE_TIMEOUT_US <= now).map(|call| call.token).collect();
+        let outstanding: BTreeSet<u64> = self.calls.iter().map(|call| call.token).collect();
+        for task in self.tasks.iter_mut().filter(|task| task.next_us.is_none()) {
+            // Timed out, or the response was lost.
+            if timed_out.contains(&task.awaited_token) || !outstanding.contains(&task.awaited_token) {
+                task.next_us = Some(now + (RETRY_DELAY_US << task.attempts.min(4)));
             }
         }
     }
--- a/crates/wv-simulation/tests/nemesis_checks.rs
+++ b/crates/wv-simulation/tests/nemesis_checks.rs
@@ -1,149 +1,157 @@
-//! Each check of the nemesis can fail: a forged history, or a fleet that was left broken, and the check that names it.
+//! Guards against checks that cannot fail: each one must report a matching history or unrecoverable fleet.
 use googletest::prelude::*;
-use wv_simulation::nemesis::{check, play, Answer, Bound, Calm, Day, History, Order, Post, Read, Seen, CHECKS};
+use wv_simulation::nemesis::{
+    check, run, ConfigRead, ConfigUpdate, FaultBound, History, PlatformCall, RecoveryFailure, Schedule, UpdateResponse,
+    VersionObservation, CHECKS,
+};
 use wv_simulation::{Entry, Oracle, Write};
 
-fn order(number: u64, is_valid: bool, first_sent: u64) -> Order {
-    Order { number, body: number.to_string().into_bytes(), is_valid, first_sent }
+fn update(version: u64, is_valid: bool, first_sent_us: u64) -> ConfigUpdate {
+    ConfigUpdate { version, body: version.to_string().into_bytes(), is_valid, first_sent_us }
 }
 
-fn answer(order: usize, sent: u64, heard: u64, status: u16) -> Answer {
-    Answer { order, control: "c0".to_owned(), sent, heard, status }
+fn response(update: usize, sent_us: u64, received_us: u64, status: u16) -> UpdateResponse {
+    UpdateResponse { update, control: "c0".to_owned(), sent_us, received_us, status }
 }
 
-fn read(number: u64, order: Option<usize>, sent: u64, heard: u64) -> Read {
-    Read { control: "c1".to_owned(), sent, heard, number, order }
+fn read(version: u64, update: Option<usize>, sent_us: u64, received_us: u64) -> ConfigRead {
+    ConfigRead { control: "c1".to_owned(), sent_us, received_us, version, update }
 }
 
-fn seen(life: u64, at: u64, version: u64) -> Seen {
-    Seen { node: "a0".to_owned(), life, at, version }
+fn observed(incarnation: u64, at_us: u64, version: u64) -> VersionObservation {
+    VersionObservation { node: "a0".to_owned(), incarnation, at_us, version }
 }
 
-fn post(holder: usize, fence: u64, code: Option<u16>) -> Post {
-    let (service, id) = ("s".to_owned(), "i-s1".to_owned());
-    Post { at: 0, holder: (holder, 1), service, id, fence, code }
+fn platform_call(holder: usize, fencing_token: u64, status: Option<u16>) -> PlatformCall {
+    let (service, instance_id) = ("s".to_owned(), "i-s1".to_owned());
+    PlatformCall { at_us: 0, holder: (holder, 1), service, instance_id, fencing_token, status }
 }
 
-/// Two orders under number 5, one under 7, an invalid one under 8; the first and the third are taken.
-fn sound() -> History {
+/// Two updates with version 5, one with 7 and an invalid one with 8; the first and the third are acknowledged.
+fn valid_history() -> History {
     History {
-        orders: vec![order(5, true, 10), order(5, true, 12), order(7, true, 40), order(8, false, 60)],
-        answers: vec![
-            answer(0, 10, 20, 200),
-            answer(1, 12, 22, 409),
-            answer(0, 30, 35, 200),
-            answer(2, 40, 50, 200),
-            answer(3, 60, 61, 400),
-            answer(0, 70, 75, 503),
+        updates: vec![update(5, true, 10), update(5, true, 12), update(7, true, 40), update(8, false, 60)],
+        responses: vec![
+            response(0, 10, 20, 200),
+            response(1, 12, 22, 409),
+            response(0, 30, 35, 200),
+            response(2, 40, 50, 200),
+            response(3, 60, 61, 400),
+            response(0, 70, 75, 503),
         ],
         reads: vec![read(5, Some(0), 21, 25), read(7, Some(2), 51, 55)],
-        seen: vec![seen(1, 30, 5), seen(1, 60, 7), seen(2, 70, 0), seen(2, 80, 7)],
-        posts: vec![post(0, 1, Some(200)), post(1, 2, None), post(1, 2, Some(200)), post(0, 1, Some(409))],
-        leads: vec![("s".to_owned(), 1, "i-s0".to_owned()), ("s".to_owned(), 2, "i-s1".to_owned())],
+        observed_versions: vec![observed(1, 30, 5), observed(1, 60, 7), observed(2, 70, 0), observed(2, 80, 7)],
+        platform_calls: vec![
+            platform_call(0, 1, Some(200)),
+            platform_call(1, 2, None),
+            platform_call(1, 2, Some(200)),
+            platform_call(0, 1, Some(409)),
+        ],
+        primaries: vec![("s".to_owned(), 1, "i-s0".to_owned()), ("s".to_owned(), 2, "i-s1".to_owned())],
         ..History::default()
     }
 }
 
-fn names(history: &History, bound: Bound) -> Vec<&'static str> {
-    check(history, bound).into_iter().map(|finding| finding.check).collect()
+fn failed_checks(history: &History, fault_bound: FaultBound) -> Vec<&'static str> {
+    check(history, fault_bound).into_iter().map(|finding| finding.check).collect()
 }
 
 #[gtest]
-fn given_a_history_that_keeps_all_rules_then_nothing_is_found() {
-    expect_that!(names(&sound(), Bound::Within), is_empty());
-    expect_that!(names(&History::default(), Bound::Within), is_empty());
-    // Two contents of an overtaken number may both be acknowledged: neither is in force.
-    let mut history = sound();
-    history.orders.extend([order(6, true, 80), order(6, true, 80)]);
-    history.answers.extend([answer(4, 80, 85, 200), answer(5, 80, 85, 200)]);
-    expect_that!(names(&history, Bound::Within), is_empty());
-    // Put off is not refused.
-    history.answers.extend([answer(2, 90, 91, 429), answer(2, 90, 91, 408), answer(2, 90, 91, 503)]);
-    expect_that!(names(&history, Bound::Within), is_empty());
+fn given_a_valid_history_then_no_check_fails() {
+    expect_that!(failed_checks(&valid_history(), FaultBound::WithinTolerance), is_empty());
+    expect_that!(failed_checks(&History::default(), FaultBound::WithinTolerance), is_empty());
+    // Two contents of a superseded version may both be acknowledged, as neither is in force.
+    let mut history = valid_history();
+    history.updates.extend([update(6, true, 80), update(6, true, 80)]);
+    history.responses.extend([response(4, 80, 85, 200), response(5, 80, 85, 200)]);
+    expect_that!(failed_checks(&history, FaultBound::WithinTolerance), is_empty());
+    // Retryable statuses are not rejections.
+    history.responses.extend([response(2, 90, 91, 429), response(2, 90, 91, 408), response(2, 90, 91, 503)]);
+    expect_that!(failed_checks(&history, FaultBound::WithinTolerance), is_empty());
 }
 
 #[gtest]
-fn given_a_forged_history_for_each_rule_then_that_rule_is_named() {
-    let forge = |edit: fn(&mut History)| {
-        let mut history = sound();
+fn given_a_history_that_violates_a_check_then_that_check_fails() {
+    let check_edited = |edit: fn(&mut History)| {
+        let mut history = valid_history();
         edit(&mut history);
-        names(&history, Bound::Wild)
+        failed_checks(&history, FaultBound::Unlimited)
     };
-    let forged: Vec<(&str, Vec<&'static str>)> = vec![
-        ("one-content", forge(|history| history.answers[1] = answer(1, 12, 22, 200))),
-        ("two-verdicts", forge(|history| history.answers.push(answer(0, 80, 85, 409)))),
-        ("refused-without-rival", forge(|history| history.answers[3] = answer(2, 40, 50, 409))),
-        ("invalid-acknowledged", forge(|history| history.answers.push(answer(3, 70, 75, 200)))),
-        ("refused-in-force", forge(|history| history.reads[0] = read(5, Some(1), 21, 25))),
-        ("refused-in-force", forge(|history| history.reads.push(read(8, Some(3), 70, 75)))),
-        ("read-unknown", forge(|history| history.reads.push(read(9, None, 70, 75)))),
-        ("read-unknown", forge(|history| history.reads[1] = read(7, Some(2), 30, 35))),
-        ("read-stale", forge(|history| history.reads.push(read(5, Some(0), 51, 55)))),
-        ("read-stale", forge(|history| history.reads.push(read(5, Some(0), 56, 60)))),
-        ("went-back", forge(|history| history.seen.push(seen(1, 90, 5)))),
-        ("one-lead", forge(|history| history.leads.push(("s".to_owned(), 2, "i-s2".to_owned())))),
-        ("fence", forge(|history| history.posts.push(post(0, 1, Some(200))))),
-        ("fence", forge(|history| history.posts.push(post(0, 2, Some(200))))),
+    let cases: Vec<(&str, Vec<&'static str>)> = vec![
+        ("one-content", check_edited(|history| history.responses[1] = response(1, 12, 22, 200))),
+        ("two-verdicts", check_edited(|history| history.responses.push(response(0, 80, 85, 409)))),
+        ("refused-without-rival", check_edited(|history| history.responses[3] = response(2, 40, 50, 409))),
+        ("invalid-acknowledged", check_edited(|history| history.responses.push(response(3, 70, 75, 200)))),
+        ("refused-in-force", check_edited(|history| history.reads[0] = read(5, Some(1), 21, 25))),
+        ("refused-in-force", check_edited(|history| history.reads.push(read(8, Some(3), 70, 75)))),
+        ("read-unknown", check_edited(|history| history.reads.push(read(9, None, 70, 75)))),
+        ("read-unknown", check_edited(|history| history.reads[1] = read(7, Some(2), 30, 35))),
+        ("read-stale", check_edited(|history| history.reads.push(read(5, Some(0), 51, 55)))),
+        ("read-stale", check_edited(|history| history.reads.push(read(5, Some(0), 56, 60)))),
+        ("went-back", check_edited(|history| history.observed_versions.push(observed(1, 90, 5)))),
+        ("one-lead", check_edited(|history| history.primaries.push(("s".to_owned(), 2, "i-s2".to_owned())))),
+        ("fence", check_edited(|history| history.platform_calls.push(platform_call(0, 1, Some(200))))),
+        ("fence", check_edited(|history| history.platform_calls.push(platform_call(0, 2, Some(200))))),
     ];
-    for (rule, found) in &forged {
-        expect_that!(found, contains(eq(rule)), "{rule}");
+    for (check, found) in &cases {
+        expect_that!(found, contains(eq(check)), "{check}");
     }
-    // None was forgotten.
-    for (rule, _) in CHECKS {
-        expect_that!(forged.iter().any(|(forged, _)| *forged == rule), eq(true), "{rule}");
+    // Every check has a case.
+    for (check, _) in CHECKS {
+        expect_that!(cases.iter().any(|(case, _)| *case == check), eq(true), "{check}");
     }
 }
 
 #[gtest]
-fn given_rules_of_statements_then_the_oracle_names_each_and_so_does_the_check() {
+fn given_statement_violations_or_recovery_failures_then_findings_carry_their_names() {
     let log = |tags: &[&str]| -> Vec<Entry> {
         let write = |tag: &&str| Write { tag: (*tag).to_owned(), thing: "k".to_owned(), data: "d".to_owned() };
         tags.iter()
             .map(|tag| Entry { pos: wv_wire_protocol::LogPosition { term: 1, number: 1 }, write: write(tag) })
             .collect()
     };
-    let broken = |acked: &[&str], promised: &[&str], tags: &[&str]| {
+    let violations = |acknowledged: &[&str], rejected: &[&str], tags: &[&str]| {
         let mut oracle = Oracle::default();
-        acked.iter().for_each(|tag| oracle.ack((*tag).to_owned(), 5));
-        promised.iter().for_each(|tag| {
+        acknowledged.iter().for_each(|tag| oracle.ack((*tag).to_owned(), 5));
+        rejected.iter().for_each(|tag| {
             oracle.promised.insert((*tag).to_owned(), 5);
         });
         oracle.judge(&log(tags));
-        let history = History { statements: oracle.broken, ..History::default() };
-        names(&history, Bound::Wild)
+        let history = History { statement_violations: oracle.broken, ..History::default() };
+        failed_checks(&history, FaultBound::Unlimited)
     };
-    expect_that!(broken(&["q1"], &["q2"], &["q1"]), is_empty());
-    expect_that!(broken(&["q1"], &[], &[]), elements_are![eq(&"LOST")]);
-    expect_that!(broken(&["q1"], &[], &["q1", "q1"]), elements_are![eq(&"TWICE")]);
-    expect_that!(broken(&[], &["q2"], &["q2"]), elements_are![eq(&"REFUSED")]);
-    for rule in ["STALE", "PINNED", "MIXED"] {
-        let history = History { statements: vec![format!("{rule}: q1")], ..History::default() };
-        expect_that!(names(&history, Bound::Wild), elements_are![eq(&rule)]);
+    expect_that!(violations(&["q1"], &["q2"], &["q1"]), is_empty());
+    expect_that!(violations(&["q1"], &[], &[]), elements_are![eq(&"LOST")]);
+    expect_that!(violations(&["q1"], &[], &["q1", "q1"]), elements_are![eq(&"TWICE")]);
+    expect_that!(violations(&[], &["q2"], &["q2"]), elements_are![eq(&"REFUSED")]);
+    for check in ["STALE", "PINNED", "MIXED"] {
+        let history = History { statement_violations: vec![format!("{check}: q1")], ..History::default() };
+        expect_that!(failed_checks(&history, FaultBound::Unlimited), elements_are![eq(&check)]);
     }
-    let calm = Calm { check: "not-served", text: String::new() };
-    let history = History { calm: vec![calm], ..History::default() };
-    expect_that!(names(&history, Bound::Beyond), elements_are![eq(&"not-served")]);
-    expect_that!(names(&history, Bound::Wild), is_empty());
+    let failure = RecoveryFailure { check: "not-served", text: String::new() };
+    let history = History { recovery_failures: vec![failure], ..History::default() };
+    expect_that!(failed_checks(&history, FaultBound::BeyondTolerance), elements_are![eq(&"not-served")]);
+    expect_that!(failed_checks(&history, FaultBound::Unlimited), is_empty());
 }
 
-/// What is found of a fleet in which more was lost for ever than the day admits to.
-fn left_broken(events: &str) -> Vec<&'static str> {
-    let day = Day::parse(&format!("nemesis seed=3 access=2 core=3 thin=0 bound=within\n{events}"));
-    day.map(|day| names(&play(&day), day.bound)).unwrap_or_default()
+/// The checks that fail after events that exceed the fault bound of the schedule for good.
+fn run_unrecoverable(events: &str) -> Vec<&'static str> {
+    let schedule = Schedule::parse(&format!("nemesis seed=3 access=2 core=3 thin=0 bound=within\n{events}"));
+    schedule.map(|schedule| failed_checks(&run(&schedule), schedule.fault_bound)).unwrap_or_default()
 }
 
 #[gtest]
-fn given_a_fleet_that_lost_all_its_disks_then_the_calm_at_the_end_names_what_is_missing() {
-    let found = left_broken("0.100 wipe c0 c1 c2 for 0.100\n0.300 order c0");
-    for rule in ["late-acknowledged", "not-read", "not-settled", "order-open"] {
-        expect_that!(found, contains(eq(&rule)), "{rule} in {found:?}");
+fn given_a_fleet_that_lost_all_disks_then_the_recovery_checks_fail() {
+    let found = run_unrecoverable("0.100 wipe c0 c1 c2 for 0.100\n0.300 order c0");
+    for check in ["late-acknowledged", "not-read", "not-settled", "order-open"] {
+        expect_that!(found, contains(eq(&check)), "{check} in {found:?}");
     }
 }
 
 #[gtest]
-fn given_nodes_that_hear_nothing_for_too_long_then_the_calm_at_the_end_names_what_is_late() {
-    let found = left_broken("0.100 rift a0 c0 c1 c2");
+fn given_a_partition_that_never_heals_then_the_recovery_checks_fail() {
+    let found = run_unrecoverable("0.100 rift a0 c0 c1 c2");
     expect_that!(found, contains(eq(&"late-in-force")), "{found:?}");
-    let found = left_broken("0.100 rift s0 a0 a1");
+    let found = run_unrecoverable("0.100 rift s0 a0 a1");
     expect_that!(found, contains(eq(&"not-served")), "{found:?}");
 }
