--- a/crates/windvalve/src/fuzz.rs
+++ b/crates/windvalve/src/fuzz.rs
@@ -4,20 +4,20 @@
 use clap::ArgMatches;
 use std::sync::atomic::{AtomicU64, Ordering};
 use wv_replay::{search_seeds, NemesisRun, SeedSearch};
-use wv_simulation::nemesis::Day;
+use wv_simulation::nemesis::Schedule;
 
 /// Number of scenarios between two progress lines.
 const PROGRESS_INTERVAL: u64 = 100;
 
 /// Whether the file holds a fault scenario, determined by its first word outside of comments.
 pub fn is_scenario(path: &str) -> Result<bool, MainError> {
-    Ok(Day::is_one(&String::from_utf8_lossy(&read(path)?)))
+    Ok(Schedule::is_schedule(&String::from_utf8_lossy(&read(path)?)))
 }
 
 /// Replays a fault scenario.
 pub fn play(args: &ArgMatches, path: &str) -> Result<(), MainError> {
     let body = String::from_utf8_lossy(&read(path)?).into_owned();
-    let day = Day::parse(&body).map_err(|error| MainError::Scenario(path.to_owned(), error))?;
+    let day = Schedule::parse(&body).map_err(|error| MainError::Scenario(path.to_owned(), error))?;
     let outcome = NemesisRun::play(&day);
     if args.get_flag("json") {
         println!("{}", outcome.to_json());
@@ -41,13 +41,14 @@
         return Err(MainError::Write(path.to_owned(), error));
     }
     let done_count = AtomicU64::new(0);
-    let failures = search_seeds(&SeedSearch { count: days, first_seed: seed as u64, threads: jobs }, |seed, finding| {
-        let done = done_count.fetch_add(1, Ordering::Relaxed) + 1;
-        finding.into_iter().for_each(|finding| eprintln!("seed {seed}: {}: {}", finding.check, finding.text));
-        if done.is_multiple_of(PROGRESS_INTERVAL) || done == days {
-            eprintln!("{done} of {days} days done");
-        }
-    });
+    let failures =
+        search_seeds(&SeedSearch { count: days, first_seed: seed as u64, threads: jobs }, |seed, finding| {
+            let done = done_count.fetch_add(1, Ordering::Relaxed) + 1;
+            finding.into_iter().for_each(|finding| eprintln!("seed {seed}: {}: {}", finding.check, finding.text));
+            if done.is_multiple_of(PROGRESS_INTERVAL) || done == days {
+                eprintln!("{done} of {days} days done");
+            }
+        });
     let Some(first) = failures.first() else {
         println!("{days} days from seed {seed} on: no rule broken");
         return Ok(());
--- a/crates/wv-replay/src/seed_search.rs
+++ b/crates/wv-replay/src/seed_search.rs
@@ -1,5 +1,5 @@
 //! Random fault-injection search: plays nemesis schedules generated from seeds and minimizes one that fails.
-use wv_simulation::nemesis::{check, draw, play, shrink, Day, Finding, History};
+use wv_simulation::nemesis::{check, generate, run, shrink, Finding, History, Schedule};
 
 /// The range of seeds to try, and the number of threads.
 #[derive(Clone, Copy, Debug)]
@@ -24,8 +24,8 @@
         let seeds =
             (search.first_seed..search.first_seed.saturating_add(search.count)).filter(|seed| seed % threads == thread);
         let failures = seeds.filter_map(|seed| {
-            let day = draw(seed);
-            let finding = check(&play(&day), day.bound).into_iter().next();
+            let day = generate(seed);
+            let finding = check(&run(&day), day.fault_bound).into_iter().next();
             on_result(seed, finding.as_ref());
             finding.map(|finding| SeedFailure { seed, finding })
         });
@@ -41,8 +41,8 @@
 
 /// Minimizes the schedule of a seed while it still violates the same invariant, and returns it as file text. `None` if
 /// the schedule violates none.
-pub fn minimize_seed(seed: u64, on_step: impl FnMut(&Day)) -> Option<String> {
-    let (day, finding) = shrink(&draw(seed), on_step)?;
+pub fn minimize_seed(seed: u64, on_step: impl FnMut(&Schedule)) -> Option<String> {
+    let (day, finding) = shrink(&generate(seed), on_step)?;
     Some(format!("# {}: {}\n{day}", finding.check, finding.text.replace('\n', " ")))
 }
 
@@ -53,25 +53,25 @@
 }
 
 impl NemesisRun {
-    pub fn play(day: &Day) -> NemesisRun {
-        let history = play(day);
-        let findings = check(&history, day.bound);
+    pub fn play(day: &Schedule) -> NemesisRun {
+        let history = run(day);
+        let findings = check(&history, day.fault_bound);
         NemesisRun { history, findings }
     }
 
     pub fn to_text(&self) -> String {
         let mut out = String::new();
-        for (at, text) in &self.history.course {
+        for (at, text) in &self.history.timeline {
             out.push_str(&format!("{:>10.3}  {text}\n", *at as f64 / 1e6));
         }
-        for answer in &self.history.answers {
-            let order = &self.history.orders[answer.order];
+        for answer in &self.history.responses {
+            let order = &self.history.updates[answer.update];
             let valid = if order.is_valid { "order" } else { "invalid order" };
-            let (sent, heard) = (answer.sent as f64 / 1e6, answer.heard as f64 / 1e6);
-            let (number, status) = (order.number, answer.status);
+            let (sent, heard) = (answer.sent_us as f64 / 1e6, answer.received_us as f64 / 1e6);
+            let (number, status) = (order.version, answer.status);
             out.push_str(&format!(
                 "{heard:>10.3}  {valid} {number} (content {}), sent at {sent:.3}, is answered with {status} by {}\n",
-                answer.order, answer.control
+                answer.update, answer.control
             ));
         }
         let History { done, failed, .. } = self.history;
@@ -90,7 +90,7 @@
         let line = |(at, text): &(u64, String)| serde_json::json!({"at_us": at, "text": text});
         let broken = |found: &Finding| serde_json::json!({"check": found.check, "text": found.text});
         serde_json::json!({
-            "timeline": self.history.course.iter().map(line).collect::<Vec<_>>(),
+            "timeline": self.history.timeline.iter().map(line).collect::<Vec<_>>(),
             "done": self.history.done, "failed": self.history.failed,
             "broken": self.findings.iter().map(broken).collect::<Vec<_>>(),
         })
