--- a/crates/windvalve/src/recording.rs
+++ b/crates/windvalve/src/recording.rs
@@ -49,7 +49,8 @@
     let all = args.get_many::<String>("offset").unwrap_or_default();
     let parse = |text: &String| {
         let pair = text.split_once('=').and_then(|(node, seconds)| Some((node, seconds.parse::<f64>().ok()?)));
-        let invalid = || MainError::Recording(RecordingError::Invalid(format!("--offset {text}: expected NODE=SECONDS")));
+        let invalid =
+            || MainError::Recording(RecordingError::Invalid(format!("--offset {text}: expected NODE=SECONDS")));
         pair.map(|(node, seconds)| (node.to_owned(), (seconds * 1e6) as i64)).ok_or_else(invalid)
     };
     all.map(parse).collect()
--- a/crates/wv-replay/src/scenario_player.rs
+++ b/crates/wv-replay/src/scenario_player.rs
@@ -76,7 +76,10 @@
         return Err(ReplayError::Unknown { line: 0, kind: "service", name: name.to_owned() });
     }
     let mut world = World::of(scenario.access_nodes, scenario.control_nodes, &scenario.services);
-    let plan = wv_slow_start::SlowStartConfig { is_enabled: scenario.is_slow_start_on, ..wv_slow_start::SlowStartConfig::default() };
+    let plan = wv_slow_start::SlowStartConfig {
+        is_enabled: scenario.is_slow_start_on,
+        ..wv_slow_start::SlowStartConfig::default()
+    };
     world.set_ease(plan);
     // Scenario time starts once the fleet has formed.
     world.run(2_000_000);
