--- a/crates/wv-replay/src/hour.rs
+++ b/crates/wv-replay/src/hour.rs
@@ -3,7 +3,7 @@
 //! `recording 1 NAME=VALUE …`, then `SECONDS open CLIENT HOST bounded|primary SERVICE`, `SECONDS ask CLIENT
 //! read|write|txn:STATEMENTS:r|w`, `SECONDS close CLIENT`, and last `end COUNT`. Merged, a client is `NODE/CLIENT`.
 use std::collections::BTreeMap;
-use wv_simulation::Kind;
+use wv_simulation::RequestKind;
 
 pub const VERSION: u32 = 1;
 const LINES_MAX: usize = 40_000_000;
@@ -37,7 +37,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum Entry {
     Open { host: String, is_bounded: bool, service: String },
-    Ask(Kind),
+    Ask(RequestKind),
     Close,
 }
 
@@ -57,10 +57,10 @@
     pub events: Vec<Noted>,
 }
 
-fn kind(word: &str) -> Option<Kind> {
+fn kind(word: &str) -> Option<RequestKind> {
     match word {
-        "read" => Some(Kind::Read),
-        "write" => Some(Kind::Write),
+        "read" => Some(RequestKind::Read),
+        "write" => Some(RequestKind::Write),
         _ => {
             let mut parts = word.strip_prefix("txn:")?.split(':');
             let statements = parts.next()?.parse().ok().filter(|count| (1..=100).contains(count))?;
@@ -69,16 +69,16 @@
                 "r" => false,
                 _ => return None,
             };
-            parts.next().is_none().then_some(Kind::Txn { statements, writes })
+            parts.next().is_none().then_some(RequestKind::Txn { statements, writes })
         }
     }
 }
 
-pub fn kind_text(kind: Kind) -> String {
+pub fn kind_text(kind: RequestKind) -> String {
     match kind {
-        Kind::Read => "read".to_owned(),
-        Kind::Write => "write".to_owned(),
-        Kind::Txn { statements, writes } => format!("txn:{statements}:{}", if writes { "w" } else { "r" }),
+        RequestKind::Read => "read".to_owned(),
+        RequestKind::Write => "write".to_owned(),
+        RequestKind::Txn { statements, writes } => format!("txn:{statements}:{}", if writes { "w" } else { "r" }),
     }
 }
 
--- a/crates/wv-replay/src/make.rs
+++ b/crates/wv-replay/src/make.rs
@@ -1,6 +1,6 @@
 //! Busy hours made up for the two kinds of users, named as generated.
 use crate::hour::{Entry, Hour, HourError, Noted};
-use wv_simulation::{Kind, Luck};
+use wv_simulation::{RequestKind, Rng};
 
 /// What to make.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     let users = USERS.iter().find(|(name, _)| *name == recipe.users).map(|(_, users)| users);
     let unknown = || HourError::Setting(format!("--generate {}: expected couriers or cadastre", recipe.users));
     let users = users.ok_or_else(unknown)?;
-    let mut luck = Luck::new(recipe.seed);
+    let mut luck = Rng::new(recipe.seed);
     let mut events: Vec<Noted> = Vec::new();
     let end = recipe.seconds * 1_000_000;
     let mut sessions: Vec<(String, bool, u64, u64)> = Vec::new();
@@ -88,13 +88,13 @@
             continue;
         }
         let kind = match luck.below(100) {
-            draw if *is_bounded && draw < 10 => Kind::Txn { statements: 2, writes: false },
-            _ if *is_bounded => Kind::Read,
-            draw if draw < users.writes => Kind::Write,
+            draw if *is_bounded && draw < 10 => RequestKind::Txn { statements: 2, writes: false },
+            _ if *is_bounded => RequestKind::Read,
+            draw if draw < users.writes => RequestKind::Write,
             draw if draw < users.writes + users.txns => {
-                Kind::Txn { statements: 2 + luck.below(4) as u8, writes: luck.below(10) < 8 }
+                RequestKind::Txn { statements: 2 + luck.below(4) as u8, writes: luck.below(10) < 8 }
             }
-            _ => Kind::Read,
+            _ => RequestKind::Read,
         };
         events.push(Noted { at_us, client: client.clone(), entry: Entry::Ask(kind) });
     }
--- a/crates/wv-replay/src/play.rs
+++ b/crates/wv-replay/src/play.rs
@@ -1,5 +1,5 @@
 use crate::{Day, Event, ReplayError, What};
-use wv_simulation::World;
+use wv_simulation::Simulation;
 
 /// After the last event the fleet is given this long.
 const AFTER_US: u64 = 3_000_000;
@@ -55,7 +55,7 @@
 }
 
 struct Player {
-    world: World,
+    world: Simulation,
     clients: std::collections::BTreeMap<String, usize>,
     shown: Vec<String>,
     lines: Vec<Line>,
@@ -68,9 +68,9 @@
     if let Some(name) = service.filter(|name| !day.services.iter().any(|held| held == name)) {
         return Err(ReplayError::Unknown { line: 0, kind: "service", name: name.to_owned() });
     }
-    let mut world = World::of(day.access, day.control, &day.services);
+    let mut world = Simulation::with_services(day.access, day.control, &day.services);
     let plan = wv_slow_start::Plan { is_on: day.is_eased, ..wv_slow_start::Plan::default() };
-    world.set_ease(plan);
+    world.set_slow_start(plan);
     // The day's time begins when the fleet has found itself.
     world.run(2_000_000);
     let start = world.now;
@@ -102,11 +102,11 @@
 
     /// What changed since the last look becomes lines.
     fn look(&mut self) {
-        let noted: Vec<(u64, String)> = self.world.course[self.noted..].to_vec();
-        self.noted = self.world.course.len();
+        let noted: Vec<(u64, String)> = self.world.event_log[self.noted..].to_vec();
+        self.noted = self.world.event_log.len();
         let start = self.start;
         self.lines.extend(noted.into_iter().map(|(at, text)| Line { at_us: at.saturating_sub(start), text }));
-        let shown = self.world.states();
+        let shown = self.world.status_lines();
         let changed: Vec<String> = shown.iter().filter(|state| !self.shown.contains(state)).cloned().collect();
         changed.into_iter().for_each(|state| self.line(state));
         self.shown = shown;
@@ -116,7 +116,7 @@
             .map(|(name, at)| (name.clone(), *at))
             .collect::<Vec<_>>()
             .into_iter()
-            .map(|(name, at)| (name, self.world.take(at)))
+            .map(|(name, at)| (name, self.world.take_lines(at)))
             .collect();
         for (name, lines) in heard {
             lines.into_iter().for_each(|line| self.line(format!("{name} hears {line}")));
@@ -125,7 +125,11 @@
 
     fn database(&self, event: &Event, name: &str) -> Result<usize, ReplayError> {
         let id = format!("i-{name}");
-        self.world.base(&id).ok_or(ReplayError::Unknown { line: event.line, kind: "database", name: name.to_owned() })
+        self.world.database_index(&id).ok_or(ReplayError::Unknown {
+            line: event.line,
+            kind: "database",
+            name: name.to_owned(),
+        })
     }
 
     fn node(&self, event: &Event, name: &str, kind: &'static str) -> Result<usize, ReplayError> {
@@ -139,7 +143,7 @@
 
     /// The name under which cuts know a node or a database.
     fn end(&self, event: &Event, name: &str) -> Result<String, ReplayError> {
-        self.database(event, name).map(|at| self.world.bases[at].id.clone()).or_else(|_| {
+        self.database(event, name).map(|at| self.world.databases[at].id.clone()).or_else(|_| {
             let kind = if name.starts_with('c') { "control node" } else { "access node" };
             self.node(event, name, kind).map(|_| name.to_owned())
         })
@@ -151,28 +155,32 @@
             what => self.line(format!("day: {}", format!("{what:?}").to_lowercase())),
         }
         match &event.what {
-            What::Conf(version) => self.put(&World::conf_of(*version, &day.services)),
+            What::Conf(version) => self.put(&Simulation::config_for(*version, &day.services)),
             What::Put(body) => self.put(body.as_bytes()),
-            What::Load { route, count } => self.world.load(*count, route),
+            What::Load { route, count } => self.world.start_load(*count, route),
             What::Stop => self.world.stop_load(),
             What::Crash(db) => self.database(event, db).map(|at| self.world.crash(at))?,
-            What::Dark(db) => self.database(event, db).map(|at| self.world.darken(at))?,
+            What::Dark(db) => self.database(event, db).map(|at| self.world.make_unreachable(at))?,
             What::Revive(db) => self.database(event, db).map(|at| self.world.revive(at))?,
-            What::Drain(db) => self.database(event, db).map(|at| self.world.bases[at].is_draining = true)?,
+            What::Drain(db) => self.database(event, db).map(|at| self.world.databases[at].is_draining = true)?,
             What::Leave(db) => {
                 let at = self.database(event, db)?;
-                self.world.bases[at].is_left = true;
+                self.world.databases[at].is_removed = true;
                 self.world.crash(at);
             }
-            What::Deaf(db) => self.database(event, db).map(|at| self.world.bases[at].is_deaf = true)?,
-            What::Hear(db) => self.database(event, db).map(|at| self.world.bases[at].is_deaf = false)?,
-            What::Lag { db, ms } => self.database(event, db).map(|at| self.world.bases[at].apply_lag = ms * 1000)?,
-            What::Lose { db, count } => self.database(event, db).map(|at| self.world.bases[at].lose = *count)?,
+            What::Deaf(db) => self.database(event, db).map(|at| self.world.databases[at].is_log_blocked = true)?,
+            What::Hear(db) => self.database(event, db).map(|at| self.world.databases[at].is_log_blocked = false)?,
+            What::Lag { db, ms } => {
+                self.database(event, db).map(|at| self.world.databases[at].apply_lag_us = ms * 1000)?
+            }
+            What::Lose { db, count } => {
+                self.database(event, db).map(|at| self.world.databases[at].lost_replies = *count)?
+            }
             What::Congest { db, is_on } => {
-                self.database(event, db).map(|at| self.world.bases[at].is_congested = *is_on)?;
+                self.database(event, db).map(|at| self.world.databases[at].is_congested = *is_on)?;
             }
             What::Bears { db, count } => {
-                self.database(event, db).map(|at| self.world.bases[at].bears = Some(*count))?
+                self.database(event, db).map(|at| self.world.databases[at].busy_limit = Some(*count))?
             }
             What::Kill(name) if name.starts_with('a') => {
                 self.node(event, name, "access node").map(|at| self.world.kill_access(at))?;
@@ -184,30 +192,30 @@
             What::Start(name) => {
                 self.node(event, name, "control node").map(|at| self.world.start_control(at, false))?;
             }
-            What::Term(name) => self.node(event, name, "access node").map(|at| self.world.term_access(at))?,
+            What::Term(name) => self.node(event, name, "access node").map(|at| self.world.terminate_access(at))?,
             What::Wipe(name) => {
                 let at = self.node(event, name, "control node")?;
                 self.world.controls[at].files.files.borrow_mut().clear();
             }
             What::Cut(one, other) => {
                 let pair = (self.end(event, one)?, self.end(event, other)?);
-                self.world.cut.insert(pair);
+                self.world.dropped_links.insert(pair);
             }
             What::Join(one, other) => {
                 let (one, other) = (self.end(event, one)?, self.end(event, other)?);
-                self.world.cut.remove(&(one.clone(), other.clone()));
-                self.world.cut.remove(&(other, one));
+                self.world.dropped_links.remove(&(one.clone(), other.clone()));
+                self.world.dropped_links.remove(&(other, one));
             }
             What::Platform { is_up } => self.world.is_platform_down = !is_up,
             What::Client { name, node, route } => {
                 let at = self.node(event, node, "access node")?;
-                let client = self.world.client(at, route);
+                let client = self.world.open_client(at, route);
                 self.clients.insert(name.clone(), client);
             }
             What::Say { name, text } => {
                 let unknown = ReplayError::Unknown { line: event.line, kind: "client", name: name.clone() };
                 let client = self.clients.get(name).copied().ok_or(unknown)?;
-                self.world.say(client, text);
+                self.world.send_line(client, text);
             }
         }
         Ok(())
@@ -217,14 +225,14 @@
         let up = (0..self.world.controls.len()).find(|at| self.world.controls[*at].core.is_some());
         let token = up.map_or(0, |at| self.world.call(at, "PUT", "/configuration", body));
         self.world.run(300_000);
-        let status = self.world.returns.get(&token).map_or("no return".to_owned(), |ret| ret.0.to_string());
+        let status = self.world.responses.get(&token).map_or("no return".to_owned(), |ret| ret.0.to_string());
         self.line(format!("configuration: {status}"));
     }
 
     fn report(mut self, service: Option<&str>, services: &[String]) -> Report {
-        let broken = self.world.judge();
+        let broken = self.world.check_rules();
         self.lines.sort_by_key(|line| line.at_us);
-        let (done, failed) = self.world.load_done();
+        let (done, failed) = self.world.load_counts();
         let others = services.iter().filter(|name| service.is_some_and(|wanted| wanted != name.as_str()));
         let hidden: Vec<String> = others.map(|name| format!("i-{name}")).collect();
         self.lines.retain(|line| !hidden.iter().any(|id| line.text.contains(id.as_str())));
@@ -232,8 +240,8 @@
             lines: self.lines,
             done,
             failed,
-            unsure: self.world.oracle.unsure,
-            promotions: self.world.posts.iter().filter(|post| post.3 == Some(200)).count(),
+            unsure: self.world.oracle.indeterminate,
+            promotions: self.world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count(),
             broken,
         }
     }
--- a/crates/wv-replay/src/rerun.rs
+++ b/crates/wv-replay/src/rerun.rs
@@ -2,7 +2,7 @@
 use crate::hour::{Entry, Hour, HourError};
 use crate::tally::{Tally, Told};
 use std::collections::BTreeMap;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// The fleet finds itself before the hour begins.
 const BEFORE_US: u64 = 4 * S;
@@ -59,7 +59,7 @@
 }
 
 struct Player<'a> {
-    world: World,
+    world: Simulation,
     nodes: Vec<String>,
     course: &'a Course,
     start: u64,
@@ -81,13 +81,13 @@
     if nodes.is_empty() || services.is_empty() {
         return Err(HourError::Setting("the recording names no nodes, or nobody came in it".to_owned()));
     }
-    let mut world = World::of(nodes.len(), course.controls, &services);
-    (world.things, world.luck) = (10_000, wv_simulation::Luck::new(course.seed));
-    world.bases.iter_mut().for_each(|base| base.work_us = course.work_us);
+    let mut world = Simulation::with_services(nodes.len(), course.controls, &services);
+    (world.key_count, world.rng) = (10_000, wv_simulation::Rng::new(course.seed));
+    world.databases.iter_mut().for_each(|base| base.statement_us = course.work_us);
     world.run(2 * S);
-    let token = world.call(0, "PUT", "/configuration", &World::conf_of(1, &services));
+    let token = world.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
     world.run(BEFORE_US - 2 * S);
-    if world.returns.get(&token).map(|ret| ret.0) != Some(200) {
+    if world.responses.get(&token).map(|ret| ret.0) != Some(200) {
         return Err(HourError::Setting("the fleet of the replay did not come up".to_owned()));
     }
     let start = world.now;
@@ -97,10 +97,10 @@
     let end = player.enter(hour, &services)?;
     player.play(&targets, end);
     let names = hour.head.get("kinds").cloned().unwrap_or_default();
-    let hour = std::mem::take(&mut player.world.hour);
-    let broken = player.world.judge();
-    let promotions = player.world.posts.iter().filter(|post| post.3 == Some(200)).count();
-    let unsure = player.world.oracle.unsure;
+    let hour = std::mem::take(&mut player.world.workload);
+    let broken = player.world.check_rules();
+    let promotions = player.world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count();
+    let unsure = player.world.oracle.indeterminate;
     let context =
         crate::tally::Context { nodes: player.nodes, start, told: player.told, names, browse_us: course.browse_us };
     Ok(Tally::new(hour, context, broken, promotions, unsure))
@@ -113,10 +113,10 @@
             name.strip_prefix(letter).and_then(|rest| rest.parse::<usize>().ok()).filter(|at| *at < count)
         };
         let access = self.nodes.iter().position(|node| node == name).map(Target::Access);
-        let base = || self.world.base(&format!("i-{name}")).map(Target::Base);
+        let base = || self.world.database_index(&format!("i-{name}")).map(Target::Base);
         let found = access.or_else(base).or_else(|| numbered('c', self.world.controls.len()).map(Target::Control));
         found.ok_or_else(|| {
-            let bases = self.world.bases.iter().map(|base| &base.id[2..]).collect::<Vec<&str>>();
+            let bases = self.world.databases.iter().map(|base| &base.id[2..]).collect::<Vec<&str>>();
             let text = format!(
                 "there is no {name:?}; access nodes are {}, control nodes c0 to c{}, databases {}",
                 self.nodes[..self.nodes.len().min(NAMED_MAX)].join(" "),
@@ -135,7 +135,7 @@
             return Err(HourError::Setting(format!("line 1: deadlines={deadlines}: expected MS,MS")));
         };
         let (from, until) = (self.course.from_us, self.course.until_us);
-        let mut made = wv_simulation::Hour::default();
+        let mut made = wv_simulation::Workload::default();
         let mut sessions: BTreeMap<&str, (usize, bool)> = BTreeMap::new();
         let (mut enters, mut leaves, mut end) = (Vec::new(), Vec::new(), self.start);
         let node_of = |client: &str| {
@@ -152,7 +152,7 @@
                     let route = if *is_bounded { "b" } else { "p" };
                     let is_first = services.first() == Some(service);
                     let host = if is_first { route.to_owned() } else { format!("{route}.{service}") };
-                    let session = made.session(home, &host, *is_bounded);
+                    let session = made.add_session(home, &host, *is_bounded);
                     sessions.insert(&noted.client, (session, *is_bounded));
                     enters.push((at, session));
                 }
@@ -164,14 +164,14 @@
                 Entry::Ask(kind) if noted.at_us >= from => {
                     if let Some((session, is_bounded)) = sessions.get(noted.client.as_str()).copied() {
                         let limit = at + if is_bounded { browse } else { work } * MS;
-                        made.op(at, session, *kind, limit);
+                        made.add_request(at, session, *kind, limit);
                         end = end.max(limit);
                     }
                 }
                 Entry::Ask(_) => {}
             }
         }
-        self.world.play_hour(made, &enters, &leaves);
+        self.world.play_workload(made, &enters, &leaves);
         Ok(end)
     }
 
@@ -219,7 +219,7 @@
             }
             Target::Control(which) => self.world.kill_control(which),
             Target::Base(which) => {
-                let base = &self.world.bases[which];
+                let base = &self.world.databases[which];
                 service = base.is_primary.then(|| base.service.clone());
                 self.world.crash(which);
             }
@@ -240,8 +240,8 @@
     /// is up follows a control node that is up.
     fn is_taken_over(&self, told: &Told) -> bool {
         let is_led = told.service.as_ref().is_none_or(|service| {
-            self.world.bases.iter().any(|base| base.service == *service && base.is_primary && base.is_up)
+            self.world.databases.iter().any(|base| base.service == *service && base.is_primary && base.is_up)
         });
-        is_led && self.world.is_followed() && self.world.has_moved(told.access)
+        is_led && self.world.is_access_connected() && self.world.has_moved_sessions(told.access)
     }
 }
--- a/crates/wv-replay/src/tally.rs
+++ b/crates/wv-replay/src/tally.rs
@@ -1,7 +1,7 @@
 //! What a replayed hour comes to: each request that was waiting, the times of each kind, and what was kept.
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
-use wv_simulation::{End, Hour, Kind, Op};
+use wv_simulation::{Request, RequestKind, RequestOutcome, Workload};
 
 /// Shown of those that waited, worst first, in the text; all of them in the JSON.
 const SHOWN: usize = 20;
@@ -29,7 +29,7 @@
 }
 
 pub struct Tally {
-    hour: Hour,
+    hour: Workload,
     context: Context,
     broken: Vec<String>,
     promotions: usize,
@@ -40,31 +40,31 @@
 struct Times {
     histogram: Histogram<u64>,
     outside: u64,
-    ends: BTreeMap<End, u64>,
+    ends: BTreeMap<RequestOutcome, u64>,
 }
 
-fn end_text(end: End) -> &'static str {
+fn end_text(end: RequestOutcome) -> &'static str {
     match end {
-        End::Open => "open",
-        End::Served => "served",
-        End::Refused => "refused",
-        End::Unclear => "unclear",
-        End::Hung => "HUNG",
+        RequestOutcome::Open => "open",
+        RequestOutcome::Served => "served",
+        RequestOutcome::Refused => "refused",
+        RequestOutcome::Unclear => "unclear",
+        RequestOutcome::Hung => "HUNG",
     }
 }
 
 impl Tally {
-    pub fn new(hour: Hour, context: Context, broken: Vec<String>, promotions: usize, unsure: usize) -> Tally {
+    pub fn new(hour: Workload, context: Context, broken: Vec<String>, promotions: usize, unsure: usize) -> Tally {
         Tally { hour, context, broken, promotions, unsure }
     }
 
-    fn name(&self, op: &Op) -> String {
+    fn name(&self, op: &Request) -> String {
         let is_bounded = self.hour.sessions[op.session].is_bounded;
         let key = match op.kind {
             _ if is_bounded => "browse",
-            Kind::Read => "read",
-            Kind::Write => "write",
-            Kind::Txn { .. } => "txn",
+            RequestKind::Read => "read",
+            RequestKind::Write => "write",
+            RequestKind::Txn { .. } => "txn",
         };
         let pairs = self.context.names.split(',').filter_map(|pair| pair.split_once(':'));
         let named = pairs.into_iter().find(|(name, _)| *name == key).map(|(_, name)| name);
@@ -72,11 +72,11 @@
     }
 
     /// Before the first drop, from there until survivors had taken over, or after: and which drop it was.
-    fn part(&self, op: &Op) -> &'static str {
+    fn part(&self, op: &Request) -> &'static str {
         let Some(first) = self.context.told.first() else { return "all" };
         let is_during = |told: &Told| {
             let taken = told.taken_us.unwrap_or(u64::MAX);
-            op.at < taken && (op.at >= told.at_us || op.done > told.at_us)
+            op.at < taken && (op.at >= told.at_us || op.done_us > told.at_us)
         };
         match self.context.told.iter().any(is_during) {
             true => "during",
@@ -86,38 +86,41 @@
     }
 
     /// Those that were on a dropped node or came in the takeover, worst first.
-    fn waited(&self) -> Vec<&Op> {
-        let mut ops: Vec<&Op> = self.hour.ops.iter().filter(|op| self.part(op) == "during").collect();
-        ops.sort_by_key(|op| (std::cmp::Reverse((op.end != End::Served, op.done.saturating_sub(op.at))), op.at));
+    fn waited(&self) -> Vec<&Request> {
+        let mut ops: Vec<&Request> = self.hour.requests.iter().filter(|op| self.part(op) == "during").collect();
+        ops.sort_by_key(|op| {
+            (std::cmp::Reverse((op.outcome != RequestOutcome::Served, op.done_us.saturating_sub(op.at))), op.at)
+        });
         ops
     }
 
     fn times(&self) -> BTreeMap<(String, &'static str), Times> {
         let mut all: BTreeMap<(String, &'static str), Times> = BTreeMap::new();
-        for op in &self.hour.ops {
+        for op in &self.hour.requests {
             let fresh = || Times {
                 histogram: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("fixed bounds that fit"),
                 outside: 0,
                 ends: BTreeMap::new(),
             };
             let times = all.entry((self.name(op), self.part(op))).or_insert_with(fresh);
-            let took = op.done.saturating_sub(op.at);
-            *times.ends.entry(op.end).or_default() += 1;
+            let took = op.done_us.saturating_sub(op.at);
+            *times.ends.entry(op.outcome).or_default() += 1;
             let aim = if self.hour.sessions[op.session].is_bounded { AIM_BROWSE_US } else { AIM_WORK_US };
-            times.outside += u64::from(op.end != End::Served || took > aim);
+            times.outside += u64::from(op.outcome != RequestOutcome::Served || took > aim);
             times.histogram.saturating_record(took.max(1));
         }
         all
     }
 
-    fn count(&self, end: End) -> usize {
-        self.hour.ops.iter().filter(|op| op.end == end).count()
+    fn count(&self, end: RequestOutcome) -> usize {
+        self.hour.requests.iter().filter(|op| op.outcome == end).count()
     }
 
     /// The slowest but one in a hundred of browsing, over the whole hour and in the takeover.
     fn browse_99(&self) -> u64 {
         let times = self.times();
-        let browse = self.hour.ops.iter().find(|op| self.hour.sessions[op.session].is_bounded).map(|op| self.name(op));
+        let browse =
+            self.hour.requests.iter().find(|op| self.hour.sessions[op.session].is_bounded).map(|op| self.name(op));
         let of = times.iter().filter(|((name, _), _)| Some(name) == browse.as_ref());
         of.map(|(_, times)| times.histogram.value_at_quantile(0.99)).max().unwrap_or(0)
     }
@@ -125,7 +128,7 @@
     /// What of the members' bounds did not hold.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = self.broken.clone();
-        let hung = self.count(End::Hung) + self.count(End::Open);
+        let hung = self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open);
         if hung > 0 {
             faults.push(format!("HUNG: {hung} requests were not answered in their clients' time"));
         }
@@ -140,17 +143,17 @@
         faults
     }
 
-    fn line(&self, op: &Op) -> String {
+    fn line(&self, op: &Request) -> String {
         let node = |at: Option<usize>| at.map_or("-", |at| self.context.nodes[at].as_str());
         format!(
             "{:>10.3}  {:<14} {:>7.1} ms  {:<8} {} tries, asked at {}, served by {}",
             (op.at - self.context.start) as f64 / 1e6,
             self.name(op),
-            op.done.saturating_sub(op.at) as f64 / 1e3,
-            end_text(op.end),
-            op.tries,
-            node(op.asked_at),
-            node(op.served_by)
+            op.done_us.saturating_sub(op.at) as f64 / 1e3,
+            end_text(op.outcome),
+            op.attempts,
+            node(op.asked_node),
+            node(op.served_node)
         )
     }
 
@@ -184,18 +187,18 @@
                 ms(0.99),
                 times.histogram.max() as f64 / 1e3,
                 times.outside,
-                end(End::Served),
-                end(End::Refused),
-                end(End::Unclear),
-                end(End::Hung) + end(End::Open)
+                end(RequestOutcome::Served),
+                end(RequestOutcome::Refused),
+                end(RequestOutcome::Unclear),
+                end(RequestOutcome::Hung) + end(RequestOutcome::Open)
             ));
         }
         out.push_str(&format!(
             "\nserved {}, refused with nothing kept {}, unclear {}, hung {}; promotions {}\n",
-            self.count(End::Served),
-            self.count(End::Refused),
+            self.count(RequestOutcome::Served),
+            self.count(RequestOutcome::Refused),
             self.unsure,
-            self.count(End::Hung) + self.count(End::Open),
+            self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open),
             self.promotions
         ));
         let faults = self.faults();
@@ -207,12 +210,12 @@
     }
 
     pub fn json(&self) -> String {
-        let row = |op: &Op| {
+        let row = |op: &Request| {
             let node = |at: Option<usize>| at.map(|at| self.context.nodes[at].as_str());
             serde_json::json!({
                 "at": (op.at - self.context.start) as f64 / 1e6, "kind": self.name(op), "part": self.part(op),
-                "ms": op.done.saturating_sub(op.at) as f64 / 1e3, "outcome": end_text(op.end).to_lowercase(),
-                "tries": op.tries, "askedAt": node(op.asked_at), "servedBy": node(op.served_by),
+                "ms": op.done_us.saturating_sub(op.at) as f64 / 1e3, "outcome": end_text(op.outcome).to_lowercase(),
+                "tries": op.attempts, "askedAt": node(op.asked_node), "servedBy": node(op.served_node),
             })
         };
         let drops: Vec<serde_json::Value> = self
@@ -235,8 +238,9 @@
             })
             .collect();
         let waited: Vec<serde_json::Value> = self.waited().into_iter().map(row).collect();
-        serde_json::json!({ "drops": drops, "waited": waited, "kinds": kinds, "served": self.count(End::Served),
-            "refused": self.count(End::Refused), "unclear": self.unsure, "hung": self.count(End::Hung) + self.count(End::Open),
+        serde_json::json!({ "drops": drops, "waited": waited, "kinds": kinds,
+            "served": self.count(RequestOutcome::Served), "refused": self.count(RequestOutcome::Refused),
+            "unclear": self.unsure, "hung": self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open),
             "promotions": self.promotions, "faults": self.faults() })
         .to_string()
     }
--- a/crates/wv-replay/tests/hours.rs
+++ b/crates/wv-replay/tests/hours.rs
@@ -137,31 +137,34 @@
 
 #[gtest]
 fn given_a_node_that_records_then_what_it_gives_tells_who_came_when_and_nothing_of_what_they_said() {
-    let mut world = wv_simulation::World::serving(1, 3);
+    let mut world = wv_simulation::Simulation::configured(1, 3);
     world.access[0].core.iter_mut().for_each(|core| core.set_recording(8, 77, 5_000_000));
-    let client = world.client(0, "p");
+    let client = world.open_client(0, "p");
     for text in
         ["q1 WRITE secretthing secretdata", "q2 BEGIN", "q3 READ secretthing", "q4 WRITE secretthing x", "q5 COMMIT"]
     {
-        world.say(client, &format!("QUERY {text}"));
+        world.send_line(client, &format!("QUERY {text}"));
         world.run(100 * wv_simulation::MS);
     }
-    world.leave(client);
+    world.close_client(client);
     let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, not(contains_substring("secret")));
     let hour = Hour::parse("a0", &text).expect("what a node gives can be read");
     let kinds: Vec<&Entry> = hour.events.iter().map(|noted| &noted.entry).collect();
-    let txn = wv_simulation::Kind::Txn { statements: 2, writes: true };
+    let txn = wv_simulation::RequestKind::Txn { statements: 2, writes: true };
     let opened = Entry::Open { host: "p".to_owned(), is_bounded: false, service: "s".to_owned() };
-    expect_that!(kinds, eq(&vec![&opened, &Entry::Ask(wv_simulation::Kind::Write), &Entry::Ask(txn), &Entry::Close]));
+    expect_that!(
+        kinds,
+        eq(&vec![&opened, &Entry::Ask(wv_simulation::RequestKind::Write), &Entry::Ask(txn), &Entry::Close])
+    );
     // It plays, too.
     let merged = Hour::merge(&[("a0".to_owned(), hour)], &BTreeMap::new()).expect("one node");
     let tally = rerun(&merged, &course(&[])).expect("an hour that plays");
     expect_that!(tally.faults(), is_empty());
     // What does not fit is counted and said.
     (0..6).for_each(|_| {
-        let client = world.client(0, "b");
-        world.leave(client);
+        let client = world.open_client(0, "b");
+        world.close_client(client);
     });
     let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, contains_substring("lost=8"));
--- a/crates/wv-simulation/examples/standin.rs
+++ b/crates/wv-simulation/examples/standin.rs
@@ -1,20 +1,20 @@
-//! A stand-in database over loopback, for trying windvalve out by hand:
-//! `standin CONTROL LISTEN ID SERVICE primary|replica`. It keeps no data beyond its life and replicates to nobody.
+//! Simulated database on a loopback address, for manual tests:
+//! `standin CONTROL LISTEN ID SERVICE primary|replica`. Data is kept in memory only and not replicated.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
-use wv_simulation::{Answer, Base};
+use wv_simulation::{Database, StandaloneReply};
 
-type Shared = Arc<Mutex<Base>>;
+type Shared = Arc<Mutex<Database>>;
 
-fn beat(control: SocketAddr, addr: &str, base: &Shared) -> std::io::Result<()> {
+fn send_heartbeat(control: SocketAddr, addr: &str, database: &Shared) -> std::io::Result<()> {
     let (path, body) = {
-        let Ok(mut held) = base.lock() else { return Ok(()) };
-        held.sequence += 1;
-        let role = if held.is_primary { "primary" } else { "replica" };
-        let body = serde_json::json!({"destination": held.service, "address": addr, "zone": "here", "issue": "v1",
-            "capacity": 10, "state": "in_service", "coldLeftMs": 0, "dbRole": role, "sequence": held.sequence});
-        (format!("/instances/{}", held.id), body.to_string())
+        let Ok(mut instance) = database.lock() else { return Ok(()) };
+        instance.sequence += 1;
+        let role = if instance.is_primary { "primary" } else { "replica" };
+        let body = serde_json::json!({"destination": instance.service, "address": addr, "zone": "here", "issue": "v1",
+            "capacity": 10, "state": "in_service", "coldLeftMs": 0, "dbRole": role, "sequence": instance.sequence});
+        (format!("/instances/{}", instance.id), body.to_string())
     };
     let mut stream = TcpStream::connect(control)?;
     write!(
@@ -25,26 +25,26 @@
     stream.read_to_end(&mut Vec::new()).map(|_| ())
 }
 
-fn serve(stream: TcpStream, conn: u64, base: &Shared) -> std::io::Result<()> {
+fn serve(stream: TcpStream, conn: u64, database: &Shared) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
     for line in BufReader::new(stream).lines() {
         let line = line?;
         let words: Vec<&str> = line.splitn(3, ' ').collect();
-        let Ok(mut held) = base.lock() else { break };
+        let Ok(mut instance) = database.lock() else { break };
         let text = match words[..] {
-            ["SETUP", _, _] => held.set_up(conn),
-            ["QUERY", id, text] => match held.answer(conn, id, text) {
-                Answer::Text(text) => text,
-                Answer::Unknown => break,
+            ["SETUP", _, _] => instance.set_up(conn),
+            ["QUERY", id, text] => match instance.execute_standalone(conn, id, text) {
+                StandaloneReply::Text(text) => text,
+                StandaloneReply::UnknownConnection => break,
             },
             _ => break,
         };
-        drop(held);
+        drop(instance);
         out.write_all(text.as_bytes())?;
     }
-    if let Ok(mut held) = base.lock() {
-        held.conns.remove(&conn);
+    if let Ok(mut instance) = database.lock() {
+        instance.conns.remove(&conn);
     }
     Ok(())
 }
@@ -55,20 +55,20 @@
         return Err("usage: standin CONTROL LISTEN ID SERVICE primary|replica".into());
     };
     let control: SocketAddr = control.parse()?;
-    let mut base = Base::new(service, usize::from(role != "primary"));
-    base.id = id.clone();
-    let base: Shared = Arc::new(Mutex::new(base));
+    let mut database = Database::new(service, usize::from(role != "primary"));
+    database.id = id.clone();
+    let database: Shared = Arc::new(Mutex::new(database));
     let listener = TcpListener::bind(listen)?;
-    let (beaten, addr) = (base.clone(), listen.clone());
+    let (shared, addr) = (database.clone(), listen.clone());
     std::thread::spawn(move || loop {
-        if let Err(error) = beat(control, &addr, &beaten) {
-            eprintln!("beat: {error}");
+        if let Err(error) = send_heartbeat(control, &addr, &shared) {
+            eprintln!("heartbeat failed: {error}");
         }
         std::thread::sleep(std::time::Duration::from_secs(1));
     });
     for (conn, stream) in listener.incoming().enumerate() {
-        let (stream, base) = (stream?, base.clone());
-        std::thread::spawn(move || serve(stream, conn as u64, &base));
+        let (stream, database) = (stream?, database.clone());
+        std::thread::spawn(move || serve(stream, conn as u64, &database));
     }
     Ok(())
 }
--- a/crates/wv-simulation/src/clients.rs
+++ b/crates/wv-simulation/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the world, spoken for line by line.
-use crate::world::{Ev, World};
+//! Client sessions driven line by line.
+use crate::simulation::{Event, Simulation};
 use crate::S;
 use std::collections::BTreeMap;
 
@@ -7,38 +7,37 @@
     pub(crate) node: usize,
     pub(crate) id: Option<u64>,
     buf: Vec<u8>,
-    heard: Vec<String>,
+    received: Vec<String>,
     pub(crate) load: Option<usize>,
-    /// The session of the hour that it is.
+    /// Index of the workload session that this client belongs to.
     pub(crate) session: Option<usize>,
 }
 
-/// What a statement's client holds, for the stand-ins to be judged by.
+/// The session state that a statement's client expects at the database.
 #[derive(Clone, Default)]
-pub(crate) struct Said {
-    /// Commits acknowledged before this must be seen by the read.
+pub(crate) struct Expectation {
+    /// The read must observe all commits acknowledged before this time.
     pub(crate) since: u64,
     pub(crate) values: BTreeMap<String, String>,
-    pub(crate) shape: Option<String>,
+    pub(crate) statement: Option<String>,
 }
 
-impl World {
-    /// A session on an access node, set up for `database`.
-    pub fn client(&mut self, node: usize, database: &str) -> usize {
+impl Simulation {
+    /// Opens a session on an access node for `database`.
+    pub fn open_client(&mut self, node: usize, database: &str) -> usize {
         let id = self.with_access(node, |core, now| core.client_open(now));
-        self.clients.push(Client { node, id, buf: Vec::new(), heard: Vec::new(), load: None, session: None });
+        self.clients.push(Client { node, id, buf: Vec::new(), received: Vec::new(), load: None, session: None });
         let at = self.clients.len() - 1;
         if let Some(id) = id {
             self.client_of.insert((node, id), at);
         }
-        self.say(at, &format!("SETUP {database} u{at}"));
+        self.send_line(at, &format!("SETUP {database} u{at}"));
         at
     }
 
-    /// One line from a client.
-    pub fn say(&mut self, client: usize, line: &str) {
-        if self.frozen.contains(&self.clients[client].node) {
-            return self.held_back.push(Ev::Say { client, line: line.to_owned() });
+    pub fn send_line(&mut self, client: usize, line: &str) {
+        if self.frozen_access.contains(&self.clients[client].node) {
+            return self.deferred_events.push(Event::ClientLine { client, line: line.to_owned() });
         }
         let (node, id) = (self.clients[client].node, self.clients[client].id);
         let bytes = format!("{line}\r\n").into_bytes();
@@ -47,8 +46,8 @@
         }
     }
 
-    /// The client breaks off.
-    pub fn leave(&mut self, client: usize) {
+    /// Closes the client's connection.
+    pub fn close_client(&mut self, client: usize) {
         let node = self.clients[client].node;
         if let Some(id) = self.clients[client].id.take() {
             self.client_of.remove(&(node, id));
@@ -56,65 +55,65 @@
         }
     }
 
-    /// The lines a client has heard since the last time.
-    pub fn take(&mut self, client: usize) -> Vec<String> {
-        std::mem::take(&mut self.clients[client].heard)
+    /// Takes the lines received since the last call.
+    pub fn take_lines(&mut self, client: usize) -> Vec<String> {
+        std::mem::take(&mut self.clients[client].received)
     }
 
-    pub fn is_closed(&self, client: usize) -> bool {
+    pub fn is_client_closed(&self, client: usize) -> bool {
         self.clients[client].id.is_none()
     }
 
-    pub(crate) fn client_heard(&mut self, node: usize, id: u64, bytes: &[u8]) {
+    pub(crate) fn on_client_data(&mut self, node: usize, id: u64, bytes: &[u8]) {
         let Some(at) = self.client_of.get(&(node, id)).copied() else { return };
         self.clients[at].buf.extend_from_slice(bytes);
         while let Some((line, len)) = wv_wire_protocol::split_line(&self.clients[at].buf) {
             let line = String::from_utf8_lossy(line).into_owned();
             self.clients[at].buf.drain(..len);
-            self.clients[at].heard.push(line.clone());
+            self.clients[at].received.push(line.clone());
             if let (Some(load), true) = (self.clients[at].load, line.starts_with("IDLE")) {
-                let lines = self.take(at);
-                self.returned(load, &lines);
+                let lines = self.take_lines(at);
+                self.on_load_reply(load, &lines);
             }
             if let (Some(session), true) = (self.clients[at].session, line.starts_with("IDLE")) {
-                let lines = self.take(at);
-                self.answered(session, &lines);
+                let lines = self.take_lines(at);
+                self.on_session_reply(session, &lines);
             }
         }
     }
 
-    pub(crate) fn client_closed(&mut self, node: usize, id: u64) {
+    pub(crate) fn on_client_closed(&mut self, node: usize, id: u64) {
         let Some(at) = self.client_of.remove(&(node, id)) else { return };
         self.clients[at].id = None;
         if let Some(load) = self.clients[at].load {
-            self.cut_off(load);
+            self.on_load_disconnected(load);
         }
         if let Some(session) = self.clients[at].session {
-            self.hour_cut(session);
+            self.on_session_disconnected(session);
         }
     }
 
-    pub(crate) fn judge_read(&mut self, base: usize, id: &str) {
-        if let Some(said) = self.saids.get(id) {
-            self.oracle.read_ran(id, &self.bases[base], said.since);
+    pub(crate) fn check_read(&mut self, database: usize, id: &str) {
+        if let Some(expectation) = self.expectations.get(id) {
+            self.oracle.check_read(id, &self.databases[database], expectation.since);
         }
     }
 
-    /// The session values and prepared shapes on the connection must be those of the statement's client.
-    pub(crate) fn check_session(&mut self, base: usize, conn: u64, id: &str, text: &str) {
-        let Some(said) = self.saids.get(id).cloned() else { return };
-        let Some(held) = self.bases[base].conns.get(&conn) else { return };
-        if held.values != said.values {
-            self.oracle.broken.push(format!("PINNED: {id} met values {:?}", held.values));
+    /// Checks that session values and prepared statements on the connection are those of the statement's client.
+    pub(crate) fn check_session(&mut self, database: usize, conn: u64, id: &str, text: &str) {
+        let Some(expectation) = self.expectations.get(id).cloned() else { return };
+        let Some(connection) = self.databases[database].conns.get(&conn) else { return };
+        if connection.values != expectation.values {
+            self.oracle.violations.push(format!("PINNED: {id} ran with session values {:?}", connection.values));
         }
         let name = text.strip_prefix("EXECUTE ").and_then(|rest| rest.split(' ').next());
-        if let Some(shape) = name.and_then(|name| held.defined.get(name)).map(|(_, shape)| shape) {
-            if said.shape.as_ref() != Some(shape) {
-                self.oracle.broken.push(format!("PINNED: {id} ran shape {shape}"));
+        if let Some(statement) = name.and_then(|name| connection.prepared.get(name)).map(|(_, statement)| statement) {
+            if expectation.statement.as_ref() != Some(statement) {
+                self.oracle.violations.push(format!("PINNED: {id} ran statement {statement}"));
             }
         }
     }
 }
 
-/// Long enough for any load to come to rest.
-pub const REST: u64 = 3 * S;
+/// Time for all load clients to finish their operations after `stop_load`.
+pub const SETTLE_US: u64 = 3 * S;
--- /dev/null
+++ b/crates/wv-simulation/src/control_nodes.rs
@@ -0,0 +1,109 @@
+//! Starts and kills control nodes and applies the actions of their cores.
+use crate::nodes::LinkEnd;
+use crate::simulation::{Event, Simulation, LINK_DELAY_US};
+use crate::MS;
+use wv_control::Action as ControlAct;
+
+impl Simulation {
+    pub fn start_control(&mut self, at: usize, is_first: bool) {
+        self.last_incarnation += 1;
+        self.record_fault(&self.controls[at].name.clone());
+        let node = &mut self.controls[at];
+        let is_new = std::mem::replace(&mut node.incarnation, self.last_incarnation) == 0;
+        node.far_ends.clear();
+        let start = wv_control::Start {
+            address: node.addr.clone(),
+            node: node.name.clone(),
+            zone: format!("z{}", at % 3),
+            // As in a real process, the start time: nodes that start together share it.
+            incarnation: self.now.saturating_add_signed(node.clock_offset_us),
+            seeds: node.seeds.clone(),
+            is_initial_start: is_first,
+            has_disk: node.has_disk,
+            tolerated_machines: self.tolerated_machines,
+            disk_id: self.last_incarnation + 1000, // random in a real process; unique here
+            requester_id: self.last_incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        };
+        let store = wv_consensus::Store::open(Box::new(crate::disk::FaultyDisk::new(
+            node.files.clone(),
+            node.disk_faults.clone(),
+        )));
+        node.core = store.and_then(|store| wv_control::Core::new(start, store)).ok();
+        if is_new {
+            self.schedule(MS * (1 + at as u64), Event::ControlTick(at));
+        }
+    }
+
+    pub fn kill_control(&mut self, at: usize) {
+        self.controls[at].core = None;
+        self.record_fault(&self.controls[at].name.clone());
+        let peers: Vec<LinkEnd> = std::mem::take(&mut self.controls[at].far_ends).into_values().collect();
+        peers.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
+    }
+
+    pub(crate) fn with_control<T>(
+        &mut self,
+        at: usize,
+        event: impl FnOnce(&mut wv_control::Core, u64) -> T,
+    ) -> Option<T> {
+        let now = self.now;
+        let core = self.controls[at].core.as_mut()?;
+        let ret = event(core, now);
+        let acts = core.take_actions();
+        // Power was lost during a write: actions that depend on it are discarded.
+        if self.controls[at].disk_faults.is_powered_off() {
+            self.power_off_control(at, 0);
+            return None;
+        }
+        acts.into_iter().for_each(|act| self.apply_control_action(at, act));
+        Some(ret)
+    }
+
+    fn apply_control_action(&mut self, at: usize, act: ControlAct) {
+        match act {
+            ControlAct::Send { link, msg } => {
+                self.log_owner_change(&msg);
+                if let Some(to) = self.controls[at].far_ends.get(&link).copied() {
+                    self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg });
+                }
+            }
+            ControlAct::Close { link } => {
+                let peers = self.controls[at].far_ends.remove(&link);
+                peers.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
+            }
+            ControlAct::Dial { link, addr } => self.dial(at, link, &addr),
+            ControlAct::Wake { delay_us: us } => {
+                self.schedule(us, Event::ControlWake(at, self.controls[at].incarnation))
+            }
+            ControlAct::Respond { token, status, body } => {
+                self.track_response(token, status);
+                self.responses.insert(token, (status, body));
+            }
+            ControlAct::QueryDatabase { request, id, statement, .. } => {
+                let is_open = |database: &usize| {
+                    let instance = &self.databases[*database];
+                    !instance.is_unreachable && !self.is_disconnected(&self.controls[at].name, &instance.id)
+                };
+                let reply = match self.database_index(&id).filter(is_open) {
+                    None => Err(wv_promotion::StatusError::Unreachable),
+                    Some(database) if !self.databases[database].is_up => Err(wv_promotion::StatusError::Refused),
+                    Some(database) => self.databases[database]
+                        .control_request(&statement)
+                        .ok_or(wv_promotion::StatusError::Unreachable),
+                };
+                self.log_event(format!("{} requests {id}: {statement}", self.controls[at].name));
+                let wait = if reply.is_ok() { 15 * MS } else { 100 * MS };
+                self.schedule(
+                    wait,
+                    Event::DatabaseStatus { control: at, incarnation: self.controls[at].incarnation, request, reply },
+                );
+            }
+            ControlAct::RunStatements { request: run, id, statements, .. } => {
+                self.send_own_statements(at, run, &id, &statements)
+            }
+            ControlAct::PromoteDatabase { request, service, id, fence, .. } => {
+                self.call_promotion(at, request, service, (id, fence))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/wv-simulation/src/database_faults.rs
@@ -0,0 +1,46 @@
+//! Database crashes, connection resets, unreachable hosts and recovery.
+use crate::simulation::{Event, Simulation, LINK_DELAY_US};
+use crate::MS;
+use wv_access::Lost;
+
+impl Simulation {
+    /// Ends the database process; its connections are reset.
+    pub fn crash(&mut self, database: usize) {
+        self.databases[database].is_up = false;
+        self.databases[database].conns.clear();
+        self.databases[database].busy.clear();
+        self.pending_commits.retain(|(at, _, _, _)| *at != database);
+        self.disconnect_all(database, LINK_DELAY_US, Lost::Closed);
+    }
+
+    /// Resets all connections while the database keeps running.
+    pub fn reset_connections(&mut self, database: usize) {
+        self.databases[database].conns.clear();
+        self.databases[database].busy.clear();
+        self.disconnect_all(database, LINK_DELAY_US, Lost::Closed);
+    }
+
+    /// Makes the database's host stop answering; connections time out.
+    pub fn make_unreachable(&mut self, database: usize) {
+        self.databases[database].is_unreachable = true;
+        self.databases[database].conns.clear();
+        self.pending_commits.retain(|(at, _, _, _)| *at != database);
+        self.disconnect_all(database, 900 * MS, Lost::Dark);
+    }
+
+    fn disconnect_all(&mut self, database: usize, after: u64, lost: Lost) {
+        let keys: Vec<(usize, u64)> =
+            self.db_conns.iter().filter(|(_, at)| at.0 == database).map(|(key, _)| *key).collect();
+        for (access, db) in keys {
+            let incarnation = self.access[access].incarnation;
+            self.schedule(after, Event::DbEnd { access, db, lost, incarnation });
+        }
+    }
+
+    /// Brings the database back with its log; a suspended replication is resumed.
+    pub fn revive(&mut self, database: usize) {
+        let instance = &mut self.databases[database];
+        (instance.is_up, instance.is_unreachable, instance.suspended) = (true, false, 0);
+        self.heartbeat(database);
+    }
+}
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -1,24 +1,24 @@
-//! What happens in the world, and to whom.
-use crate::nodes::End;
-use crate::world::World;
+//! Simulation events and their dispatch.
+use crate::nodes::LinkEnd;
+use crate::simulation::Simulation;
 use crate::MS;
 use wv_access::Lost;
 use wv_internal_protocol::Message;
 
-pub(crate) enum Ev {
-    Care(usize),
-    Timer(usize),
-    Session(usize),
+pub(crate) enum Event {
+    AccessMaintenance(usize),
+    AccessTimer(usize),
+    AccessSession(usize),
     ControlTick(usize),
-    /// The time that a control node of this life asked for is over.
+    /// A wake-up requested by the control node of this incarnation.
     ControlWake(usize, u64),
     DbOpened {
         access: usize,
         db: u64,
-        life: u64,
+        incarnation: u64,
     },
     DbIn {
-        base: usize,
+        database: usize,
         conn: u64,
         bytes: Vec<u8>,
     },
@@ -26,13 +26,13 @@
         access: usize,
         db: u64,
         bytes: Vec<u8>,
-        life: u64,
+        incarnation: u64,
     },
     DbEnd {
         access: usize,
         db: u64,
         lost: Lost,
-        life: u64,
+        incarnation: u64,
     },
     Replicate {
         from: usize,
@@ -40,14 +40,14 @@
         len: usize,
     },
     Apply {
-        base: usize,
+        database: usize,
         len: usize,
     },
-    Beat {
-        base: usize,
+    Heartbeat {
+        database: usize,
     },
-    Link {
-        to: End,
+    LinkMessage {
+        to: LinkEnd,
         msg: Message,
     },
     LinkUp {
@@ -55,190 +55,194 @@
         link: u64,
     },
     LinkDown {
-        end: End,
+        end: LinkEnd,
     },
-    Row {
+    DatabaseStatus {
         control: usize,
-        life: u64,
-        ask: u64,
-        word: wv_promotion::StatusReply,
+        incarnation: u64,
+        request: u64,
+        reply: wv_promotion::StatusReply,
     },
-    Posted {
+    PromotionResponse {
         control: usize,
-        life: u64,
-        ask: u64,
+        incarnation: u64,
+        request: u64,
         code: Option<u16>,
     },
     Promote {
-        base: usize,
+        database: usize,
     },
-    Free {
-        base: usize,
+    StatementDone {
+        database: usize,
         conn: u64,
     },
-    Step {
+    LoadStep {
         client: usize,
-        life: u64,
+        attempt: u64,
     },
-    /// Sessions of a recorded hour, and their requests.
-    Enter {
+    SessionStart {
         session: usize,
     },
-    Leave {
+    SessionEnd {
         session: usize,
     },
-    Arrive {
-        op: usize,
+    RequestArrival {
+        request: usize,
     },
-    Overdue {
-        op: usize,
+    RequestDeadline {
+        request: usize,
     },
-    Retry {
+    RequestRetry {
         session: usize,
-        turn: u64,
+        attempt: u64,
     },
-    Say {
+    ClientLine {
         client: usize,
         line: String,
     },
-    /// Own texts reach a database, and their replies the control node.
-    Run {
+    /// A control node's own statements arrive at a database, and their replies at the node.
+    RunStatements {
         control: usize,
         run: u64,
-        base: usize,
+        database: usize,
         conn: u64,
-        texts: Vec<String>,
+        statements: Vec<String>,
     },
-    Ran {
+    StatementsDone {
         control: usize,
         run: u64,
         replies: Option<Vec<wv_shard_split::Reply>>,
     },
-    /// A call of an operator or a database that waited for its node.
-    Call {
+    /// An HTTP request to a control node.
+    ControlCall {
         control: usize,
-        life: u64,
+        incarnation: u64,
         token: u64,
         method: String,
         path: String,
         body: Vec<u8>,
     },
-    /// A slow process comes to it now.
-    Late(Box<Ev>),
-    /// A connection to a database may have been silent for too long.
-    Mute {
+    /// An event that a slow process handles now.
+    Delayed(Box<Event>),
+    /// Checks whether a database connection has timed out.
+    ConnectionTimeout {
         access: usize,
         db: u64,
-        life: u64,
+        incarnation: u64,
     },
-    HandUp {
+    PeerLinkUp {
         at: usize,
         link: u64,
-        life: u64,
+        incarnation: u64,
     },
-    HandDown {
+    PeerLinkDown {
         at: usize,
         link: u64,
-        life: u64,
+        incarnation: u64,
     },
-    Hand {
+    PeerMessage {
         at: usize,
         link: u64,
-        life: u64,
+        incarnation: u64,
         msg: wv_internal_protocol::ForwardMessage,
     },
 }
 
-impl World {
-    pub(crate) fn happen(&mut self, event: Ev) {
+impl Simulation {
+    pub(crate) fn dispatch(&mut self, event: Event) {
         match event {
-            Ev::Care(at) => {
+            Event::AccessMaintenance(at) => {
                 self.with_access(at, |core, now| core.run_maintenance(now));
-                self.put(100 * MS, Ev::Care(at));
+                self.schedule(100 * MS, Event::AccessMaintenance(at));
             }
-            Ev::Timer(at) => {
-                self.access[at].armed = u64::MAX;
+            Event::AccessTimer(at) => {
+                self.access[at].timer_us = u64::MAX;
                 self.with_access(at, |core, now| core.tick(now));
             }
-            Ev::Session(at) => self.session(at),
-            Ev::ControlWake(at, life) if self.controls[at].life == life => {
+            Event::AccessSession(at) => self.maintain_session(at),
+            Event::ControlWake(at, incarnation) if self.controls[at].incarnation == incarnation => {
                 self.with_control(at, |core, now| core.wake(now));
             }
-            Ev::ControlWake(..) => {}
-            Ev::ControlTick(at) => {
-                if self.is_wild {
-                    self.end_silent(at);
+            Event::ControlWake(..) => {}
+            Event::ControlTick(at) => {
+                if self.has_link_timeouts {
+                    self.close_silent_links(at);
                 }
-                let epoch = (self.epoch_us + self.now).saturating_add_signed(self.controls[at].clock_us);
+                let epoch = (self.epoch_us + self.now).saturating_add_signed(self.controls[at].clock_offset_us);
                 self.with_control(at, |core, now| {
                     core.tick(now);
                     core.set_epoch_us(epoch);
                 });
-                self.put(100 * MS, Ev::ControlTick(at));
+                self.schedule(100 * MS, Event::ControlTick(at));
             }
-            Ev::DbOpened { access, db, life } if life == self.access[access].life => {
+            Event::DbOpened { access, db, incarnation } if incarnation == self.access[access].incarnation => {
                 self.with_access(access, |core, now| core.db_opened(db, now));
             }
-            Ev::DbOut { access, db, bytes, life } if life == self.access[access].life => {
+            Event::DbOut { access, db, bytes, incarnation } if incarnation == self.access[access].incarnation => {
                 self.with_access(access, |core, now| core.db_data(db, &bytes, now));
             }
-            Ev::DbEnd { access, db, lost, life } if life == self.access[access].life => {
-                self.forget_conn((access, db));
+            Event::DbEnd { access, db, lost, incarnation } if incarnation == self.access[access].incarnation => {
+                self.remove_connection((access, db));
                 self.with_access(access, |core, now| core.db_lost(db, lost, now));
             }
-            Ev::DbOpened { .. } | Ev::DbOut { .. } | Ev::DbEnd { .. } => {}
-            Ev::DbIn { base, conn, bytes } => self.db_in(base, conn, &bytes),
-            Ev::Replicate { from, to, len } => self.replicate(from, to, len),
-            Ev::Apply { base, len } => {
-                self.bases[base].apply(len);
+            Event::DbOpened { .. } | Event::DbOut { .. } | Event::DbEnd { .. } => {}
+            Event::DbIn { database, conn, bytes } => self.on_database_data(database, conn, &bytes),
+            Event::Replicate { from, to, len } => self.replicate(from, to, len),
+            Event::Apply { database, len } => {
+                self.databases[database].apply(len);
             }
-            Ev::Beat { base } => {
-                self.beat(base);
-                self.catch_up(base);
-                self.put(1200 * MS, Ev::Beat { base });
+            Event::Heartbeat { database } => {
+                self.heartbeat(database);
+                self.catch_up(database);
+                self.schedule(1200 * MS, Event::Heartbeat { database });
             }
-            Ev::Link { to, msg } => self.link_msg(to, msg),
-            Ev::LinkUp { control, link } => {
+            Event::LinkMessage { to, msg } => self.deliver_message(to, msg),
+            Event::LinkUp { control, link } => {
                 self.with_control(control, |core, now| core.link_up(link, now));
             }
-            Ev::LinkDown { end } => self.link_down(end),
-            Ev::Row { control, life, .. } | Ev::Posted { control, life, .. } if self.controls[control].life != life => {
+            Event::LinkDown { end } => self.link_down(end),
+            Event::DatabaseStatus { control, incarnation, .. }
+            | Event::PromotionResponse { control, incarnation, .. }
+                if self.controls[control].incarnation != incarnation => {}
+            Event::DatabaseStatus { control, request, reply, .. } => {
+                self.with_control(control, |core, now| core.on_db_status(request, reply, now));
             }
-            Ev::Row { control, ask, word, .. } => {
-                self.with_control(control, |core, now| core.on_db_status(ask, word, now));
+            Event::PromotionResponse { control, request, code, .. } => {
+                self.with_control(control, |core, now| core.on_promotion_response(request, code, now));
             }
-            Ev::Posted { control, ask, code, .. } => {
-                self.with_control(control, |core, now| core.on_promotion_response(ask, code, now));
+            Event::Promote { database } => self.promote(database),
+            Event::StatementDone { database, conn } => {
+                self.databases[database].busy.remove(&conn);
             }
-            Ev::Promote { base } => self.promote(base),
-            Ev::Free { base, conn } => {
-                self.bases[base].busy.remove(&conn);
-            }
-            Ev::Call { control, life, token, method, path, body } if self.controls[control].life == life => {
+            Event::ControlCall { control, incarnation, token, method, path, body }
+                if self.controls[control].incarnation == incarnation =>
+            {
                 self.with_control(control, |core, now| core.handle_call(token, &method, &path, Some(&body), now));
             }
-            Ev::Call { .. } => {}
-            Ev::Late(event) => self.happen(*event),
-            Ev::Mute { access, db, life } => self.mute(access, db, life),
-            Ev::HandUp { at, link, life } => {
-                self.with_hand(at, life, |core, now| core.hand_up(link, now));
-            }
-            Ev::HandDown { at, link, life } => {
-                self.hands.remove(&(at, link));
-                self.with_hand(at, life, |core, now| core.hand_down(link, now));
-            }
-            Ev::Hand { at, link, life, msg } => {
-                self.with_hand(at, life, |core, now| core.handle_forward_message(link, msg, now));
-            }
-            Ev::Step { client, life } => self.step(client, life),
-            Ev::Enter { session } => self.enter(session),
-            Ev::Leave { session } => self.leave_hour(session),
-            Ev::Arrive { op } => self.arrive(op),
-            Ev::Overdue { op } => self.overdue(op),
-            Ev::Retry { session, turn } => self.retry_op(session, turn),
-            Ev::Say { client, line } => self.say(client, &line),
-            Ev::Run { control, run, base, conn, texts } => self.run_now(control, run, base, conn, &texts),
-            Ev::Ran { control, run, replies } => {
+            Event::ControlCall { .. } => {}
+            Event::Delayed(event) => self.dispatch(*event),
+            Event::ConnectionTimeout { access, db, incarnation } => self.time_out_connection(access, db, incarnation),
+            Event::PeerLinkUp { at, link, incarnation } => {
+                self.with_peer_access(at, incarnation, |core, now| core.hand_up(link, now));
+            }
+            Event::PeerLinkDown { at, link, incarnation } => {
+                self.peer_links.remove(&(at, link));
+                self.with_peer_access(at, incarnation, |core, now| core.hand_down(link, now));
+            }
+            Event::PeerMessage { at, link, incarnation, msg } => {
+                self.with_peer_access(at, incarnation, |core, now| core.handle_forward_message(link, msg, now));
+            }
+            Event::LoadStep { client, attempt } => self.load_step(client, attempt),
+            Event::SessionStart { session } => self.start_session(session),
+            Event::SessionEnd { session } => self.end_session(session),
+            Event::RequestArrival { request } => self.on_request_arrival(request),
+            Event::RequestDeadline { request } => self.on_request_deadline(request),
+            Event::RequestRetry { session, attempt } => self.retry_request(session, attempt),
+            Event::ClientLine { client, line } => self.send_line(client, &line),
+            Event::RunStatements { control, run, database, conn, statements } => {
+                self.run_own_statements(control, run, database, conn, &statements)
+            }
+            Event::StatementsDone { control, run, replies } => {
                 self.with_control(control, |core, now| core.on_texts_run(run, replies, now));
             }
         }
--- a/crates/wv-simulation/src/lib.rs
+++ b/crates/wv-simulation/src/lib.rs
@@ -1,51 +1,51 @@
-//! An in-memory fleet: the real logic of both roles over virtual time, with stand-ins for databases, platform,
-//! operator and clients. The same story gives the same course every time.
-mod base;
+//! Deterministic simulation of a fleet: the production cores of access and control nodes on virtual time, with
+//! simulated databases, platform, operator and clients. The same inputs give the same sequence of events.
+mod admin;
 mod clients;
-mod conn;
-mod controls;
+mod connection;
+mod control_nodes;
+mod database;
+mod database_faults;
+mod database_log;
+mod database_service;
 mod disk;
-mod drain;
+mod drain_check;
 mod events;
-mod falls;
 mod freeze;
-mod hands;
-mod hour;
 mod links;
-mod load;
-mod log;
+mod load_clients;
 pub mod nemesis;
 mod nodes;
 mod oracle;
+mod partitions;
+mod peer_links;
 mod replication;
-mod service;
-mod splits;
-mod states;
-mod tries;
-mod walls;
-mod world;
+mod simulation;
+mod split_checks;
+mod workload;
+mod workload_requests;
 
-pub use base::{Base, Entry, Write};
-pub use clients::REST;
-pub use conn::Conn;
-pub use drain::{CONTACT, DRAIN};
-pub use hour::{End, Hour, Kind, Op, Session};
-pub use load::Load;
-pub use log::Answer;
+pub use clients::SETTLE_US;
+pub use connection::Connection;
+pub use database::{Database, LogEntry, Write};
+pub use database_log::StandaloneReply;
+pub use drain_check::{DRAIN_BOUND_US, FAULT_FREE_US};
+pub use load_clients::LoadClient;
 pub use oracle::Oracle;
-pub use walls::Node;
-pub use world::{Crossed, World};
+pub use partitions::NodeId;
+pub use simulation::{LinkTraffic, Simulation};
+pub use workload::{Request, RequestKind, RequestOutcome, Session, Workload};
 
-/// Virtual milliseconds in whole microseconds.
+/// Microseconds per millisecond and per second of virtual time.
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-/// Seeded luck (xorshift).
-pub struct Luck(u64);
+/// Seeded xorshift random number generator.
+pub struct Rng(u64);
 
-impl Luck {
-    pub fn new(seed: u64) -> Luck {
-        Luck(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
@@ -55,7 +55,7 @@
         (self.0 >> 11) % bound.max(1)
     }
 
-    pub fn is(&mut self, percent: u64) -> bool {
+    pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
--- a/crates/wv-simulation/src/nemesis/calm.rs
+++ b/crates/wv-simulation/src/nemesis/calm.rs
@@ -21,7 +21,7 @@
 
     fn send(&mut self, order: usize, name: &str, after: u64) {
         let at = match self.node(name) {
-            Some(crate::Node::Control(at)) => at,
+            Some(crate::NodeId::Control(at)) => at,
             _ => 0,
         };
         let when = self.world.now + after;
@@ -70,7 +70,7 @@
 
     /// All troubles are over: after the time that machines take to be in touch, everything is as it should be.
     pub(super) fn calm(&mut self, bound: Bound) {
-        self.world.note("nemesis: calm");
+        self.world.log_event("nemesis: calm");
         self.run(CONTACT);
         let up = |at: &usize| self.world.controls[*at].core.is_some();
         let up: Vec<usize> = (0..self.world.controls.len()).filter(up).collect();
@@ -130,14 +130,14 @@
         let sets: Vec<String> = tokens
             .iter()
             .map(|token| {
-                self.world.returns.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
+                self.world.responses.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
             })
             .collect();
         let numbers: std::collections::BTreeSet<Option<u64>> = sets.iter().map(|set| set_number(set)).collect();
         let voting = sets.iter().map(|set| set.matches("\"votes\"").count()).max().unwrap_or(0);
         let members = sets.iter().map(|set| set.matches("\"address\"").count()).max().unwrap_or(0);
         // As many more may be lost as a set of all that are there would bear.
-        let core = up.iter().filter(|at| self.world.controls[**at].is_core).count().min(7);
+        let core = up.iter().filter(|at| self.world.controls[**at].has_disk).count().min(7);
         let bears = core.saturating_sub(1) / 2;
         if numbers.len() != 1 || members % 2 == 0 || voting < members / 2 + 1 + bears {
             self.miss("not-settled", format!("sets {numbers:?}, {voting} of {members} vote: {}", sets.join(" ")));
@@ -146,13 +146,13 @@
 
     /// Clients are served on both routes.
     fn served(&mut self) {
-        let before = [self.world.route_done("p"), self.world.route_done("b")];
+        let before = [self.world.route_counts("p"), self.world.route_counts("b")];
         self.run(2 * S);
-        let after = [self.world.route_done("p"), self.world.route_done("b")];
+        let after = [self.world.route_counts("p"), self.world.route_counts("b")];
         for (route, (before, after)) in ["p", "b"].iter().zip(before.iter().zip(after.iter())) {
             let (done, failed) = (after.0 - before.0, after.1 - before.1);
             if done < 10 || failed > done / 4 {
-                let states = self.world.states().join("; ");
+                let states = self.world.status_lines().join("; ");
                 self.miss(
                     "not-served",
                     format!("route {route}: {done} done, {failed} failed in two seconds; {states}"),
--- a/crates/wv-simulation/src/nemesis/draw.rs
+++ b/crates/wv-simulation/src/nemesis/draw.rs
@@ -1,6 +1,6 @@
 //! Days drawn from a seed.
 use super::{Bound, Day, Event, Kind};
-use crate::Luck;
+use crate::Rng;
 
 /// A machine that came back counts as lost for this long.
 const CATCH_UP: u64 = 4000;
@@ -40,7 +40,7 @@
 const BASES: [Kind; 8] =
     [Kind::Crash, Kind::Dark, Kind::Lag, Kind::Drain, Kind::Leave, Kind::Break, Kind::Platform, Kind::Sluggish];
 pub(super) struct Draw {
-    pub(super) luck: Luck,
+    pub(super) luck: Rng,
     pub(super) day: Day,
     pub(super) length: u64,
     /// Core machines that are lost, and when.
@@ -58,7 +58,7 @@
 
 /// The day of this seed.
 pub fn draw(seed: u64) -> Day {
-    let mut luck = Luck::new(seed.wrapping_add(1));
+    let mut luck = Rng::new(seed.wrapping_add(1));
     (0..8).for_each(|_| {
         luck.below(2);
     });
@@ -68,7 +68,7 @@
         10..=16 => Bound::Beyond,
         _ => Bound::Wild,
     };
-    let (access, thin) = (2 + luck.below(2) as usize, usize::from(luck.is(25)));
+    let (access, thin) = (2 + luck.below(2) as usize, usize::from(luck.chance(25)));
     let day = Day { seed, access, core, thin, bound, events: Vec::new() };
     let set = (core - 1 + core % 2).min(7);
     let length = 2000 + luck.below(9000);
@@ -88,7 +88,7 @@
     let troubles = 1 + draw.luck.below(8);
     let mut times: Vec<u64> = (0..troubles).map(|_| draw.luck.below(length)).collect();
     // Some come within moments of each other.
-    if draw.luck.is(40) {
+    if draw.luck.chance(40) {
         let first = times.first().copied().unwrap_or(0);
         times.iter_mut().for_each(|at| *at = first + draw.luck.below(1500));
     }
@@ -96,7 +96,7 @@
     times.into_iter().for_each(|at| draw.trouble(at));
     let calls = 2 + draw.luck.below(10);
     (0..calls).for_each(|_| draw.call());
-    if draw.luck.is(30) {
+    if draw.luck.chance(30) {
         draw.closing_fault();
     }
     draw.day.events.sort_by_key(|event| event.at_ms);
@@ -184,7 +184,7 @@
         if matches!(kind, Kind::Wall | Kind::OneWay) {
             let far: Vec<String> = self.databases.iter().chain(&self.controls).map(|held| held.0.clone()).collect();
             targets.extend(self.pick(&far));
-            if kind == Kind::OneWay && self.luck.is(50) {
+            if kind == Kind::OneWay && self.luck.chance(50) {
                 targets.reverse();
             }
         }
@@ -199,7 +199,7 @@
         }
         let until = at + span + 10_000;
         let busy = self.bases.iter().filter(|held| held.0 < until && at < held.1).count();
-        if busy > 0 && (self.day.bound == Bound::Within || self.luck.is(50)) {
+        if busy > 0 && (self.day.bound == Bound::Within || self.luck.chance(50)) {
             return;
         }
         let there: Vec<String> = self.databases.iter().filter(|held| held.1 <= at).map(|held| held.0.clone()).collect();
@@ -225,7 +225,7 @@
         }
         let all: Vec<String> = self.databases.iter().map(|held| held.0.clone()).collect();
         for (step, target) in (0..).zip(all) {
-            let kind = if self.luck.is(30) { Kind::Leave } else { Kind::Drain };
+            let kind = if self.luck.chance(30) { Kind::Leave } else { Kind::Drain };
             self.strike_base(at + step * 9000, kind, target, 500 + self.length % 2000);
         }
     }
--- a/crates/wv-simulation/src/nemesis/draw_calls.rs
+++ b/crates/wv-simulation/src/nemesis/draw_calls.rs
@@ -9,7 +9,7 @@
     /// Any moment, or one around the beginning or the end of a trouble.
     fn moment(&mut self) -> u64 {
         let ends: Vec<u64> = self.day.events.iter().flat_map(|event| [event.at_ms, event.end_ms()]).collect();
-        match self.pick(&ends).filter(|_| self.luck.is(60)) {
+        match self.pick(&ends).filter(|_| self.luck.chance(60)) {
             Some(end) => (end + self.luck.below(60)).saturating_sub(20),
             None => self.luck.below(self.length + 1000),
         }
--- a/crates/wv-simulation/src/nemesis/operator.rs
+++ b/crates/wv-simulation/src/nemesis/operator.rs
@@ -1,6 +1,6 @@
 //! Operators and readers of the configuration: they send, follow, repeat and insist as the pages say.
 use super::{Answer, History, Order, Read};
-use crate::{Luck, World, MS, S};
+use crate::{Rng, Simulation, MS, S};
 use std::collections::BTreeSet;
 
 /// A node that says nothing for so long is given up for another one.
@@ -36,7 +36,7 @@
 }
 
 pub(super) struct Operators {
-    luck: Luck,
+    luck: Rng,
     calls: Vec<Call>,
     ops: Vec<Op>,
     /// What is sent once more: when, to whom, and which order.
@@ -47,13 +47,13 @@
 }
 
 fn variant(number: u64, which: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(number)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::config(number)).into_owned();
     text.replace("\"targetMs\":800", &format!("\"targetMs\":{}", 800 + which)).into_bytes()
 }
 
 /// Orders that no node may take, each for another reason.
 fn spoilt(number: u64, which: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(number)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::config(number)).into_owned();
     let text = match which % 4 {
         0 => text.replace("\"expiryMs\":1000", "\"expiryMs\":0"),
         1 => text.replace("\"destination\":\"s\"", "\"destination\":\"nowhere\""),
@@ -66,7 +66,7 @@
 impl Operators {
     pub fn new(seed: u64) -> Operators {
         let (calls, ops, echoes) = (Vec::new(), Vec::new(), Vec::new());
-        let luck = Luck::new(seed ^ 0x0b5);
+        let luck = Rng::new(seed ^ 0x0b5);
         Operators { luck, calls, ops, echoes, number: 0, is_unheard: false, is_echoing: false }
     }
 
@@ -98,24 +98,24 @@
         self.ops.iter().map(|op| op.order).collect()
     }
 
-    pub fn read(&mut self, world: &mut World, gone: &BTreeSet<String>) {
+    pub fn read(&mut self, world: &mut Simulation, gone: &BTreeSet<String>) {
         if let Some(at) = self.pick(world, gone) {
             self.call(world, What::Get, at, b"", 0);
         }
     }
 
-    pub fn read_at(&mut self, world: &mut World, at: usize) {
+    pub fn read_at(&mut self, world: &mut Simulation, at: usize) {
         self.call(world, What::Get, at, b"", 0);
     }
 
     /// Any node that the operator's list has.
-    fn pick(&mut self, world: &World, gone: &BTreeSet<String>) -> Option<usize> {
+    fn pick(&mut self, world: &Simulation, gone: &BTreeSet<String>) -> Option<usize> {
         let listed = |at: &usize| !gone.contains(&world.controls[*at].name);
         let listed: Vec<usize> = (0..world.controls.len()).filter(listed).collect();
         listed.get(self.luck.below(listed.len() as u64) as usize).copied()
     }
 
-    fn call(&mut self, world: &mut World, what: What, at: usize, body: &[u8], hops: u32) -> u64 {
+    fn call(&mut self, world: &mut Simulation, what: What, at: usize, body: &[u8], hops: u32) -> u64 {
         let method = if matches!(what, What::Get) { "GET" } else { "PUT" };
         let sent = world.now;
         let token = world.call(at, method, "/configuration", body);
@@ -126,18 +126,18 @@
     }
 
     /// Takes in what came, and sends what is due.
-    pub fn listen(&mut self, world: &mut World, history: &mut History, gone: &BTreeSet<String>) {
+    pub fn listen(&mut self, world: &mut Simulation, history: &mut History, gone: &BTreeSet<String>) {
         let (came, waiting): (Vec<Call>, Vec<Call>) =
-            std::mem::take(&mut self.calls).into_iter().partition(|call| world.returns.contains_key(&call.token));
+            std::mem::take(&mut self.calls).into_iter().partition(|call| world.responses.contains_key(&call.token));
         self.calls = waiting;
         for call in came {
-            let (status, body) = world.returns.remove(&call.token).unwrap_or_default();
+            let (status, body) = world.responses.remove(&call.token).unwrap_or_default();
             self.take(world, history, &call, status, &body);
         }
         self.send_due(world, history, gone);
     }
 
-    fn take(&mut self, world: &mut World, history: &mut History, call: &Call, status: u16, body: &[u8]) {
+    fn take(&mut self, world: &mut Simulation, history: &mut History, call: &Call, status: u16, body: &[u8]) {
         let (now, control) = (world.now, world.controls[call.control].name.clone());
         if status == 307 && call.hops < HOPS {
             let place = String::from_utf8_lossy(body).into_owned();
@@ -162,7 +162,7 @@
             What::Get => {}
             What::Put(order) | What::Echo(order) => {
                 history.answers.push(Answer { order, control, sent: call.sent, heard: now, status });
-                let is_lost = self.is_unheard && self.luck.is(70);
+                let is_lost = self.is_unheard && self.luck.chance(70);
                 let at = self.ops.iter().position(|op| op.waits_for == call.token && op.next.is_none());
                 if let Some(at) = at.filter(|_| !is_lost) {
                     self.told(at, status, now);
@@ -183,7 +183,7 @@
         op.next = Some(now + (PAUSE << op.tries.min(4)));
     }
 
-    fn send_due(&mut self, world: &mut World, history: &History, gone: &BTreeSet<String>) {
+    fn send_due(&mut self, world: &mut Simulation, history: &History, gone: &BTreeSet<String>) {
         let now = world.now;
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.echoes).into_iter().partition(|echo| echo.0 <= now);
@@ -202,7 +202,7 @@
             };
             let Some(to) = to else { continue };
             let order = self.ops[at].order;
-            if self.is_echoing && self.luck.is(60) {
+            if self.is_echoing && self.luck.chance(60) {
                 let (after, to) = (self.luck.below(3 * S), self.pick(world, gone).unwrap_or(to));
                 self.echoes.push((now + after, to, order));
             }
--- a/crates/wv-simulation/src/nemesis/play.rs
+++ b/crates/wv-simulation/src/nemesis/play.rs
@@ -1,7 +1,7 @@
 //! Plays a nemesis day: events begin and end at their times, operators and readers go about their work meanwhile.
 use super::operator::Operators;
 use super::{Day, Event, History, Post, Seen};
-use crate::{Luck, World, MS, S};
+use crate::{Rng, Simulation, MS, S};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often operators listen and versions are looked at.
@@ -22,8 +22,8 @@
 }
 
 pub(super) struct Player {
-    pub world: World,
-    pub luck: Luck,
+    pub world: Simulation,
+    pub luck: Rng,
     pub history: History,
     pub operators: Operators,
     pub todo: BTreeMap<(u64, u64), Todo>,
@@ -43,15 +43,15 @@
 /// Plays the day to its end, a calm included, and returns what everybody wrote down.
 pub fn play(day: &Day) -> History {
     let bears = (day.core.min(7) - 1) / 2;
-    let mut world = World::bearing(day.access, day.core, &["s".to_owned()], bears.max(1));
-    world.is_wild = true;
-    world.luck = Luck::new(day.seed ^ 0x5eed);
+    let mut world = Simulation::with_tolerance(day.access, day.core, &["s".to_owned()], bears.max(1));
+    world.has_link_timeouts = true;
+    world.rng = Rng::new(day.seed ^ 0x5eed);
     (0..day.thin).for_each(|_| {
-        world.add_thin();
+        world.add_diskless_control();
     });
     let mut player = Player {
         operators: Operators::new(day.seed),
-        luck: Luck::new(day.seed),
+        luck: Rng::new(day.seed),
         history: History::default(),
         todo: BTreeMap::new(),
         turn: 0,
@@ -67,14 +67,14 @@
     player.run(2 * S);
     player.order("c0");
     player.run(S);
-    player.world.load(4, "p");
-    player.world.load(2, "b");
+    player.world.start_load(4, "p");
+    player.world.start_load(2, "b");
     player.run(2 * S);
     let start = player.world.now;
     for event in &day.events {
         let at = start + event.at_ms * MS;
         player.run(at.saturating_sub(player.world.now));
-        player.luck = Luck::new(day.seed ^ event.at_ms);
+        player.luck = Rng::new(day.seed ^ event.at_ms);
         player.begin(event);
     }
     // What still goes on ends at its time.
@@ -118,12 +118,12 @@
         for (at, node) in self.world.access.iter().enumerate() {
             let Some(core) = node.core.as_ref() else { continue };
             let version = core.held_configuration_version();
-            if self.held.insert((at, node.life), version) != Some(version) {
-                let seen = Seen { node: node.name.clone(), life: node.life, at: now, version };
+            if self.held.insert((at, node.incarnation), version) != Some(version) {
+                let seen = Seen { node: node.name.clone(), life: node.incarnation, at: now, version };
                 self.history.seen.push(seen);
             }
         }
-        for base in self.world.bases.iter().filter(|base| base.is_primary && base.is_up) {
+        for base in self.world.databases.iter().filter(|base| base.is_primary && base.is_up) {
             let lead = (base.service.clone(), base.term, base.id.clone());
             if !self.history.leads.contains(&lead) {
                 self.history.leads.push(lead);
@@ -146,7 +146,7 @@
     fn insist_gone(&mut self) {
         let now = self.world.now;
         for (base, token, at) in std::mem::take(&mut self.deletes) {
-            let is_heard = self.world.returns.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
+            let is_heard = self.world.responses.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
             match at + 300 * MS <= now {
                 _ if is_heard => {}
                 true => self.say_gone(base),
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn say_gone(&mut self, base: usize) {
-        let path = format!("/instances/{}", self.world.bases[base].id);
+        let path = format!("/instances/{}", self.world.databases[base].id);
         let up = |at: &usize| self.world.controls[*at].core.is_some();
         let up: Vec<usize> = (0..self.world.controls.len()).filter(up).collect();
         let to = up.get(self.luck.below(up.len() as u64) as usize).copied();
@@ -166,16 +166,16 @@
 
     fn end(mut self) -> History {
         self.world.stop_load();
-        self.run(crate::REST);
-        let (done, failed) = self.world.load_done();
+        self.run(crate::SETTLE_US);
+        let (done, failed) = self.world.load_counts();
         (self.history.done, self.history.failed) = (done, failed);
         // Without a lead there is no log to judge by; that there is none is a matter of the calm.
-        let has_lead = self.world.bases.iter().any(|base| base.is_primary);
+        let has_lead = self.world.databases.iter().any(|base| base.is_primary);
         self.history.statements = match has_lead {
-            true => self.world.judge(),
-            false => std::mem::take(&mut self.world.oracle.broken),
+            true => self.world.check_rules(),
+            false => std::mem::take(&mut self.world.oracle.violations),
         };
-        let posts = self.world.posts.iter().zip(&self.world.posted_by);
+        let posts = self.world.promotion_calls.iter().zip(&self.world.promotion_callers);
         let post =
             |((service, id, fence, code), (at, control, life)): (&(String, String, u64, Option<u16>), &_)| Post {
                 at: *at,
@@ -186,7 +186,7 @@
                 code: *code,
             };
         self.history.posts = posts.map(post).collect();
-        self.history.course = std::mem::take(&mut self.world.course);
+        self.history.course = std::mem::take(&mut self.world.event_log);
         self.history
     }
 }
--- a/crates/wv-simulation/src/nemesis/trouble.rs
+++ b/crates/wv-simulation/src/nemesis/trouble.rs
@@ -1,21 +1,21 @@
 //! What an event does to the world, and what its end does.
 use super::play::{Player, Todo};
 use super::{Event, Kind};
-use crate::{Node, MS, S};
+use crate::{NodeId, MS, S};
 
 /// How long after its SIGTERM a process is killed.
 const GRACE: u64 = 2 * S;
 
 impl Player {
     /// The node of this name, as it is now; none where the day names one that does not exist.
-    pub(super) fn node(&self, name: &str) -> Option<Node> {
+    pub(super) fn node(&self, name: &str) -> Option<NodeId> {
         let at = |letter| name.strip_prefix(letter).and_then(|rest: &str| rest.parse::<usize>().ok());
-        let access = at('a').filter(|at| *at < self.world.access.len()).map(Node::Access);
-        access.or_else(|| at('c').filter(|at| *at < self.world.controls.len()).map(Node::Control))
+        let access = at('a').filter(|at| *at < self.world.access.len()).map(NodeId::Access);
+        access.or_else(|| at('c').filter(|at| *at < self.world.controls.len()).map(NodeId::Control))
     }
 
     fn base(&self, name: &str) -> Option<usize> {
-        self.world.base(&format!("i-{name}")).filter(|at| !self.world.bases[*at].is_left)
+        self.world.database_index(&format!("i-{name}")).filter(|at| !self.world.databases[*at].is_removed)
     }
 
     /// The name by which walls know a node or a database.
@@ -26,7 +26,7 @@
     fn others(&self, names: &[String], is_core_only: bool) -> Vec<String> {
         let controls = self.world.controls.iter().map(|node| node.name.clone());
         let access = self.world.access.iter().map(|node| node.name.clone()).filter(|_| !is_core_only);
-        let bases = self.world.bases.iter().map(|base| base.id.clone()).filter(|_| !is_core_only);
+        let bases = self.world.databases.iter().map(|base| base.id.clone()).filter(|_| !is_core_only);
         controls.chain(access).chain(bases).filter(|name| !names.contains(name)).collect()
     }
 
@@ -49,19 +49,19 @@
     }
 
     pub(super) fn begin(&mut self, event: &Event) {
-        self.world.note(format!("nemesis: {event}"));
+        self.world.log_event(format!("nemesis: {event}"));
         if event.kind.is_call() {
             return self.ask(event);
         }
         self.later(event.for_ms * MS, Todo::End(event.clone()));
         let ways = self.ways(event);
-        ways.iter().for_each(|(from, to)| self.world.wall(from, to));
+        ways.iter().for_each(|(from, to)| self.world.add_partition(from, to));
         if event.kind != Kind::Rift {
             self.walls.insert((event.at_ms, event.to_string()), ways);
         }
         match event.kind {
             Kind::Platform => self.world.is_platform_down = true,
-            Kind::Sluggish => self.world.promote_us = 2 * S,
+            Kind::Sluggish => self.world.promotion_delay_us = 2 * S,
             Kind::Unheard => self.operators.is_unheard = true,
             Kind::Echo => self.operators.is_echoing = true,
             _ => {}
@@ -69,8 +69,8 @@
         let draw = self.luck.below(u64::MAX);
         for name in &event.targets {
             match (self.node(name), self.base(name)) {
-                (Some(Node::Control(at)), _) => self.strike_control(event, at, draw),
-                (Some(Node::Access(at)), _) => self.strike_access(event, at),
+                (Some(NodeId::Control(at)), _) => self.strike_control(event, at, draw),
+                (Some(NodeId::Access(at)), _) => self.strike_access(event, at),
                 (None, Some(at)) => self.strike_base(event, at),
                 (None, None) => {}
             }
@@ -82,7 +82,7 @@
         let is_first = event.targets.first() == Some(&name);
         match event.kind {
             Kind::Freeze => self.world.freeze_control(at),
-            Kind::Slow => self.world.slow_down(Node::Control(at), event.by * MS),
+            Kind::Slow => self.world.set_event_delay(NodeId::Control(at), event.by * MS),
             Kind::Kill | Kind::Wipe | Kind::Replace => {
                 self.kill(&name, event.kind == Kind::Replace);
                 if event.kind == Kind::Wipe {
@@ -92,21 +92,21 @@
             Kind::Power => {
                 self.down.insert(name);
                 self.world.thaw_control(at);
-                self.world.power_control(at, draw);
+                self.world.power_off_control(at, draw);
             }
             Kind::Tear => {
                 self.down.insert(name);
-                self.world.controls[at].faults.tear(draw);
+                self.world.controls[at].disk_faults.tear_next_write(draw);
             }
             Kind::Quit => {
                 self.world.with_control(at, |core, now| core.begin_shutdown(now));
                 self.later(GRACE.min(event.for_ms * MS / 2), Todo::Kill(name, true));
             }
-            Kind::Stall => self.world.controls[at].faults.hang(),
-            Kind::Full => self.world.controls[at].faults.fill(draw),
+            Kind::Stall => self.world.controls[at].disk_faults.set_hanging(),
+            Kind::Full => self.world.controls[at].disk_faults.set_full(draw),
             Kind::Clock => {
                 let step = (event.by * MS) as i64;
-                self.world.controls[at].clock_us += if event.by % 2 == 1 { -step } else { step };
+                self.world.controls[at].clock_offset_us += if event.by % 2 == 1 { -step } else { step };
             }
             Kind::Reset if is_first => {
                 event.targets[1..].iter().for_each(|other| self.world.reset_links(at, other));
@@ -119,10 +119,10 @@
         let name = self.world.access[at].name.clone();
         match event.kind {
             Kind::Freeze => self.world.freeze_access(at),
-            Kind::Slow => self.world.slow_down(Node::Access(at), event.by * MS),
+            Kind::Slow => self.world.set_event_delay(NodeId::Access(at), event.by * MS),
             Kind::Kill | Kind::Power | Kind::Wipe => self.kill(&name, false),
             Kind::Term => {
-                self.world.term_access(at);
+                self.world.terminate_access(at);
                 self.later(GRACE.min(event.for_ms * MS / 2), Todo::Kill(name, false));
             }
             _ => {}
@@ -135,14 +135,14 @@
         }
         self.down.insert(name.to_owned());
         match self.node(name) {
-            Some(Node::Control(at)) => {
+            Some(NodeId::Control(at)) => {
                 self.world.thaw_control(at);
                 self.world.kill_control(at);
                 let node = &self.world.controls[at];
                 // The kernel ends what it was writing.
-                node.faults.end(&node.files);
+                node.disk_faults.clear(&node.files);
             }
-            Some(Node::Access(at)) => {
+            Some(NodeId::Access(at)) => {
                 self.world.thaw_access(at);
                 self.world.kill_access(at);
             }
@@ -155,7 +155,7 @@
         self.down.remove(&name);
         if self.world.controls[at].core.is_none() && !self.gone.contains(&name) {
             let node = &self.world.controls[at];
-            node.faults.end(&node.files);
+            node.disk_faults.clear(&node.files);
             self.world.start_control(at, false);
         }
     }
@@ -165,11 +165,11 @@
             Todo::End(event) => self.over(&event),
             Todo::Kill(name, is_for_good) => self.kill(&name, is_for_good),
             Todo::Delete(base) => {
-                self.world.gone.insert(base);
+                self.world.departed.insert(base);
                 self.say_gone(base);
             }
             Todo::Gone(base) => {
-                self.world.bases[base].is_left = true;
+                self.world.databases[base].is_removed = true;
                 self.world.crash(base);
             }
         }
@@ -177,10 +177,10 @@
 
     fn over(&mut self, event: &Event) {
         let ways = self.walls.remove(&(event.at_ms, event.to_string())).unwrap_or_default();
-        ways.iter().for_each(|(from, to)| self.world.unwall(from, to));
+        ways.iter().for_each(|(from, to)| self.world.remove_partition(from, to));
         match event.kind {
             Kind::Platform => self.world.is_platform_down = false,
-            Kind::Sluggish => self.world.promote_us = 300 * MS,
+            Kind::Sluggish => self.world.promotion_delay_us = 300 * MS,
             Kind::Unheard => self.operators.is_unheard = false,
             Kind::Echo => self.operators.is_echoing = false,
             Kind::Drain | Kind::Leave => event.targets.iter().for_each(|_| self.join_base()),
@@ -189,28 +189,28 @@
         }
         for name in &event.targets {
             match (self.node(name), self.base(name)) {
-                (Some(Node::Control(at)), _) => match event.kind {
+                (Some(NodeId::Control(at)), _) => match event.kind {
                     Kind::Freeze => self.world.thaw_control(at),
-                    Kind::Slow => self.world.slow_down(Node::Control(at), 0),
+                    Kind::Slow => self.world.set_event_delay(NodeId::Control(at), 0),
                     Kind::Kill | Kind::Wipe | Kind::Power | Kind::Tear => self.start_control(at),
                     _ => {}
                 },
-                (Some(Node::Access(at)), _) => match event.kind {
+                (Some(NodeId::Access(at)), _) => match event.kind {
                     Kind::Freeze => self.world.thaw_access(at),
-                    Kind::Slow => self.world.slow_down(Node::Access(at), 0),
-                    Kind::Kill | Kind::Power | Kind::Wipe | Kind::Term => self.world.start_access_anew(at),
+                    Kind::Slow => self.world.set_event_delay(NodeId::Access(at), 0),
+                    Kind::Kill | Kind::Power | Kind::Wipe | Kind::Term => self.world.restart_access(at),
                     _ => {}
                 },
                 (None, Some(at)) => match event.kind {
                     Kind::Crash | Kind::Dark => self.world.revive(at),
-                    Kind::Lag => self.world.bases[at].apply_lag = 20 * MS,
+                    Kind::Lag => self.world.databases[at].apply_lag_us = 20 * MS,
                     _ => {}
                 },
                 (None, None) => {}
             }
-            if let (Some(Node::Control(at)), Kind::Stall | Kind::Full | Kind::Tear) = (self.node(name), event.kind) {
+            if let (Some(NodeId::Control(at)), Kind::Stall | Kind::Full | Kind::Tear) = (self.node(name), event.kind) {
                 let node = &self.world.controls[at];
-                node.faults.end(&node.files);
+                node.disk_faults.clear(&node.files);
             }
         }
     }
--- a/crates/wv-simulation/src/nodes.rs
+++ b/crates/wv-simulation/src/nodes.rs
@@ -1,119 +1,119 @@
-//! Access and control nodes in the world: their cores driven by its events.
-use crate::world::{Ev, World, HOP};
+//! Access and control nodes; starts and stops access nodes and applies the actions of their cores.
+use crate::simulation::{Event, Simulation, LINK_DELAY_US};
 use crate::{MS, S};
 use std::collections::BTreeMap;
 use wv_access::Act as AccessAct;
 use wv_internal_protocol::Message;
 
-/// One end of a link between nodes.
+/// One end of a link to a control node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum End {
-    Control { at: usize, link: u64, life: u64 },
-    Access { at: usize, life: u64, turn: u64 },
+pub enum LinkEnd {
+    Control { at: usize, link: u64, incarnation: u64 },
+    Access { at: usize, incarnation: u64, attempt: u64 },
 }
 
-pub struct Access {
+pub struct AccessNode {
     pub name: String,
     pub core: Option<wv_access::Core>,
-    pub(crate) life: u64,
-    pub(crate) armed: u64,
-    /// The control node's end of the session, and this side's number of it.
-    pub(crate) session: Option<End>,
-    pub(crate) turn: u64,
-    pub(crate) heard: u64,
-    pub(crate) next: usize,
-    pub(crate) beats: u32,
+    pub(crate) incarnation: u64,
+    pub(crate) timer_us: u64,
+    /// The control node's end of the session; `attempt` counts the sessions.
+    pub(crate) session: Option<LinkEnd>,
+    pub(crate) attempt: u64,
+    pub(crate) last_received_us: u64,
+    pub(crate) control_index: usize,
+    pub(crate) heartbeats: u32,
 }
 
-pub struct Control {
+pub struct ControlNode {
     pub name: String,
     pub addr: String,
     pub seeds: Vec<String>,
     pub core: Option<wv_control::Core>,
     pub files: wv_consensus::MemoryFiles,
-    pub is_core: bool,
-    pub(crate) life: u64,
-    pub(crate) far: BTreeMap<u64, End>,
-    /// When something last came over each link.
-    pub(crate) heard: BTreeMap<u64, u64>,
-    pub faults: crate::disk::Faults,
-    /// How far its time of day is off.
-    pub clock_us: i64,
+    pub has_disk: bool,
+    pub(crate) incarnation: u64,
+    pub(crate) far_ends: BTreeMap<u64, LinkEnd>,
+    /// When each link last delivered a message.
+    pub(crate) last_received_us: BTreeMap<u64, u64>,
+    pub disk_faults: crate::disk::DiskFaults,
+    /// Offset of the wall clock.
+    pub clock_offset_us: i64,
 }
 
-impl Access {
-    pub(crate) fn new(at: usize) -> Access {
-        Access {
+impl AccessNode {
+    pub(crate) fn new(at: usize) -> AccessNode {
+        AccessNode {
             name: format!("a{at}"),
             core: None,
-            life: 0,
-            armed: u64::MAX,
+            incarnation: 0,
+            timer_us: u64::MAX,
             session: None,
-            turn: 0,
-            heard: 0,
-            next: at,
-            beats: 0,
+            attempt: 0,
+            last_received_us: 0,
+            control_index: at,
+            heartbeats: 0,
         }
     }
 }
 
-impl Control {
-    pub(crate) fn new(at: usize, addr: &str, seeds: &[String]) -> Control {
-        Control {
+impl ControlNode {
+    pub(crate) fn new(at: usize, addr: &str, seeds: &[String]) -> ControlNode {
+        ControlNode {
             name: format!("c{at}"),
             addr: addr.to_owned(),
             seeds: seeds.to_vec(),
             core: None,
             files: wv_consensus::MemoryFiles::default(),
-            is_core: true,
-            life: 0,
-            far: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            faults: Default::default(),
-            clock_us: 0,
+            has_disk: true,
+            incarnation: 0,
+            far_ends: BTreeMap::new(),
+            last_received_us: BTreeMap::new(),
+            disk_faults: Default::default(),
+            clock_offset_us: 0,
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn start_access(&mut self, at: usize) {
-        self.life += 1;
-        self.note_trouble(&self.access[at].name.clone());
+        self.last_incarnation += 1;
+        self.record_fault(&self.access[at].name.clone());
         let node = &mut self.access[at];
-        let is_first = node.life == 0;
-        (node.life, node.armed, node.session) = (self.life, u64::MAX, None);
+        let is_first = node.incarnation == 0;
+        (node.incarnation, node.timer_us, node.session) = (self.last_incarnation, u64::MAX, None);
         let mut core = wv_access::Core::new(&format!("z{}", at % 3), 6 * S);
         core.set_node_name(&node.name);
-        core.set_incarnation(self.life);
+        core.set_incarnation(self.last_incarnation);
         node.core = Some(core);
         if is_first {
-            self.put(100 * MS, Ev::Care(at));
-            self.put(MS, Ev::Session(at));
+            self.schedule(100 * MS, Event::AccessMaintenance(at));
+            self.schedule(MS, Event::AccessSession(at));
         }
     }
 
     /// SIGTERM.
-    pub fn term_access(&mut self, at: usize) {
-        self.note_trouble(&self.access[at].name.clone());
+    pub fn terminate_access(&mut self, at: usize) {
+        self.record_fault(&self.access[at].name.clone());
         self.with_access(at, |core, now| core.begin_shutdown(now));
     }
 
     pub fn kill_access(&mut self, at: usize) {
         self.access[at].core = None;
-        self.note_trouble(&self.access[at].name.clone());
-        self.cut_hands(at);
+        self.record_fault(&self.access[at].name.clone());
+        self.close_peer_links(at);
         let session = self.access[at].session.take();
-        session.into_iter().for_each(|end| self.put(HOP, Ev::LinkDown { end }));
-        // Sessions of a recorded hour notice, and go elsewhere.
-        let is_load = |client: &crate::clients::Client| self.is_wild && client.load.is_some();
+        session.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
+        // Workload sessions see the disconnect and reconnect elsewhere.
+        let is_load = |client: &crate::clients::Client| self.has_link_timeouts && client.load.is_some();
         let is_told = |client: &&crate::clients::Client| client.session.is_some() || is_load(client);
         let cut = self.clients.iter().filter(|client| client.node == at).filter(is_told);
         let cut: Vec<u64> = cut.filter_map(|client| client.id).collect();
-        cut.into_iter().for_each(|id| self.client_closed(at, id));
+        cut.into_iter().for_each(|id| self.on_client_closed(at, id));
         let keys: Vec<(usize, u64)> = self.db_conns.keys().filter(|key| key.0 == at).copied().collect();
         for key in keys {
-            if let Some((base, conn)) = self.forget_conn(key) {
-                self.bases[base].conns.remove(&conn);
+            if let Some((database, conn)) = self.remove_connection(key) {
+                self.databases[database].conns.remove(&conn);
             }
         }
     }
@@ -128,55 +128,55 @@
         let ret = event(core, now);
         let acts = core.take_acts();
         let next = core.next_limit();
-        let sights =
+        let health_reports =
             if core.has_sights() { core.take_health_reports(wv_access::ReportScope::Changes) } else { Vec::new() };
-        let reports = if core.has_sights() { core.take_split_reports(false) } else { Vec::new() };
-        acts.into_iter().for_each(|act| self.access_act(at, act));
-        if let Some(next) = next.filter(|next| *next < self.access[at].armed) {
-            self.access[at].armed = next;
-            self.put(next.saturating_sub(now), Ev::Timer(at));
+        let split_reports = if core.has_sights() { core.take_split_reports(false) } else { Vec::new() };
+        acts.into_iter().for_each(|act| self.apply_access_action(at, act));
+        if let Some(next) = next.filter(|next| *next < self.access[at].timer_us) {
+            self.access[at].timer_us = next;
+            self.schedule(next.saturating_sub(now), Event::AccessTimer(at));
         }
-        if let Some(to) = self.access[at].session.filter(|_| !sights.is_empty()) {
-            self.put(HOP, Ev::Link { to, msg: Message::HealthReports(sights) });
+        if let Some(to) = self.access[at].session.filter(|_| !health_reports.is_empty()) {
+            self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg: Message::HealthReports(health_reports) });
         }
         if let Some(to) = self.access[at].session {
-            reports.into_iter().for_each(|msg| self.put(HOP, Ev::Link { to, msg }));
+            split_reports.into_iter().for_each(|msg| self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg }));
         }
         Some(ret)
     }
 
-    fn access_act(&mut self, at: usize, act: AccessAct) {
+    fn apply_access_action(&mut self, at: usize, act: AccessAct) {
         match act {
-            AccessAct::DialHand { link, place } => self.dial_hand(at, link, &place),
-            AccessAct::SendHand { link, msg } => self.send_hand(at, link, msg),
+            AccessAct::DialHand { link, place } => self.dial_peer(at, link, &place),
+            AccessAct::SendHand { link, msg } => self.send_to_peer(at, link, msg),
             AccessAct::WriteClient(id) => {
                 if let Some((link, msg)) =
                     self.access[at].core.as_mut().and_then(|core| core.take_forwarded_response(id))
                 {
-                    return self.send_hand(at, link, msg);
+                    return self.send_to_peer(at, link, msg);
                 }
                 let core = self.access[at].core.as_mut();
                 let out = core.and_then(|core| core.client_out(id)).map(std::mem::take).unwrap_or_default();
-                self.client_heard(at, id, &out);
+                self.on_client_data(at, id, &out);
             }
             AccessAct::CloseClient(id, out) => {
-                self.client_heard(at, id, &out);
-                self.client_closed(at, id);
+                self.on_client_data(at, id, &out);
+                self.on_client_closed(at, id);
             }
             AccessAct::WriteDb(db) => {
                 let core = self.access[at].core.as_mut();
                 let out = core.and_then(|core| core.db_out(db)).map(std::mem::take).unwrap_or_default();
                 let name = self.access[at].name.clone();
-                if let Some((base, conn)) = self.db_conns.get(&(at, db)).copied() {
-                    if !self.is_lossy(&name, &self.bases[base].id.clone()) {
-                        self.put(HOP, Ev::DbIn { base, conn, bytes: out });
+                if let Some((database, conn)) = self.db_conns.get(&(at, db)).copied() {
+                    if !self.is_dropped(&name, &self.databases[database].id.clone()) {
+                        self.schedule(LINK_DELAY_US, Event::DbIn { database, conn, bytes: out });
                     }
                 }
             }
             AccessAct::CloseDb(db) => {
-                if let Some((base, conn)) = self.forget_conn((at, db)) {
-                    self.bases[base].conns.remove(&conn);
-                    self.bases[base].busy.remove(&conn);
+                if let Some((database, conn)) = self.remove_connection((at, db)) {
+                    self.databases[database].conns.remove(&conn);
+                    self.databases[database].busy.remove(&conn);
                 }
             }
             AccessAct::OpenDb { db, addr } => self.open_db(at, db, &addr),
--- a/crates/wv-simulation/src/oracle.rs
+++ b/crates/wv-simulation/src/oracle.rs
@@ -1,59 +1,59 @@
-//! What the rules say, judged on what the stand-ins saw.
-use crate::Base;
+//! Consistency checks over what the simulated databases executed and what clients were told.
+use crate::Database;
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub struct Oracle {
-    /// Tags whose commit was acknowledged to a client, and when.
+    /// Tags of acknowledged commits, with the time of acknowledgement.
     pub acked: BTreeMap<String, u64>,
-    /// Tags whose client was promised that nothing is kept.
-    pub promised: BTreeMap<String, u64>,
-    /// Broken rules, as found.
-    pub broken: Vec<String>,
-    pub unsure: usize,
-    pub runs: BTreeMap<String, u32>,
+    /// Tags of writes that failed with a code that guarantees they were not applied.
+    pub rejected: BTreeMap<String, u64>,
+    /// Violations found so far.
+    pub violations: Vec<String>,
+    pub indeterminate: usize,
+    pub executions: BTreeMap<String, u32>,
     pub reads: usize,
-    /// Where each committed tag stands in the log.
-    pub places: BTreeMap<String, (String, usize)>,
-    /// How much of each service's log is acknowledged, by time.
-    needs: BTreeMap<String, Vec<(u64, usize)>>,
+    /// Service and log index of each committed tag.
+    pub log_positions: BTreeMap<String, (String, usize)>,
+    /// Acknowledged length of each service's log over time.
+    acked_lengths: BTreeMap<String, Vec<(u64, usize)>>,
 }
 
 impl Oracle {
-    /// A read ran: every commit acknowledged before `since` must stand in what the database had applied.
-    pub fn read_ran(&mut self, id: &str, base: &Base, since: u64) {
+    /// Checks that a read's database had applied all commits acknowledged before `since`.
+    pub fn check_read(&mut self, id: &str, database: &Database, since: u64) {
         self.reads += 1;
-        let needs = self.needs.get(&base.service).map_or(&[][..], Vec::as_slice);
-        let at = needs.partition_point(|(acked, _)| *acked < since);
-        let need = at.checked_sub(1).map_or(0, |at| needs[at].1);
-        if base.applied < need {
-            self.broken.push(format!("STALE: {id} on {} has {} of {need}", base.id, base.applied));
+        let lengths = self.acked_lengths.get(&database.service).map_or(&[][..], Vec::as_slice);
+        let at = lengths.partition_point(|(acked, _)| *acked < since);
+        let required = at.checked_sub(1).map_or(0, |at| lengths[at].1);
+        if database.applied_len < required {
+            self.violations.push(format!("STALE: {id} on {} has {} of {required}", database.id, database.applied_len));
         }
     }
 
-    /// A client heard that its commit stands.
-    pub fn ack(&mut self, tag: String, now: u64) {
-        if let Some((service, place)) = self.places.get(&tag) {
-            let needs = self.needs.entry(service.clone()).or_default();
-            let need = needs.last().map_or(0, |(_, need)| *need).max(place + 1);
-            needs.push((now, need));
+    /// Records that a commit was acknowledged to its client.
+    pub fn record_ack(&mut self, tag: String, now: u64) {
+        if let Some((service, index)) = self.log_positions.get(&tag) {
+            let lengths = self.acked_lengths.entry(service.clone()).or_default();
+            let required = lengths.last().map_or(0, |(_, required)| *required).max(index + 1);
+            lengths.push((now, required));
         }
         self.acked.insert(tag, now);
     }
 
-    /// Nothing acknowledged may be missing, doubled, or kept against a promise.
-    pub fn judge(&mut self, log: &[crate::base::Entry]) {
+    /// Checks that no acknowledged write is missing or duplicated and that no rejected write is in the log.
+    pub fn check_log(&mut self, log: &[crate::database::LogEntry]) {
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
-        let own = |entry: &&crate::base::Entry| entry.write.tag != "-";
+        let own = |entry: &&crate::database::LogEntry| entry.write.tag != "-";
         log.iter().filter(own).for_each(|entry| *counts.entry(entry.write.tag.as_str()).or_default() += 1);
         for tag in self.acked.keys().filter(|tag| !counts.contains_key(tag.as_str())) {
-            self.broken.push(format!("LOST: {tag}"));
+            self.violations.push(format!("LOST: {tag}"));
         }
         for (tag, _) in counts.iter().filter(|(_, count)| **count > 1) {
-            self.broken.push(format!("TWICE: {tag}"));
+            self.violations.push(format!("TWICE: {tag}"));
         }
-        for tag in self.promised.keys().filter(|tag| counts.contains_key(tag.as_str())) {
-            self.broken.push(format!("REFUSED: {tag}"));
+        for tag in self.rejected.keys().filter(|tag| counts.contains_key(tag.as_str())) {
+            self.violations.push(format!("REFUSED: {tag}"));
         }
     }
 }
--- a/crates/wv-simulation/src/replication.rs
+++ b/crates/wv-simulation/src/replication.rs
@@ -1,37 +1,42 @@
-//! How the log of a primary reaches its replicas.
-use crate::world::{Ev, World};
+//! Log replication from primaries to replicas.
+use crate::simulation::{Event, Simulation};
 use crate::MS;
 
-impl World {
+impl Simulation {
     pub(crate) fn replicate(&mut self, from: usize, to: usize, len: usize) {
-        let (source, target) = (&self.bases[from], &self.bases[to]);
-        let is_receiving = target.is_up && !target.is_dark && !target.is_deaf && target.held == 0 && !target.is_primary;
-        let is_linked = !self.is_cut(&source.id, &target.id) && source.service == target.service && !target.is_left;
+        let (source, target) = (&self.databases[from], &self.databases[to]);
+        let is_receiving = target.is_up
+            && !target.is_unreachable
+            && !target.is_log_blocked
+            && target.suspended == 0
+            && !target.is_primary;
+        let is_linked =
+            !self.is_disconnected(&source.id, &target.id) && source.service == target.service && !target.is_removed;
         if !is_receiving || !is_linked || !source.is_primary || !source.is_up || target.log.len() >= len {
             return;
         }
-        // Cut back at each promotion, a replica's log is always the beginning of the primary's.
+        // Logs are truncated at each promotion, so a replica's log is a prefix of the primary's.
         let missing = source.log[target.log.len().min(source.log.len())..len.min(source.log.len())].to_vec();
-        let lag = self.bases[to].apply_lag;
-        self.bases[to].log.extend(missing);
-        self.put(lag, Ev::Apply { base: to, len });
-        // One replica that has received is enough for the acknowledgement.
-        let received = self.bases[to].received();
+        let lag = self.databases[to].apply_lag_us;
+        self.databases[to].log.extend(missing);
+        self.schedule(lag, Event::Apply { database: to, len });
+        // A commit is acknowledged once one replica has received it.
+        let received = self.databases[to].received_position();
         self.acknowledge(from, received);
     }
 
-    pub(crate) fn is_replica_of(&self, base: usize, other: usize) -> bool {
-        let (one, other_base) = (&self.bases[base], &self.bases[other]);
-        base != other && one.service == other_base.service && !other_base.is_left
+    pub(crate) fn is_replica_of(&self, database: usize, other: usize) -> bool {
+        let (one, other_base) = (&self.databases[database], &self.databases[other]);
+        database != other && one.service == other_base.service && !other_base.is_removed
     }
 
-    /// A replica that received nothing for a while has the primary's log within moments, also where nothing is written.
-    pub(crate) fn catch_up(&mut self, base: usize) {
-        let is_lead = |at: &usize| self.bases[*at].is_primary && self.is_replica_of(*at, base);
-        let lead = (0..self.bases.len()).filter(is_lead).max_by_key(|at| self.bases[*at].term);
-        if let Some(from) = lead.filter(|from| self.bases[*from].log.len() > self.bases[base].log.len()) {
-            let len = self.bases[from].log.len();
-            self.put(2 * MS, Ev::Replicate { from, to: base, len });
+    /// Sends the primary's missing log entries to a replica, also while there are no writes.
+    pub(crate) fn catch_up(&mut self, database: usize) {
+        let is_lead = |at: &usize| self.databases[*at].is_primary && self.is_replica_of(*at, database);
+        let lead = (0..self.databases.len()).filter(is_lead).max_by_key(|at| self.databases[*at].term);
+        if let Some(from) = lead.filter(|from| self.databases[*from].log.len() > self.databases[database].log.len()) {
+            let len = self.databases[from].log.len();
+            self.schedule(2 * MS, Event::Replicate { from, to: database, len });
         }
     }
 }
--- /dev/null
+++ b/crates/wv-simulation/src/split_checks.rs
@@ -0,0 +1,150 @@
+//! Shard splits: windvalve's own statements at databases, and checks on rows after a split.
+use crate::connection::Connection;
+use crate::database::{Outcome, Write};
+use crate::simulation::{Event, Simulation, LINK_DELAY_US};
+use crate::MS;
+use std::collections::BTreeMap;
+use wv_internal_protocol::{SlotMap, SlotRange};
+use wv_shard_split::Reply;
+use wv_wire_protocol::{split_line, DatabaseLine};
+
+const STATEMENT_US: u64 = MS / 2;
+
+impl Simulation {
+    /// Sends a control node's own statements: the connection opens now, the statements arrive later.
+    pub(crate) fn send_own_statements(&mut self, control: usize, run: u64, id: &str, statements: &[String]) {
+        let name = self.controls[control].name.clone();
+        let is_open = |at: &usize| {
+            let database = &self.databases[*at];
+            database.is_up && !database.is_unreachable && !self.is_disconnected(&name, &database.id)
+        };
+        let Some(database) = self.database_index(id).filter(is_open) else {
+            // Without a connection no statement was sent: the empty list of replies says so.
+            return self.schedule(100 * MS, Event::StatementsDone { control, run, replies: Some(Vec::new()) });
+        };
+        self.next_conn += 1;
+        let conn = self.next_conn;
+        self.databases[database].conns.insert(conn, Connection { state: b'I', ..Connection::default() });
+        let statements = statements.to_vec();
+        let is_copy = statements.last().is_some_and(|text| text == "COMMIT");
+        self.schedule(
+            if is_copy { self.copy_delay_us } else { self.statements_delay_us },
+            Event::RunStatements { control, run, database, conn, statements },
+        );
+    }
+
+    pub(crate) fn run_own_statements(
+        &mut self,
+        control: usize,
+        run: u64,
+        database: usize,
+        conn: u64,
+        statements: &[String],
+    ) {
+        let mut replies = Vec::new();
+        for text in statements {
+            let Some(reply) = self.run_own_statement(database, conn, text) else {
+                return self.schedule(LINK_DELAY_US, Event::StatementsDone { control, run, replies: None });
+            };
+            let is_over = reply.code.is_some();
+            replies.push(reply);
+            if is_over {
+                break;
+            }
+        }
+        // Closing the connection rolls back an open transaction.
+        self.databases[database].conns.remove(&conn);
+        let wait = LINK_DELAY_US + STATEMENT_US * statements.len() as u64;
+        self.schedule(wait, Event::StatementsDone { control, run, replies: Some(replies) });
+    }
+
+    fn run_own_statement(&mut self, database: usize, conn: u64, text: &str) -> Option<Reply> {
+        if !self.databases[database].is_up || !self.databases[database].conns.contains_key(&conn) {
+            return None;
+        }
+        let output = match self.databases[database].execute(conn, text) {
+            Outcome::Reply(output) => output,
+            Outcome::Status => self.databases[database].status_lines(),
+            Outcome::Read(rows) => self.databases[database].complete_lines(&rows, "own", b'T'),
+            Outcome::Buffer(write) => {
+                let write = Write { tag: "-".to_owned(), ..write };
+                self.databases[database]
+                    .conns
+                    .get_mut(&conn)
+                    .into_iter()
+                    .for_each(|connection| connection.writes.push(write.clone()));
+                self.databases[database].complete_lines("", "own", b'T')
+            }
+            Outcome::Commit(writes) => {
+                self.databases[database].append(writes);
+                let len = self.databases[database].log.len();
+                // Acknowledged once a replica has received it, as any commit.
+                let others: Vec<usize> = (0..self.databases.len()).filter(|at| *at != database).collect();
+                others.iter().for_each(|to| self.replicate(database, *to, len));
+                let service = self.databases[database].service.clone();
+                let has_received =
+                    |at: &&usize| self.databases[**at].service == service && self.databases[**at].log.len() >= len;
+                others.iter().find(has_received)?;
+                self.databases[database].complete_lines("", "own", b'I')
+            }
+        };
+        let mut reply = Reply::default();
+        let mut rest = output.as_bytes();
+        while let Some((line, len)) = split_line(rest) {
+            match DatabaseLine::parse(line) {
+                DatabaseLine::Row(row) => reply.rows.push(String::from_utf8_lossy(row).into_owned()),
+                DatabaseLine::Error(code, _) => reply.code = Some(code),
+                DatabaseLine::Idle(_, pos) => reply.pos = pos,
+                _ => {}
+            }
+            rest = &rest[len..];
+        }
+        Some(reply)
+    }
+
+    /// The newest slot map of `shard` at any control node.
+    pub fn slot_map(&self, shard: &str) -> SlotMap {
+        let cores = self.controls.iter().filter_map(|control| control.core.as_ref());
+        let maps = cores.filter_map(|core| core.slot_map(shard));
+        maps.max_by_key(|map| map.version).unwrap_or_default()
+    }
+
+    fn current_primary(&self, service: &str) -> Option<&crate::Database> {
+        self.databases
+            .iter()
+            .filter(|database| database.service == service && database.is_primary)
+            .max_by_key(|database| database.term)
+    }
+
+    /// Checks that each row, at the database that now has its slot, holds the last written value (the target's writes
+    /// follow the source's), and that the target has no client writes to slots that the source still has.
+    pub fn check_rows(&self, source: &str, target: &str, moved: &[SlotRange]) -> Vec<String> {
+        let (Some(source), Some(target)) = (self.current_primary(source), self.current_primary(target)) else {
+            return Vec::new();
+        };
+        let is_moved =
+            |key: &str| moved.iter().any(|range| range.contains(wv_internal_protocol::slot_for_key(key.as_bytes())));
+        let clients = |database: &crate::Database| -> Vec<Write> {
+            database.log.iter().map(|entry| entry.write.clone()).filter(|write| write.tag != "-").collect()
+        };
+        let mut broken = Vec::new();
+        let mut last: BTreeMap<String, Write> = BTreeMap::new();
+        for write in clients(source) {
+            last.insert(write.key.clone(), write);
+        }
+        for write in clients(target) {
+            if !is_moved(&write.key) {
+                broken.push(format!("ASTRAY: {} of {} at the target", write.tag, write.key));
+            }
+            last.insert(write.key.clone(), write);
+        }
+        for (key, write) in &last {
+            let database = if is_moved(key) { target } else { source };
+            let row = database.rows.get(key);
+            if row != Some(&write.value) {
+                broken.push(format!("ROW: {key} is {row:?} at {}, last written {}", database.id, write.value));
+            }
+        }
+        broken
+    }
+}
--- a/crates/wv-simulation/tests/change.rs
+++ b/crates/wv-simulation/tests/change.rs
@@ -3,27 +3,28 @@
 
 use googletest::prelude::*;
 use steps::put;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Seven voters and one machine without a disk behind a thin link, the last one.
-fn fleet() -> World {
-    let mut world = World::serving(2, 7);
+fn fleet() -> Simulation {
+    let mut world = Simulation::configured(2, 7);
     let thin = world.add_control(&[0, 1, 2]);
     restart_thin(&mut world, thin);
     world.run(3 * S);
     world
 }
 
-fn restart_thin(world: &mut World, at: usize) {
+fn restart_thin(world: &mut Simulation, at: usize) {
     world.kill_control(at);
-    world.controls[at].is_core = false;
+    world.controls[at].has_disk = false;
     world.controls[at].files = Default::default();
     world.start_control(at, false);
 }
 
 /// A configuration with so many routes more, all of them different.
 fn long(version: u64, routes: usize) -> Vec<u8> {
-    let mut value: serde_json::Value = serde_json::from_slice(&World::conf(version)).expect("the stand-in's own");
+    let mut value: serde_json::Value =
+        serde_json::from_slice(&Simulation::config(version)).expect("the stand-in's own");
     let route = value["routing"][0].clone();
     let list = value["routing"].as_array_mut().expect("a list");
     list.extend((0..routes).map(|at| {
@@ -36,13 +37,13 @@
 }
 
 /// What came to one node meanwhile.
-fn crossed(world: &mut World, name: &str, course: impl FnOnce(&mut World)) -> wv_simulation::Crossed {
-    world.crossed = Some(Default::default());
+fn crossed(world: &mut Simulation, name: &str, course: impl FnOnce(&mut Simulation)) -> wv_simulation::LinkTraffic {
+    world.traffic = Some(Default::default());
     course(world);
-    world.crossed.take().and_then(|crossed| crossed.get(name).copied()).unwrap_or_default()
+    world.traffic.take().and_then(|crossed| crossed.get(name).copied()).unwrap_or_default()
 }
 
-fn version(world: &World, at: usize) -> u64 {
+fn version(world: &Simulation, at: usize) -> u64 {
     world.controls[at].core.as_ref().map_or(0, |core| core.conf_version())
 }
 
@@ -77,7 +78,7 @@
     let token = world.call(1, "PUT", "/configuration", &long(6, 2001));
     world.run(1700);
     world.kill_control(1);
-    expect_that!(world.returns.get(&token), none());
+    expect_that!(world.responses.get(&token), none());
     let told = crossed(&mut world, "c7", |world| world.run(3 * S));
     expect_that!(version(&world, 7), eq(6));
     expect_that!(told.bytes, lt(20_000));
@@ -90,8 +91,8 @@
     world.run(2 * S);
     let mut places = std::collections::BTreeSet::new();
     for _ in 0..12 {
-        let token = world.call(7, "PUT", "/configuration", &World::conf(9));
-        let (status, place) = world.returns.get(&token).cloned().unwrap_or_default();
+        let token = world.call(7, "PUT", "/configuration", &Simulation::config(9));
+        let (status, place) = world.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(307));
         places.insert(String::from_utf8_lossy(&place).into_owned());
     }
@@ -100,23 +101,23 @@
     expect_that!(places.contains(&down), eq(false));
     (0..7).for_each(|at| world.kill_control(at));
     world.run(2 * S);
-    let token = world.call(7, "PUT", "/configuration", &World::conf(9));
-    expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(503)));
+    let token = world.call(7, "PUT", "/configuration", &Simulation::config(9));
+    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)));
 }
 
 #[gtest]
 fn given_changes_that_follow_each_other_then_followers_hear_of_the_newest_in_steps_and_of_one_alone_at_once() {
-    let mut world = World::serving(2, 3);
+    let mut world = Simulation::configured(2, 3);
     // Between two turns of the control nodes.
     world.run(S + 30 * MS);
     let told = crossed(&mut world, "a0", |world| {
         let token = world.call(0, "PUT", "/configuration", &long(2, 20));
         world.run(20 * MS);
-        expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(200)));
-        let client = world.client(0, "p");
-        expect_that!(world.take(client), elements_are![eq("IDLE I -")]);
+        expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(200)));
+        let client = world.open_client(0, "p");
+        expect_that!(world.take_lines(client), elements_are![eq("IDLE I -")]);
     });
-    expect_that!(told.confs, eq(1));
+    expect_that!(told.configurations, eq(1));
     // Forty in two seconds, to one node after the other: one in force everywhere is never older than the last.
     let told = crossed(&mut world, "a0", |world| {
         for version in 3..43 {
@@ -125,8 +126,8 @@
         }
         world.run(300 * MS);
     });
-    expect_that!(told.confs, ge(8));
-    expect_that!(told.confs, le(16));
+    expect_that!(told.configurations, ge(8));
+    expect_that!(told.configurations, le(16));
     (0..3).for_each(|at| expect_that!(version(&world, at), eq(42)));
     (0..2).for_each(|at| {
         expect_that!(world.access[at].core.as_ref().map_or(0, |core| core.held_configuration_version()), eq(42))
--- a/crates/wv-simulation/tests/common/mod.rs
+++ b/crates/wv-simulation/tests/common/mod.rs
@@ -1,9 +1,10 @@
 //! What the stories of splits share: a planned shard `s` with its target `t`, under a load that writes to many things.
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// The plan of the stories, with what a story changes of it.
 pub fn conf(version: u64, change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
-    let mut value: serde_json::Value = serde_json::from_slice(&World::conf(version)).expect("the stand-in's own");
+    let mut value: serde_json::Value =
+        serde_json::from_slice(&Simulation::config(version)).expect("the stand-in's own");
     let target = serde_json::json!({"label": "t", "maxConnections": 100, "syncReplicas": 1});
     value["services"].as_array_mut().expect("a list").push(target);
     let mut plan =
@@ -14,7 +15,7 @@
 }
 
 pub struct Story {
-    pub world: World,
+    pub world: Simulation,
 }
 
 impl Story {
@@ -29,19 +30,19 @@
 
     /// The same, beginning at a time of day.
     pub fn at(epoch_us: u64, change: impl FnOnce(&mut serde_json::Value)) -> Story {
-        let mut world = World::of(3, 3, &["s".to_owned(), "t".to_owned()]);
-        (world.things, world.epoch_us) = (200, epoch_us);
+        let mut world = Simulation::with_services(3, 3, &["s".to_owned(), "t".to_owned()]);
+        (world.key_count, world.epoch_us) = (200, epoch_us);
         world.run(2 * S);
         let token = world.call(0, "PUT", "/configuration", &conf(1, change));
         world.run(2 * S);
         assert_eq!(
-            world.returns.get(&token).map(|ret| ret.0),
+            world.responses.get(&token).map(|ret| ret.0),
             Some(200),
             "the plan is taken: {:?}",
-            world.returns.get(&token)
+            world.responses.get(&token)
         );
-        world.load(12, "p");
-        world.load(8, "b");
+        world.start_load(12, "p");
+        world.start_load(8, "b");
         world.run(14 * S);
         Story { world }
     }
@@ -52,10 +53,10 @@
         for _ in 0..20 {
             let token = self.world.call(at, method, path, body);
             let wait = self.world.now + 4 * S;
-            while !self.world.returns.contains_key(&token) && self.world.now < wait {
+            while !self.world.responses.contains_key(&token) && self.world.now < wait {
                 self.world.run(50 * MS);
             }
-            let (status, text) = self.world.returns.get(&token).cloned().unwrap_or((0, Vec::new()));
+            let (status, text) = self.world.responses.get(&token).cloned().unwrap_or((0, Vec::new()));
             let text = String::from_utf8_lossy(&text).into_owned();
             match status {
                 307 => {
@@ -100,10 +101,10 @@
     /// All comes to rest; what is wrong then.
     pub fn end(&mut self) -> Vec<String> {
         self.world.stop_load();
-        self.world.run(wv_simulation::REST);
+        self.world.run(wv_simulation::SETTLE_US);
         let moved = self.world.slot_map("s").moved;
-        let mut broken = self.world.judge_rows("s", "t", &moved);
-        broken.extend(self.world.judge());
+        let mut broken = self.world.check_rows("s", "t", &moved);
+        broken.extend(self.world.check_rules());
         broken
     }
 
--- a/crates/wv-simulation/tests/cutoff.rs
+++ b/crates/wv-simulation/tests/cutoff.rs
@@ -3,12 +3,12 @@
 
 use apart::*;
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_a_control_node_cut_off_for_twenty_seconds_then_it_confirms_and_tells_nothing_old() {
     for (at, way) in (0..3).flat_map(|at| WAYS.map(move |way| (at, way))) {
-        let mut world = World::serving(3, 3);
+        let mut world = Simulation::configured(3, 3);
         let other = (at + 1) % 3;
         expect_that!(call(&mut world, at, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "in_service", 1)).0, eq(200));
         world.run(S);
@@ -16,10 +16,10 @@
         world.run(2 * S);
         // Nobody follows it, and whatever it is asked to confirm it puts off at once.
         expect_that!(is_fresh(&world, at), eq(false), "{at} {way:?}");
-        expect_that!(world.followed(), not(contains(some(eq(&at)))), "{at} {way:?}");
+        expect_that!(world.followed_controls(), not(contains(some(eq(&at)))), "{at} {way:?}");
         let drain = beat("10.9.0.1:1", "draining", 7);
         for (what, body) in [
-            (CONF, World::conf(7)),
+            (CONF, Simulation::config(7)),
             (("GET", "/configuration"), Vec::new()),
             (("PUT", "/instances/i-x"), beat("10.9.0.1:1", "in_service", 6)),
             (("PUT", "/instances/i-x"), drain.clone()),
@@ -43,7 +43,7 @@
         expect_that!(call(&mut world, other, ("PUT", "/instances/i-x"), &drain).0, eq(200));
         expect_that!(call(&mut world, other, ("DELETE", "/instances/i-x"), b"").0, eq(200));
         world.run(16 * S);
-        expect_that!(world.followed(), not(contains(some(eq(&at)))), "{at} {way:?}");
+        expect_that!(world.followed_controls(), not(contains(some(eq(&at)))), "{at} {way:?}");
         expect_that!(all_serve(&mut world, "c"), eq(true));
         // Back in touch: from its first word on it knows what happened.
         join(&mut world);
@@ -51,7 +51,7 @@
         while !is_caught_up(&world, at) && world.now < end {
             let token = world.call(at, "GET", "/configuration", b"");
             world.run(2 * MS);
-            let old = world.returns.get(&token).filter(|ret| ret.0 == 200 && ret.1 != renamed(8, "c"));
+            let old = world.responses.get(&token).filter(|ret| ret.0 == 200 && ret.1 != renamed(8, "c"));
             expect_that!(old, none(), "{at} {way:?}");
         }
         expect_that!(is_caught_up(&world, at), eq(true), "{at} {way:?}");
@@ -66,7 +66,7 @@
 #[gtest]
 fn given_a_control_node_that_stood_still_for_twenty_seconds_then_its_first_words_are_not_of_before() {
     for (at, step) in (0..3).flat_map(|at| (0..12u64).map(move |step| (at, step))) {
-        let mut world = World::serving(3, 3);
+        let mut world = Simulation::configured(3, 3);
         let other = (at + 1) % 3;
         expect_that!(
             call(&mut world, other, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "in_service", 1)).0,
@@ -80,7 +80,7 @@
         expect_that!(call(&mut world, other, ("PUT", "/instances/i-x"), &drain).0, eq(200));
         expect_that!(call(&mut world, other, ("DELETE", "/instances/i-x"), b"").0, eq(200));
         world.run(17 * S);
-        expect_that!(world.followed(), not(contains(some(eq(&at)))));
+        expect_that!(world.followed_controls(), not(contains(some(eq(&at)))));
         // It wakes, and is asked before anything else, also before it reads what came meanwhile.
         world.thaw_control(at);
         let late = beat("10.9.0.1:1", "in_service", 6);
@@ -92,13 +92,13 @@
             (CONF, &renamed(9, "d")),
         ] {
             let token = world.call(at, what.0, what.1, body);
-            expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(503)), "{what:?} at {at}, {step}");
+            expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)), "{what:?} at {at}, {step}");
         }
         expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(1)));
         let end = world.now + 2 * S;
         while !is_caught_up(&world, at) && world.now < end {
             world.run(MS);
-            expect_that!(world.followed(), not(contains(some(eq(&at)))), "before it has caught up");
+            expect_that!(world.followed_controls(), not(contains(some(eq(&at)))), "before it has caught up");
         }
         expect_that!(is_caught_up(&world, at), eq(true), "{at} {step}");
         expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(8)));
@@ -112,9 +112,9 @@
 #[gtest]
 fn given_nodes_that_blink_for_less_than_contact_lasts_then_their_followers_stay() {
     for (at, way) in (0..3).flat_map(|at| WAYS.map(move |way| (at, way))) {
-        let mut world = World::serving(6, 3);
+        let mut world = Simulation::configured(6, 3);
         world.run(2 * S);
-        let before = world.followed();
+        let before = world.followed_controls();
         for _ in 0..5 {
             cut(&mut world, at, way);
             world.run(700 * MS);
@@ -122,35 +122,35 @@
             world.run(S);
             expect_that!(is_caught_up(&world, at), eq(true), "{at} {way:?}");
         }
-        expect_that!(world.followed(), eq(&before), "{at} {way:?}");
+        expect_that!(world.followed_controls(), eq(&before), "{at} {way:?}");
     }
 }
 
 #[gtest]
 fn given_a_control_node_without_a_disk_that_is_cut_off_then_it_tells_nothing_old_either() {
     for way in WAYS {
-        let mut world = World::new(3, 4);
+        let mut world = Simulation::new(3, 4);
         world.kill_control(3);
-        world.controls[3].is_core = false;
+        world.controls[3].has_disk = false;
         world.controls[3].files.files.borrow_mut().clear();
         world.start_control(3, true);
         world.run(2 * S);
-        expect_that!(call(&mut world, 0, CONF, &World::conf(1)).0, eq(200));
+        expect_that!(call(&mut world, 0, CONF, &Simulation::config(1)).0, eq(200));
         world.run(2 * S);
         expect_that!(is_caught_up(&world, 3), eq(true));
         cut(&mut world, 3, way);
         world.run(2 * S);
         expect_that!(is_fresh(&world, 3), eq(false), "{way:?}");
-        expect_that!(world.followed(), not(contains(some(eq(&3)))), "{way:?}");
+        expect_that!(world.followed_controls(), not(contains(some(eq(&3)))), "{way:?}");
         expect_that!(call(&mut world, 3, ("DELETE", "/instances/i-x"), b""), eq((503, 0)), "{way:?}");
-        expect_that!(call(&mut world, 3, CONF, &World::conf(7)), eq((503, 0)), "{way:?}");
+        expect_that!(call(&mut world, 3, CONF, &Simulation::config(7)), eq((503, 0)), "{way:?}");
         expect_that!(call(&mut world, 0, CONF, &renamed(8, "c")).0, eq(200));
         world.run(18 * S);
         join(&mut world);
         let end = world.now + 3 * S;
         while !is_caught_up(&world, 3) && world.now < end {
             world.run(MS);
-            expect_that!(world.followed(), not(contains(some(eq(&3)))), "{way:?}");
+            expect_that!(world.followed_controls(), not(contains(some(eq(&3)))), "{way:?}");
         }
         expect_that!(is_caught_up(&world, 3), eq(true), "{way:?}");
         expect_that!(world.controls[3].core.as_ref().map(|core| core.conf_version()), some(eq(8)), "{way:?}");
--- a/crates/wv-simulation/tests/departed.rs
+++ b/crates/wv-simulation/tests/departed.rs
@@ -3,28 +3,28 @@
 
 use googletest::prelude::*;
 use steps::{busy, delete};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// One replica receives nothing, so that all that was acknowledged of late stands at the primary and at the other one.
-fn alone() -> World {
+fn alone() -> Simulation {
     let mut world = busy(4, 3);
-    world.bases[1].is_deaf = true;
+    world.databases[1].is_log_blocked = true;
     world.run(S);
     world
 }
 
 /// Another database at the same place, with the log of the one before.
-fn inherit(world: &mut World, base: usize, id: &str) {
-    world.bases[base].id = id.to_owned();
-    world.bases[base].is_left = false;
+fn inherit(world: &mut Simulation, base: usize, id: &str) {
+    world.databases[base].id = id.to_owned();
+    world.databases[base].is_removed = false;
     world.revive(base);
 }
 
-fn end(world: &mut World) -> Vec<String> {
-    world.bases[1].is_deaf = false;
+fn end(world: &mut Simulation) -> Vec<String> {
+    world.databases[1].is_log_blocked = false;
     world.stop_load();
-    world.run(wv_simulation::REST);
-    world.judge()
+    world.run(wv_simulation::SETTLE_US);
+    world.check_rules()
 }
 
 #[gtest]
@@ -34,10 +34,10 @@
     world.run(3 * S);
     world.crash(0);
     world.run(2 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     world.crash(2);
     world.run(S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     inherit(&mut world, 2, "i-heir");
     world.run(3 * S);
     expect_that!(world.primary(), eq(2));
@@ -46,8 +46,8 @@
 
 #[gtest]
 fn given_a_replica_that_served_on_after_its_delete_and_ended_then_another_that_has_all_may_lead() {
-    let mut world = World::serving(4, 3);
-    world.load(10, "p");
+    let mut world = Simulation::configured(4, 3);
+    world.start_load(10, "p");
     world.run(3 * S);
     delete(&mut world, 2);
     world.run(4 * S);
@@ -65,13 +65,13 @@
 fn given_a_replica_that_left_with_the_only_copy_long_ago_when_the_primary_crashes_then_it_is_not_forgotten() {
     let mut world = alone();
     world.stop_load();
-    world.run(wv_simulation::REST);
+    world.run(wv_simulation::SETTLE_US);
     delete(&mut world, 2);
     world.crash(2);
     world.run(200 * S);
     world.crash(0);
     world.run(8 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     inherit(&mut world, 2, "i-heir");
     world.run(3 * S);
     expect_that!(world.primary(), eq(2));
@@ -82,7 +82,7 @@
 fn given_control_nodes_that_all_came_back_since_when_the_primary_crashes_then_they_know_of_it_all_the_same() {
     let mut world = alone();
     world.stop_load();
-    world.run(wv_simulation::REST);
+    world.run(wv_simulation::SETTLE_US);
     delete(&mut world, 2);
     world.crash(2);
     world.run(S);
@@ -93,7 +93,7 @@
     world.run(4 * S);
     world.crash(0);
     world.run(8 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     inherit(&mut world, 2, "i-heir");
     world.run(3 * S);
     expect_that!(world.primary(), eq(2));
@@ -111,7 +111,7 @@
     world.crash(2);
     world.crash(0);
     world.run(5 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     world.revive(2);
     world.run(3 * S);
     expect_that!(world.primary(), eq(2));
@@ -121,12 +121,12 @@
 #[gtest]
 fn given_a_primary_that_crashes_while_its_service_is_released_then_what_its_replicas_took_along_is_waited_for() {
     for when in 0..10u64 {
-        let mut world = World::serving(4, 3);
-        world.load(10, "p");
+        let mut world = Simulation::configured(4, 3);
+        world.start_load(10, "p");
         world.run(3 * S);
         // One after the other they are replaced by others at their places.
         for base in [1, 2] {
-            world.bases[base].is_draining = true;
+            world.databases[base].is_draining = true;
             world.run(600 * MS);
             delete(&mut world, base);
             world.run(when * 70 * MS);
@@ -136,7 +136,7 @@
             }
             world.run(when * 30 * MS);
             // The new database does not leave: it must not begin by saying so.
-            world.bases[base].is_draining = false;
+            world.databases[base].is_draining = false;
             inherit(&mut world, base, &format!("i-heir{base}"));
             world.run(400 * MS);
         }
--- a/crates/wv-simulation/tests/departures.rs
+++ b/crates/wv-simulation/tests/departures.rs
@@ -3,12 +3,12 @@
 
 use apart::*;
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_a_leave_acknowledged_among_seven_then_it_outlives_the_loss_of_three_with_the_one_that_said_so() {
     for lost in [[0, 1, 2], [0, 3, 6], [0, 4, 5], [0, 2, 4]] {
-        let mut world = World::serving(2, 3);
+        let mut world = Simulation::configured(2, 3);
         (3..7).for_each(|_| {
             world.add_control(&[0, 1, 2]);
         });
@@ -17,7 +17,7 @@
         world.run(S);
         // Only just enough of the others hear of it.
         [1, 2, 3].iter().for_each(|other| {
-            world.one_way.insert(("c0".to_owned(), format!("c{other}")));
+            world.dropped_one_way.insert(("c0".to_owned(), format!("c{other}")));
         });
         let told = call(&mut world, 0, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "draining", 2));
         expect_that!(told, eq((200, 5 * MS)));
@@ -32,13 +32,13 @@
 
 #[gtest]
 fn given_a_leave_that_too_few_heard_then_it_is_not_acknowledged_however_often_it_is_said() {
-    let mut world = World::serving(2, 3);
+    let mut world = Simulation::configured(2, 3);
     (3..7).for_each(|_| {
         world.add_control(&[0, 1, 2]);
     });
     world.run(8 * S);
     (1..5).for_each(|other| {
-        world.one_way.insert(("c0".to_owned(), format!("c{other}")));
+        world.dropped_one_way.insert(("c0".to_owned(), format!("c{other}")));
     });
     // Two of the others hold it, which with this node are three of seven.
     for sequence in 2..4 {
--- a/crates/wv-simulation/tests/hands.rs
+++ b/crates/wv-simulation/tests/hands.rs
@@ -1,12 +1,12 @@
 //! Stories of one request that is handed over to the owner of its shard.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Two nodes and one shard; returns the owner and the other one.
-fn pair() -> (World, usize, usize) {
-    let mut world = World::new(2, 3);
+fn pair() -> (Simulation, usize, usize) {
+    let mut world = Simulation::new(2, 3);
     world.run(2 * S);
-    let mut value: serde_json::Value = serde_json::from_slice(&World::conf(1)).expect("the stand-in's own");
+    let mut value: serde_json::Value = serde_json::from_slice(&Simulation::config(1)).expect("the stand-in's own");
     value["partners"] = serde_json::json!([{"label": "all", "portion": 1, "nodes": ["a*"]}]);
     world.call(1, "PUT", "/configuration", value.to_string().as_bytes());
     world.run(5 * S);
@@ -18,18 +18,18 @@
 #[gtest]
 fn given_a_write_handed_over_that_ran_when_the_owner_died_then_it_is_never_sent_again() {
     let (mut world, owner, other) = pair();
-    let client = world.client(other, "p");
-    world.say(client, "QUERY w1 WRITE k d");
+    let client = world.open_client(other, "p");
+    world.send_line(client, "QUERY w1 WRITE k d");
     world.run(200 * MS);
-    expect_that!(world.take(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
+    expect_that!(world.take_lines(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
     // It has run and its return is on its way back when the owner is gone.
-    world.bases[0].work_us = 100 * MS;
-    world.say(client, "QUERY w2 WRITE k d");
+    world.databases[0].statement_us = 100 * MS;
+    world.send_line(client, "QUERY w2 WRITE k d");
     world.run(50 * MS);
     world.kill_access(owner);
     world.run(S);
-    expect_that!(world.take(client)[0], starts_with("ERROR INDETERM"));
-    expect_that!(world.bases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR INDETERM"));
+    expect_that!(world.databases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
 }
 
 #[gtest]
@@ -62,18 +62,18 @@
 #[gtest]
 fn given_an_owner_that_leaves_in_order_then_it_takes_no_new_work_and_what_is_open_ends_there() {
     let (mut world, owner, other) = pair();
-    let client = world.client(other, "p");
-    world.say(client, "QUERY t1 BEGIN");
-    world.say(client, "QUERY t2 WRITE k d");
+    let client = world.open_client(other, "p");
+    world.send_line(client, "QUERY t1 BEGIN");
+    world.send_line(client, "QUERY t2 WRITE k d");
     world.run(200 * MS);
-    world.term_access(owner);
+    world.terminate_access(owner);
     world.run(200 * MS);
-    world.say(client, "QUERY t3 COMMIT");
+    world.send_line(client, "QUERY t3 COMMIT");
     world.run(200 * MS);
-    let heard = world.take(client);
+    let heard = world.take_lines(client);
     expect_that!(heard.iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2), "{heard:?}");
-    world.say(client, "QUERY w1 WRITE k d");
+    world.send_line(client, "QUERY w1 WRITE k d");
     world.run(200 * MS);
-    expect_that!(world.take(client)[0], starts_with("COMPLETE stamp"));
-    expect_that!(world.judge(), is_empty());
+    expect_that!(world.take_lines(client)[0], starts_with("COMPLETE stamp"));
+    expect_that!(world.check_rules(), is_empty());
 }
--- a/crates/wv-simulation/tests/late_sightings.rs
+++ b/crates/wv-simulation/tests/late_sightings.rs
@@ -1,18 +1,18 @@
 //! Stories of sightings that waited: what a control node reads late is no younger for it.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// What happens to the holder of the duty, from a moment on and until it is over.
-type Trouble = (fn(&mut World, usize), fn(&mut World, usize));
+type Trouble = (fn(&mut Simulation, usize), fn(&mut Simulation, usize));
 
 /// One replica falls behind; what it has is still what most have seen of the primary. More is acknowledged, by way of the
 /// other replica alone. Then that one crashes, and the primary with it, while a control node hears nothing. Returns who was
 /// promoted.
 fn promoted(control: usize, (offset, lost, over): (u64, u64, u64), (begin, end): Trouble) -> Vec<String> {
-    let mut world = World::serving(6, 3);
-    world.load(18, "p");
+    let mut world = Simulation::configured(6, 3);
+    world.start_load(18, "p");
     world.run(3 * S + offset * MS);
-    world.bases[1].is_deaf = true;
+    world.databases[1].is_log_blocked = true;
     world.run(60 * MS);
     begin(&mut world, control);
     world.run(lost * MS);
@@ -23,7 +23,7 @@
     end(&mut world, control);
     world.run(4 * S);
     // To show a new fence the primary itself is named.
-    world.posts.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
+    world.promotion_calls.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
 }
 
 #[gtest]
--- a/crates/wv-simulation/tests/learners.rs
+++ b/crates/wv-simulation/tests/learners.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeSet;
 use steps::{get, put_version};
 use wv_consensus::{Store, VoterState};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Five times there and back, at a millisecond each and with disks that take no time.
 const WINDOW: u64 = 5 * MS;
 
 /// What the disk of `control` says of the sets, and the version of the configuration on it.
-fn disk(world: &World, control: usize) -> (VoterState, u64) {
+fn disk(world: &Simulation, control: usize) -> (VoterState, u64) {
     let files = Box::new(world.controls[control].files.copy());
     let mut store = Store::open(files).expect("it can be read");
     let seat = VoterState::open(&mut store, &world.controls[control].addr, &[], false, 1).expect("it has one");
@@ -20,13 +20,13 @@
 }
 
 /// The newest set known on the disk of any of `controls`.
-fn newest(world: &World, controls: &[usize]) -> wv_internal_protocol::VoterSet {
+fn newest(world: &Simulation, controls: &[usize]) -> wv_internal_protocol::VoterSet {
     let known = controls.iter().map(|at| disk(world, *at).0.voters);
     known.max_by_key(|voters| voters.number).unwrap_or_default()
 }
 
 /// Runs by quarters of a millisecond until `is_there`, a second at most.
-fn until(world: &mut World, limit: u64, is_there: impl Fn(&World) -> bool) -> bool {
+fn until(world: &mut Simulation, limit: u64, is_there: impl Fn(&Simulation) -> bool) -> bool {
     let end = world.now + limit;
     while !is_there(world) && world.now < end {
         world.run(MS / 4);
@@ -34,13 +34,13 @@
     is_there(world)
 }
 
-fn is_under_way(world: &World) -> bool {
-    (0..world.controls.len()).any(|at| world.is_changing(at))
+fn is_under_way(world: &Simulation) -> bool {
+    (0..world.controls.len()).any(|at| world.is_changing_voters(at))
 }
 
 /// Three voters and a learner; one voter goes for good, and its replacement has just begun.
-fn replacing(gone: usize) -> World {
-    let mut world = World::serving(1, 4);
+fn replacing(gone: usize) -> Simulation {
+    let mut world = Simulation::configured(1, 4);
     assert_eq!(put_version(&mut world, gone, 20), 200);
     world.run(2 * S);
     world.kill_control(gone);
@@ -65,7 +65,7 @@
             expect_that!(status, if is_known { eq(200) } else { eq(503) }, "{gone} {also} at {step}");
             if is_known {
                 going += 1;
-                expect_that!(get(&mut world, left[1]), eq(&(200, World::conf(21))), "{gone} {also} at {step}");
+                expect_that!(get(&mut world, left[1]), eq(&(200, Simulation::config(21))), "{gone} {also} at {step}");
             } else {
                 stuck.insert(step);
             }
@@ -85,19 +85,19 @@
 fn given_a_write_acknowledged_up_to_the_change_then_it_stands_on_a_majority_of_the_next_set_once_that_is_known() {
     for gone in 0..3 {
         for ago in 0..16u64 {
-            let mut world = World::serving(1, 4);
+            let mut world = Simulation::configured(1, 4);
             world.run(2 * S);
             world.kill_control(gone);
             // One after the other, so that the last acknowledgement falls anywhere around the beginning of the change.
             let mut acked = 1;
             world.run(1950 * MS + ago * MS / 4);
             for version in 30..400 {
-                let token = world.call((gone + 1) % 3, "PUT", "/configuration", &World::conf(version));
-                until(&mut world, S, |world| is_under_way(world) || world.returns.contains_key(&token));
+                let token = world.call((gone + 1) % 3, "PUT", "/configuration", &Simulation::config(version));
+                until(&mut world, S, |world| is_under_way(world) || world.responses.contains_key(&token));
                 if is_under_way(&world) {
                     until(&mut world, S, |world| newest(world, &[0, 1, 2, 3]).number == 2);
                 }
-                if world.returns.get(&token).is_some_and(|ret| ret.0 == 200) {
+                if world.responses.get(&token).is_some_and(|ret| ret.0 == 200) {
                     acked = version;
                 }
                 if newest(&world, &[0, 1, 2, 3]).number == 2 {
@@ -116,7 +116,7 @@
 
 #[gtest]
 fn given_a_newcomer_that_holds_nothing_yet_then_the_set_stays_as_it_is_and_goes_on_until_it_is_ready() {
-    let mut world = World::serving(1, 3);
+    let mut world = Simulation::configured(1, 3);
     expect_that!(put_version(&mut world, 0, 20), eq(200));
     world.kill_control(2);
     let new = world.add_control(&[0, 1]);
@@ -132,7 +132,7 @@
 
 #[gtest]
 fn given_a_member_that_does_not_come_to_vote_then_the_next_change_waits_for_it_but_not_without_end() {
-    let mut world = World::serving(1, 5);
+    let mut world = Simulation::configured(1, 5);
     world.run(3 * S);
     expect_that!(newest(&world, &[0]).members.len(), eq(5));
     let new = [world.add_control(&[0, 1, 2]), world.add_control(&[0, 1, 2])];
--- a/crates/wv-simulation/tests/nemesis_checks.rs
+++ b/crates/wv-simulation/tests/nemesis_checks.rs
@@ -1,7 +1,7 @@
 //! Each check of the nemesis can fail: a forged history, or a fleet that was left broken, and the check that names it.
 use googletest::prelude::*;
 use wv_simulation::nemesis::{check, play, Answer, Bound, Calm, Day, History, Order, Post, Read, Seen, CHECKS};
-use wv_simulation::{Entry, Oracle, Write};
+use wv_simulation::{LogEntry, Oracle, Write};
 
 fn order(number: u64, is_valid: bool, first_sent: u64) -> Order {
     Order { number, body: number.to_string().into_bytes(), is_valid, first_sent }
@@ -96,20 +96,20 @@
 
 #[gtest]
 fn given_rules_of_statements_then_the_oracle_names_each_and_so_does_the_check() {
-    let log = |tags: &[&str]| -> Vec<Entry> {
-        let write = |tag: &&str| Write { tag: (*tag).to_owned(), thing: "k".to_owned(), data: "d".to_owned() };
+    let log = |tags: &[&str]| -> Vec<LogEntry> {
+        let write = |tag: &&str| Write { tag: (*tag).to_owned(), key: "k".to_owned(), value: "d".to_owned() };
         tags.iter()
-            .map(|tag| Entry { pos: wv_wire_protocol::LogPosition { term: 1, number: 1 }, write: write(tag) })
+            .map(|tag| LogEntry { pos: wv_wire_protocol::LogPosition { term: 1, number: 1 }, write: write(tag) })
             .collect()
     };
     let broken = |acked: &[&str], promised: &[&str], tags: &[&str]| {
         let mut oracle = Oracle::default();
-        acked.iter().for_each(|tag| oracle.ack((*tag).to_owned(), 5));
+        acked.iter().for_each(|tag| oracle.record_ack((*tag).to_owned(), 5));
         promised.iter().for_each(|tag| {
-            oracle.promised.insert((*tag).to_owned(), 5);
+            oracle.rejected.insert((*tag).to_owned(), 5);
         });
-        oracle.judge(&log(tags));
-        let history = History { statements: oracle.broken, ..History::default() };
+        oracle.check_log(&log(tags));
+        let history = History { statements: oracle.violations, ..History::default() };
         names(&history, Bound::Wild)
     };
     expect_that!(broken(&["q1"], &["q2"], &["q1"]), is_empty());
--- a/crates/wv-simulation/tests/one_holder.rs
+++ b/crates/wv-simulation/tests/one_holder.rs
@@ -1,18 +1,18 @@
 //! Stories of holders of one duty that stand still at any moment of a promotion, at a platform that checks no fences.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// The fences of all calls in their order.
-fn fences(world: &World) -> Vec<u64> {
-    world.posts.iter().map(|post| post.2).collect()
+fn fences(world: &Simulation) -> Vec<u64> {
+    world.promotion_calls.iter().map(|post| post.2).collect()
 }
 
-fn end(world: &mut World) -> Vec<String> {
+fn end(world: &mut Simulation) -> Vec<String> {
     world.revive(0);
     world.run(S);
     world.stop_load();
-    world.run(wv_simulation::REST);
-    world.judge()
+    world.run(wv_simulation::SETTLE_US);
+    world.check_rules()
 }
 
 #[gtest]
@@ -20,8 +20,8 @@
     let mut successions = 0;
     for at in 0..3 {
         for step in 0..40u64 {
-            let mut world = World::serving(4, 3);
-            world.load(10, "p");
+            let mut world = Simulation::configured(4, 3);
+            world.start_load(10, "p");
             world.run(2 * S);
             world.crash(0);
             // The promotion takes some 0.3 s from the first doubt on.
@@ -44,24 +44,24 @@
 fn given_a_holder_lost_right_after_its_call_then_its_successor_does_not_name_the_old_primary_again() {
     for at in 0..3 {
         for step in 0..8u64 {
-            let mut world = World::serving(4, 3);
-            world.load(10, "p");
+            let mut world = Simulation::configured(4, 3);
+            world.start_load(10, "p");
             world.run(2 * S);
             // A planned end: the old primary lives, and would lead again if it were named.
-            world.bases[0].is_draining = true;
-            while world.posts.is_empty() && world.now < 30 * S {
+            world.databases[0].is_draining = true;
+            while world.promotion_calls.is_empty() && world.now < 30 * S {
                 world.run(MS);
             }
             world.run(step * 50 * MS);
             world.kill_control(at);
             world.run(5 * S);
             expect_that!(world.primary(), not(eq(0)), "control {at} at {step}");
-            let led = world.posts.iter().filter(|post| post.1 == world.bases[0].id).count();
-            let is_led_again = world.bases[0].is_primary && world.bases[0].term > 2;
+            let led = world.promotion_calls.iter().filter(|post| post.1 == world.databases[0].id).count();
+            let is_led_again = world.databases[0].is_primary && world.databases[0].term > 2;
             expect_that!(is_led_again, eq(false), "control {at} at {step}: named {led} times");
             world.stop_load();
-            world.run(wv_simulation::REST);
-            expect_that!(world.judge(), is_empty(), "control {at} at {step}");
+            world.run(wv_simulation::SETTLE_US);
+            expect_that!(world.check_rules(), is_empty(), "control {at} at {step}");
         }
     }
 }
--- a/crates/wv-simulation/tests/shards.rs
+++ b/crates/wv-simulation/tests/shards.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use steps::end;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 fn services() -> Vec<String> {
     (0..4).map(|at| format!("s{at}")).collect()
@@ -13,7 +13,7 @@
 /// Four services; the first two access nodes are the north's, the others the south's.
 fn conf(version: u64, north: u64, south: u64) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&World::conf_of(version, &services())).expect("the stand-in's own");
+        serde_json::from_slice(&Simulation::config_for(version, &services())).expect("the stand-in's own");
     value["partners"] = serde_json::json!([
         {"label": "north", "portion": north, "nodes": ["a0", "a1"]},
         {"label": "south", "portion": south, "nodes": ["a2", "a3"]},
@@ -21,14 +21,14 @@
     value.to_string().into_bytes()
 }
 
-fn put(world: &mut World, body: &[u8]) {
+fn put(world: &mut Simulation, body: &[u8]) {
     let token = world.call(1, "PUT", "/configuration", body);
     world.run(S);
-    assert_eq!(world.returns.get(&token).map(|ret| ret.0), Some(200), "the portions are taken");
+    assert_eq!(world.responses.get(&token).map(|ret| ret.0), Some(200), "the portions are taken");
 }
 
-fn fleet() -> World {
-    let mut world = World::of(4, 3, &services());
+fn fleet() -> Simulation {
+    let mut world = Simulation::with_services(4, 3, &services());
     world.run(2 * S);
     put(&mut world, &conf(1, 1, 1));
     world.run(5 * S);
@@ -36,9 +36,9 @@
 }
 
 /// Who owns what, as `control` tells.
-fn owners(world: &mut World, control: usize) -> BTreeMap<String, String> {
+fn owners(world: &mut Simulation, control: usize) -> BTreeMap<String, String> {
     let token = world.call(control, "GET", "/shards", b"");
-    let body = world.returns.get(&token).cloned().unwrap_or_default().1;
+    let body = world.responses.get(&token).cloned().unwrap_or_default().1;
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let shards = value["shards"].as_array().cloned().unwrap_or_default();
     let text = |value: &serde_json::Value| value.as_str().unwrap_or_default().to_owned();
@@ -49,19 +49,19 @@
     owners.values().filter(|owner| nodes.contains(&owner.as_str())).count()
 }
 
-fn work(world: &mut World) {
+fn work(world: &mut Simulation) {
     for route in ["p", "p.s1", "p.s2", "p.s3"] {
-        world.load(6, route);
+        world.start_load(6, route);
     }
-    world.load(6, "b");
+    world.start_load(6, "b");
     world.run(2 * S);
 }
 
 /// Operations done within `us`, and those that failed.
-fn during(world: &mut World, us: u64) -> (u32, u32) {
-    let before = world.load_done();
+fn during(world: &mut Simulation, us: u64) -> (u32, u32) {
+    let before = world.load_counts();
     world.run(us);
-    let after = world.load_done();
+    let after = world.load_counts();
     (after.0 - before.0, after.1 - before.1)
 }
 
@@ -76,7 +76,7 @@
     expect_that!(done, gt(400));
     expect_that!(failed, eq(0));
     // Only owners hold connections to the primaries that statements of primary routes ran on.
-    let handed: u64 = (0..4).map(|at| world.handed(at)).sum();
+    let handed: u64 = (0..4).map(|at| world.forwarded_requests(at)).sum();
     expect_that!(handed, gt(200));
     expect_that!(end(&mut world), is_empty());
 }
@@ -95,7 +95,7 @@
         expect_that!(after.values().any(|owner| *owner == name), eq(false));
         let moved = after.iter().filter(|(shard, owner)| before.get(*shard) != Some(*owner)).count();
         expect_that!(moved, eq(before.values().filter(|owner| **owner == name).count()));
-        world.loads_reset();
+        world.reset_slowest();
         let (done, failed) = during(&mut world, 2 * S);
         expect_that!((done > 150, failed), eq((true, 0)), "without a{killed}");
         world.start_access(killed);
@@ -115,7 +115,7 @@
     world.kill_access(at);
     world.crash(0);
     world.run(4 * S);
-    expect_that!(world.bases[0].is_primary && world.bases[0].is_up, eq(false));
+    expect_that!(world.databases[0].is_primary && world.databases[0].is_up, eq(false));
     let (done, failed) = during(&mut world, 2 * S);
     expect_that!(done, gt(150));
     expect_that!(failed, le(2));
@@ -157,13 +157,13 @@
     let mut world = fleet();
     work(&mut world);
     for (one, other) in [("a0", "a1"), ("a0", "a2"), ("a0", "a3"), ("a1", "a2"), ("a1", "a3"), ("a2", "a3")] {
-        world.cut.insert((one.to_owned(), other.to_owned()));
+        world.dropped_links.insert((one.to_owned(), other.to_owned()));
     }
     world.run(3 * S);
     let (done, failed) = during(&mut world, 3 * S);
     expect_that!(done, gt(300));
     expect_that!(failed * 20, lt(done));
-    world.cut.clear();
+    world.dropped_links.clear();
     (0..3).for_each(|at| world.kill_control(at));
     let (done, failed) = during(&mut world, 3 * S);
     expect_that!(done, gt(300));
@@ -201,26 +201,26 @@
     let (shard, owner) = held.iter().next().map(|(shard, owner)| (shard.clone(), owner.clone())).expect("one");
     let route = if shard == "s0" { "p".to_owned() } else { format!("p.{shard}") };
     let elsewhere = (0..4).find(|at| format!("a{at}") != owner).expect("one");
-    let client = world.client(elsewhere, &route);
+    let client = world.open_client(elsewhere, &route);
     for line in ["QUERY a1 ASSIGN tenant t1", "QUERY a2 DEFINE mine WRITE q7", "QUERY a3 BEGIN"] {
-        world.say(client, line);
+        world.send_line(client, line);
     }
-    world.say(client, "QUERY a4 EXECUTE mine k d");
+    world.send_line(client, "QUERY a4 EXECUTE mine k d");
     world.run(200 * MS);
-    world.say(client, "QUERY a5 COMMIT");
+    world.send_line(client, "QUERY a5 COMMIT");
     world.run(200 * MS);
-    let heard = world.take(client);
+    let heard = world.take_lines(client);
     expect_that!(heard.iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2), "{heard:?}");
     expect_that!(heard.last().map(String::as_str), some(starts_with("IDLE I ")));
     // A transaction that rests while the owner dies is rolled back, and its client hears so.
-    world.say(client, "QUERY b1 BEGIN");
-    world.say(client, "QUERY b2 EXECUTE mine k d");
+    world.send_line(client, "QUERY b1 BEGIN");
+    world.send_line(client, "QUERY b2 EXECUTE mine k d");
     world.run(200 * MS);
-    world.take(client);
+    world.take_lines(client);
     world.kill_access(owner[1..].parse().expect("a number"));
     world.run(2 * S);
-    world.say(client, "QUERY b3 COMMIT");
+    world.send_line(client, "QUERY b3 COMMIT");
     world.run(200 * MS);
-    expect_that!(world.take(client)[0], starts_with("ERROR ABORTED"));
-    expect_that!(world.handed(elsewhere), ge(3));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR ABORTED"));
+    expect_that!(world.forwarded_requests(elsewhere), ge(3));
 }
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -4,12 +4,12 @@
 use common::{conf, Story};
 use googletest::prelude::*;
 use wv_internal_protocol::SplitPhase;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_live_writes_when_a_split_is_requested_then_the_upper_slots_move_and_every_record_arrives_once() {
     let mut story = Story::begin();
-    let before = story.world.load_done().0;
+    let before = story.world.load_counts().0;
     story.request();
     expect_that!(story.moves_within(40 * S), eq(true));
     let map = story.world.slot_map("s");
@@ -17,10 +17,10 @@
     expect_that!((map.moved[0].from, map.moved[0].until), eq((512, 1024)));
     story.world.run(3 * S);
     // Work goes on at both, and lookups were answered all along.
-    let target = story.world.bases.iter().find(|base| base.service == "t" && base.is_primary);
+    let target = story.world.databases.iter().find(|base| base.service == "t" && base.is_primary);
     expect_that!(target.map_or(0, |base| base.log.iter().filter(|entry| entry.write.tag != "-").count()), gt(10));
-    expect_that!(story.world.load_done().0, gt(before + 400));
-    expect_that!(story.world.slowest("b"), lt(800 * MS));
+    expect_that!(story.world.load_counts().0, gt(before + 400));
+    expect_that!(story.world.slowest_us("b"), lt(800 * MS));
     expect_that!(story.end(), is_empty());
 }
 
@@ -33,7 +33,7 @@
     expect_that!(ret.0, eq(200));
     expect_that!(story.moves_within(60 * S), eq(true));
     // Its plan has to stay from here on: what moved is found through it.
-    let ret = story.call("PUT", "/configuration", &wv_simulation::World::conf(3));
+    let ret = story.call("PUT", "/configuration", &wv_simulation::Simulation::config(3));
     expect_that!(ret.0, eq(400));
     expect_that!(ret.1, contains_substring("slots of s have moved"));
     expect_that!(story.end(), is_empty());
@@ -42,8 +42,8 @@
 #[gtest]
 fn given_a_source_full_of_other_work_then_copying_pauses_and_a_request_called_off_changes_nothing() {
     let mut story = Story::begin();
-    story.world.bases.iter_mut().for_each(|base| base.work_us = 40 * MS);
-    story.world.load(60, "p");
+    story.world.databases.iter_mut().for_each(|base| base.statement_us = 40 * MS);
+    story.world.start_load(60, "p");
     story.world.run(S);
     story.request();
     story.world.run(8 * S);
@@ -61,20 +61,20 @@
     let mut story = Story::begin();
     story.request();
     expect_that!(story.moves_within(60 * S), eq(true));
-    let client = story.world.client(0, "p");
+    let client = story.world.open_client(0, "p");
     story.world.run(S);
     let (stays, moves) = (story.thing(|slot| slot < 512), story.moving_thing());
     for text in ["x1 BEGIN".to_owned(), format!("x2 WRITE {stays} one"), format!("x3 WRITE {moves} two")] {
-        story.world.take(client);
-        story.world.say(client, &format!("QUERY {text}"));
+        story.world.take_lines(client);
+        story.world.send_line(client, &format!("QUERY {text}"));
         story.world.run(100 * MS);
     }
-    let heard = story.world.take(client);
+    let heard = story.world.take_lines(client);
     expect_that!(heard[0], starts_with("ERROR ABORTED rolled back: a transaction stays within one shard"));
     expect_that!(heard[1], starts_with("IDLE E"));
     let is_kept =
-        |base: &wv_simulation::Base| base.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
-    expect_that!(story.world.bases.iter().any(is_kept), eq(false));
+        |base: &wv_simulation::Database| base.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
+    expect_that!(story.world.databases.iter().any(is_kept), eq(false));
     expect_that!(story.end(), is_empty());
 }
 
@@ -140,12 +140,12 @@
 }
 
 /// What comes of an order at this node, repeated while it is put off.
-fn order(world: &mut World, at: usize, body: &[u8]) -> u16 {
+fn order(world: &mut Simulation, at: usize, body: &[u8]) -> u16 {
     let end = world.now + 4 * S;
     while world.now < end {
         let token = world.call(at, "PUT", "/configuration", body);
         world.run(100 * MS);
-        match world.returns.get(&token).map_or(0, |ret| ret.0) {
+        match world.responses.get(&token).map_or(0, |ret| ret.0) {
             0 | 503 => {}
             code => return code,
         }
@@ -166,13 +166,13 @@
     let holder = story.holder();
     let other = (holder + 1) % 3;
     // It hears the third node, so that it has contact, and nothing of the one that moves the slots.
-    story.world.one_way.insert((format!("c{holder}"), format!("c{other}")));
+    story.world.dropped_one_way.insert((format!("c{holder}"), format!("c{other}")));
     story.request();
     assert_that!(story.moves_within(20 * S), eq(true));
     let known = story.world.controls[other].core.as_ref().and_then(|core| core.slot_map("s"));
     expect_that!(known.is_none_or(|map| map.moved.is_empty()), eq(true));
     expect_that!(order(&mut story.world, other, &unplanned(9)), eq(400));
-    story.world.one_way.clear();
+    story.world.dropped_one_way.clear();
     expect_that!(story.end(), is_empty());
 }
 
@@ -182,11 +182,11 @@
     let holder = story.holder();
     let other = (holder + 2) % 3;
     for at in (0..3).filter(|at| *at != other) {
-        story.world.cut.insert((format!("c{other}"), format!("c{at}")));
+        story.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     story.request();
     assert_that!(story.moves_within(20 * S), eq(true));
-    story.world.cut.clear();
+    story.world.dropped_links.clear();
     expect_that!(order(&mut story.world, other, &unplanned(9)), eq(400));
     expect_that!(story.end(), is_empty());
 }
@@ -204,16 +204,16 @@
     let other = (story.holder() + 1) % 3;
     expect_that!(order(&mut story.world, other, &unplanned(2)), eq(200));
     for at in (0..3).filter(|at| *at != other) {
-        story.world.cut.insert((format!("c{other}"), format!("c{at}")));
+        story.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     let planned = conf(3, |_| {});
     expect_that!(order(&mut story.world, (other + 1) % 3, &planned), eq(200));
     story.world.run(14 * S);
     story.request();
     assert_that!(story.moves_within(20 * S), eq(true));
-    story.world.cut.clear();
+    story.world.dropped_links.clear();
     // The very moment in which contact is back and nothing is read yet.
-    let is_back = |world: &World| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
+    let is_back = |world: &Simulation| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
     let end = story.world.now + 2 * S;
     while !is_back(&story.world) && story.world.now < end {
         story.world.run(MS / 10);
--- a/crates/wv-simulation/tests/starts.rs
+++ b/crates/wv-simulation/tests/starts.rs
@@ -3,11 +3,11 @@
 
 use apart::*;
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_a_single_control_node_then_it_is_its_own_majority() {
-    let mut world = World::serving(2, 1);
+    let mut world = Simulation::configured(2, 1);
     expect_that!(call(&mut world, 0, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "in_service", 1)), eq((200, 0)));
     expect_that!(call(&mut world, 0, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "draining", 2)), eq((200, 0)));
     expect_that!(call(&mut world, 0, ("DELETE", "/instances/i-x"), b""), eq((200, 0)));
@@ -22,11 +22,11 @@
 #[gtest]
 fn given_a_first_start_in_any_order_within_a_third_of_a_second_then_all_are_in_contact_soon_after() {
     for round in 0..12u64 {
-        let mut world = World::new(3, 5);
+        let mut world = Simulation::new(3, 5);
         (0..5).for_each(|at| world.kill_control(at));
         world.controls.iter().for_each(|control| control.files.files.borrow_mut().clear());
         let start = world.now;
-        let mut due: Vec<(u64, usize)> = (0..5).map(|at| (world.luck.below(300 + round) * MS, at)).collect();
+        let mut due: Vec<(u64, usize)> = (0..5).map(|at| (world.rng.below(300 + round) * MS, at)).collect();
         due.sort_unstable();
         for (after, at) in due {
             world.run((start + after).saturating_sub(world.now));
@@ -34,7 +34,7 @@
         }
         world.run(S);
         expect_that!((0..5).filter(|at| is_caught_up(&world, *at)).count(), eq(5), "round {round}");
-        expect_that!(call(&mut world, (round % 5) as usize, CONF, &World::conf(1)).0, eq(200), "round {round}");
+        expect_that!(call(&mut world, (round % 5) as usize, CONF, &Simulation::config(1)).0, eq(200), "round {round}");
         world.run(2 * S);
         expect_that!(all_serve(&mut world, "b"), eq(true), "round {round}");
     }
@@ -43,7 +43,7 @@
 #[gtest]
 fn given_all_started_again_at_once_or_one_after_the_other_then_nobody_is_locked_out() {
     for (seed, apart) in [0, 40, 333, 1500].into_iter().enumerate() {
-        let mut world = World::serving(4, 5);
+        let mut world = Simulation::configured(4, 5);
         expect_that!(call(&mut world, 1, CONF, &renamed(8, "c")).0, eq(200));
         world.run(S);
         (0..5).for_each(|at| world.kill_control(at));
@@ -56,7 +56,7 @@
         expect_that!(all_serve(&mut world, "c"), eq(true));
         world.run(2 * S);
         expect_that!((0..5).filter(|at| is_caught_up(&world, *at)).count(), eq(5), "{apart} ms apart");
-        expect_that!(world.followed(), each(some(anything())));
+        expect_that!(world.followed_controls(), each(some(anything())));
         expect_that!(call(&mut world, 4, CONF, &renamed(9, "d")).0, eq(200));
         world.run(2 * S);
         expect_that!(all_serve(&mut world, "d"), eq(true));
--- a/crates/wv-simulation/tests/tenants.rs
+++ b/crates/wv-simulation/tests/tenants.rs
@@ -1,10 +1,11 @@
 //! Stories of an edge shared among tenants, one of which surges.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Scans on `p` and `b`, apps on `x`; with `shares` of none, first come is first served.
 fn conf(version: u64, shares: Option<(u64, u64)>) -> Vec<u8> {
-    let mut value: serde_json::Value = serde_json::from_slice(&World::conf(version)).expect("the stand-in's own");
+    let mut value: serde_json::Value =
+        serde_json::from_slice(&Simulation::config(version)).expect("the stand-in's own");
     let mut route = value["routing"][0].clone();
     (route["label"], route["host"]) = ("x".into(), "x".into());
     value["routing"].as_array_mut().expect("a list").push(route);
@@ -18,35 +19,35 @@
     value.to_string().into_bytes()
 }
 
-fn fleet(shares: Option<(u64, u64)>) -> World {
-    let mut world = World::serving(2, 3);
+fn fleet(shares: Option<(u64, u64)>) -> Simulation {
+    let mut world = Simulation::configured(2, 3);
     let token = world.call(0, "PUT", "/configuration", &conf(2, shares));
     world.run(S);
-    assert_eq!(world.returns.get(&token).map(|ret| ret.0), Some(200), "the shares are taken");
-    world.bases.iter_mut().for_each(|base| base.work_us = 8 * MS);
+    assert_eq!(world.responses.get(&token).map(|ret| ret.0), Some(200), "the shares are taken");
+    world.databases.iter_mut().for_each(|base| base.statement_us = 8 * MS);
     world
 }
 
-fn done(world: &World, route: &str) -> (u32, u32) {
-    world.route_done(route)
+fn done(world: &Simulation, route: &str) -> (u32, u32) {
+    world.route_counts(route)
 }
 
 /// Scans at an even pace while apps come with many times their share.
-fn surge(shares: Option<(u64, u64)>) -> (World, u32, u32) {
+fn surge(shares: Option<(u64, u64)>) -> (Simulation, u32, u32) {
     let mut world = fleet(shares);
-    world.load(10, "p");
-    world.load(6, "b");
+    world.start_load(10, "p");
+    world.start_load(6, "b");
     world.run(3 * S);
-    world.load(150, "x");
+    world.start_load(150, "x");
     // Some of them rest inside transactions, and come again when they are sent away.
     for at in 0..12 {
-        let client = world.client(at % 2, "x");
-        world.say(client, &format!("QUERY r{at} BEGIN"));
-        world.say(client, &format!("QUERY w{at} WRITE k d"));
+        let client = world.open_client(at % 2, "x");
+        world.send_line(client, &format!("QUERY r{at} BEGIN"));
+        world.send_line(client, &format!("QUERY w{at} WRITE k d"));
     }
     world.run(S);
     let before = done(&world, "p");
-    world.loads_reset();
+    world.reset_slowest();
     world.run(4 * S);
     let after = done(&world, "p");
     (world, after.0 - before.0, after.1 - before.1)
@@ -57,12 +58,12 @@
     let (mut world, landed, failed) = surge(Some((3, 1)));
     expect_that!(landed, gt(150));
     expect_that!(failed * 20, lt(landed), "of {landed}");
-    expect_that!(world.slowest("b"), lt(800 * MS));
+    expect_that!(world.slowest_us("b"), lt(800 * MS));
     // What scans leave over is used to the full.
     expect_that!(done(&world, "x").0, gt(200));
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
@@ -70,17 +71,17 @@
     let (mut world, landed, failed) = surge(None);
     expect_that!(failed * 20, ge(landed), "{failed} failed of {landed}");
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_a_surge_that_passes_then_each_share_is_back_at_its_weight_by_itself() {
     let mut world = fleet(Some((1, 1)));
-    world.load(60, "x");
+    world.start_load(60, "x");
     world.run(3 * S);
     // From a standing start the other wants as much: from then on both get the same.
-    world.load(60, "p");
+    world.start_load(60, "p");
     world.run(S);
     let (apps, scans) = (done(&world, "x").0, done(&world, "p").0);
     world.run(4 * S);
@@ -101,19 +102,19 @@
     expect_that!((after.1 - before.1) * 10, lt(after.0 - before.0));
     world.revive(0);
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_weights_that_change_then_they_bind_without_a_restart_and_a_wrong_section_is_refused() {
     let mut world = fleet(Some((1, 1)));
-    world.load(60, "x");
-    world.load(60, "p");
+    world.start_load(60, "x");
+    world.start_load(60, "p");
     let token = world.call(0, "PUT", "/configuration", &conf(3, Some((4, 1))));
     world.run(2 * S);
-    expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(200)));
-    let held = |world: &World| {
+    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(200)));
+    let held = |world: &Simulation| {
         let core = world.access[0].core.as_ref().expect("it runs");
         let value: serde_json::Value = serde_json::from_str(&core.tenants_json()).expect("JSON");
         let row = |label: &str| {
@@ -136,11 +137,11 @@
         ),
         ("{\"label\":\"a\"}", "tenants"),
     ] {
-        let mut value: serde_json::Value = serde_json::from_slice(&World::conf(9)).expect("the stand-in's own");
+        let mut value: serde_json::Value = serde_json::from_slice(&Simulation::config(9)).expect("the stand-in's own");
         value["tenants"] = serde_json::from_str(wrong).expect("JSON");
         let token = world.call(0, "PUT", "/configuration", value.to_string().as_bytes());
         world.run(200 * MS);
-        let (status, body) = world.returns.get(&token).cloned().unwrap_or_default();
+        let (status, body) = world.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(400), "{wrong}");
         expect_that!(String::from_utf8_lossy(&body).into_owned(), contains_substring(why));
     }
