--- a/crates/wv-simulation/tests/traffic.rs
+++ b/crates/wv-simulation/tests/traffic.rs
@@ -1,53 +1,53 @@
 //! Stories of sessions, pools and routes.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// What a client hears of one line, after the fleet had time to answer.
-fn asked(world: &mut World, client: usize, line: &str) -> Vec<String> {
-    world.take(client);
-    world.say(client, line);
+fn asked(world: &mut Simulation, client: usize, line: &str) -> Vec<String> {
+    world.take_lines(client);
+    world.send_line(client, line);
     world.run(150 * MS);
-    world.take(client)
+    world.take_lines(client)
 }
 
 #[gtest]
 fn given_a_quiet_fleet_when_clients_work_then_all_is_served_and_no_rule_broken() {
-    let mut world = World::serving(4, 3);
-    world.load(12, "p");
-    world.load(8, "b");
+    let mut world = Simulation::configured(4, 3);
+    world.start_load(12, "p");
+    world.start_load(8, "b");
     world.run(10 * S);
     world.stop_load();
-    world.run(wv_simulation::REST);
-    let (done, failed) = world.load_done();
+    world.run(wv_simulation::SETTLE_US);
+    let (done, failed) = world.load_counts();
     expect_that!(done, gt(1000));
     expect_that!(failed, eq(0));
-    expect_that!(world.judge(), is_empty());
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.check_rules(), is_empty());
+    expect_that!(world.promotion_calls, is_empty());
 }
 
 #[gtest]
 fn given_an_unknown_database_when_a_client_sets_up_then_nodb_and_a_close() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "nowhere");
-    expect_that!(world.take(client), elements_are![starts_with("ERROR NODB")]);
-    expect_that!(world.is_closed(client), eq(true));
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "nowhere");
+    expect_that!(world.take_lines(client), elements_are![starts_with("ERROR NODB")]);
+    expect_that!(world.is_client_closed(client), eq(true));
 }
 
 #[gtest]
 fn given_no_configuration_yet_when_a_client_sets_up_then_it_waits_for_the_first_one() {
-    let mut world = World::new(1, 3);
+    let mut world = Simulation::new(1, 3);
     world.run(2 * S);
-    let client = world.client(0, "p");
-    expect_that!(world.take(client), is_empty());
-    world.call(0, "PUT", "/configuration", &World::conf(1));
+    let client = world.open_client(0, "p");
+    expect_that!(world.take_lines(client), is_empty());
+    world.call(0, "PUT", "/configuration", &Simulation::config(1));
     world.run(S);
-    expect_that!(world.take(client), elements_are![eq("IDLE I -")]);
+    expect_that!(world.take_lines(client), elements_are![eq("IDLE I -")]);
 }
 
 #[gtest]
 fn given_a_session_when_it_opens_a_transaction_then_begin_is_answered_here_and_commit_by_the_database() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     expect_that!(asked(&mut world, client, "QUERY a1 BEGIN"), elements_are![eq("COMPLETE -"), eq("IDLE T -")]);
     expect_that!(asked(&mut world, client, "QUERY a2 WRITE k d")[0], starts_with("COMPLETE stamp"));
     let commit = asked(&mut world, client, "QUERY a3 COMMIT");
@@ -58,49 +58,49 @@
 
 #[gtest]
 fn given_two_sessions_with_clashing_names_when_they_share_connections_then_each_runs_its_own_shape() {
-    let mut world = World::serving(1, 3);
-    world.load(9, "p");
-    world.load(9, "b");
+    let mut world = Simulation::configured(1, 3);
+    world.start_load(9, "p");
+    world.start_load(9, "b");
     world.run(6 * S);
     world.stop_load();
-    world.run(wv_simulation::REST);
+    world.run(wv_simulation::SETTLE_US);
     // The stand-ins compare values and shapes at each run; the oracle holds what did not fit.
-    expect_that!(world.judge(), is_empty());
+    expect_that!(world.check_rules(), is_empty());
     expect_that!(world.oracle.reads, gt(300));
 }
 
 #[gtest]
 fn given_a_name_that_was_never_defined_when_executed_then_undefined_and_nothing_is_sent() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     expect_that!(asked(&mut world, client, "QUERY a1 EXECUTE s1 k")[0], starts_with("ERROR UNDEFINED"));
-    expect_that!(world.oracle.runs.contains_key("a1"), eq(false));
+    expect_that!(world.oracle.executions.contains_key("a1"), eq(false));
 }
 
 #[gtest]
 fn given_a_write_whose_return_is_lost_then_indeterm_and_it_is_never_sent_again() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
-    world.bases[0].lose = 1;
-    world.take(client);
-    world.say(client, "QUERY a1 WRITE k d");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
+    world.databases[0].lost_replies = 1;
+    world.take_lines(client);
+    world.send_line(client, "QUERY a1 WRITE k d");
     world.run(2 * S);
-    expect_that!(world.take(client)[0], starts_with("ERROR INDETERM"));
-    expect_that!(world.oracle.runs.get("a1"), some(eq(&1)));
-    expect_that!(world.bases[0].log.iter().filter(|entry| entry.write.tag == "a1").count(), eq(1));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR INDETERM"));
+    expect_that!(world.oracle.executions.get("a1"), some(eq(&1)));
+    expect_that!(world.databases[0].log.iter().filter(|entry| entry.write.tag == "a1").count(), eq(1));
 }
 
 #[gtest]
 fn given_a_commit_whose_return_is_lost_then_indeterm_with_writes_and_a_promise_without() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     for (writes, wanted) in [(true, "ERROR INDETERM"), (false, "ERROR ABORTED")] {
         asked(&mut world, client, "QUERY a1 BEGIN");
         asked(&mut world, client, if writes { "QUERY a2 WRITE k d" } else { "QUERY a2 READ k" });
-        world.bases[0].lose = 1;
-        world.say(client, "QUERY a3 COMMIT");
+        world.databases[0].lost_replies = 1;
+        world.send_line(client, "QUERY a3 COMMIT");
         world.run(2 * S);
-        let heard = world.take(client);
+        let heard = world.take_lines(client);
         expect_that!(heard[0], starts_with(wanted));
         expect_that!(heard[1], starts_with("IDLE I"));
     }
@@ -108,8 +108,8 @@
 
 #[gtest]
 fn given_a_transaction_when_its_database_crashes_then_aborted_and_its_end_is_taken() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     asked(&mut world, client, "QUERY a1 BEGIN");
     asked(&mut world, client, "QUERY a2 WRITE k d");
     world.crash(0);
@@ -123,127 +123,127 @@
 
 #[gtest]
 fn given_a_transaction_that_rests_too_long_then_it_is_rolled_back_behind_and_told_with_the_next_statement() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     asked(&mut world, client, "QUERY a1 BEGIN");
     asked(&mut world, client, "QUERY a2 WRITE k d");
     world.run(4 * S);
-    expect_that!(world.take(client), is_empty());
+    expect_that!(world.take_lines(client), is_empty());
     expect_that!(asked(&mut world, client, "QUERY a3 COMMIT")[0], starts_with("ERROR ABORTED"));
-    expect_that!(world.bases[0].log, is_empty());
+    expect_that!(world.databases[0].log, is_empty());
 }
 
 #[gtest]
 fn given_a_client_that_leaves_midway_then_its_connection_serves_no_one_else_and_nothing_is_kept() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     asked(&mut world, client, "QUERY a1 BEGIN");
-    world.say(client, "QUERY a2 WRITE k d");
+    world.send_line(client, "QUERY a2 WRITE k d");
     world.run(2 * MS);
-    world.leave(client);
+    world.close_client(client);
     world.run(S);
-    expect_that!(world.bases[0].log, is_empty());
-    let other = world.client(0, "p");
+    expect_that!(world.databases[0].log, is_empty());
+    let other = world.open_client(0, "p");
     expect_that!(asked(&mut world, other, "QUERY b1 WRITE k d")[0], starts_with("COMPLETE stamp"));
 }
 
 #[gtest]
 fn given_replicas_far_behind_when_bounded_reads_run_then_none_is_older_than_its_bound() {
-    let mut world = World::serving(3, 3);
-    (1..3).for_each(|at| world.bases[at].apply_lag = 3 * S);
-    world.load(6, "p");
-    world.load(6, "b");
+    let mut world = Simulation::configured(3, 3);
+    (1..3).for_each(|at| world.databases[at].apply_lag_us = 3 * S);
+    world.start_load(6, "p");
+    world.start_load(6, "b");
     world.run(8 * S);
     world.stop_load();
-    world.run(wv_simulation::REST);
-    expect_that!(world.judge(), is_empty());
-    expect_that!(world.load_done().0, gt(300));
+    world.run(wv_simulation::SETTLE_US);
+    expect_that!(world.check_rules(), is_empty());
+    expect_that!(world.load_counts().0, gt(300));
 }
 
 #[gtest]
 fn given_a_congested_primary_when_writes_come_then_a_promise_at_once_and_nothing_kept() {
-    let mut world = World::serving(1, 3);
-    world.bases[0].is_congested = true;
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    world.databases[0].is_congested = true;
+    let client = world.open_client(0, "p");
     let heard = asked(&mut world, client, "QUERY a1 WRITE k d");
     expect_that!(heard[0], starts_with("ERROR CONGESTED"));
     expect_that!(heard[0], contains_substring("retry after"));
-    expect_that!(world.bases[0].log, is_empty());
+    expect_that!(world.databases[0].log, is_empty());
 }
 
 #[gtest]
 fn given_a_line_over_the_bound_then_oversize_and_a_close() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
-    world.take(client);
-    world.say(client, &format!("QUERY a1 WRITE k {}", "x".repeat(400_000)));
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
+    world.take_lines(client);
+    world.send_line(client, &format!("QUERY a1 WRITE k {}", "x".repeat(400_000)));
     world.run(50 * MS);
-    expect_that!(world.take(client)[0], starts_with("ERROR OVERSIZE"));
-    expect_that!(world.is_closed(client), eq(true));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR OVERSIZE"));
+    expect_that!(world.is_client_closed(client), eq(true));
 }
 
 #[gtest]
 fn given_sigterm_when_a_transaction_is_open_then_it_may_end_and_idle_sessions_are_closed_in_time() {
-    let mut world = World::serving(2, 3);
-    let (open, idle) = (world.client(0, "p"), world.client(0, "p"));
+    let mut world = Simulation::configured(2, 3);
+    let (open, idle) = (world.open_client(0, "p"), world.open_client(0, "p"));
     asked(&mut world, open, "QUERY a1 BEGIN");
     asked(&mut world, open, "QUERY a2 WRITE k d");
     let now = world.now;
     world.access[0].core.iter_mut().for_each(|core| core.begin_shutdown(now));
     expect_that!(world.access[0].core.as_ref().map(|core| core.is_ready()), some(eq(false)));
     world.run(2600 * MS);
-    expect_that!(world.is_closed(idle), eq(true));
+    expect_that!(world.is_client_closed(idle), eq(true));
     expect_that!(asked(&mut world, open, "QUERY a3 COMMIT")[0], starts_with("COMPLETE stamp"));
 }
 
 #[gtest]
 fn given_a_lost_return_while_later_ones_come_then_reads_go_elsewhere_and_transactions_end_with_a_promise() {
-    let mut world = World::serving(1, 3);
-    let (one, other) = (world.client(0, "p"), world.client(0, "p"));
+    let mut world = Simulation::configured(1, 3);
+    let (one, other) = (world.open_client(0, "p"), world.open_client(0, "p"));
     asked(&mut world, one, "QUERY a1 BEGIN");
     asked(&mut world, one, "QUERY a2 WRITE k d");
-    world.bases[0].lose = 1;
-    world.take(one);
-    world.say(one, "QUERY a3 READ k");
+    world.databases[0].lost_replies = 1;
+    world.take_lines(one);
+    world.send_line(one, "QUERY a3 READ k");
     world.run(20 * MS);
     for _ in 0..4 {
         expect_that!(asked(&mut world, other, "QUERY b1 READ k")[0], starts_with("ROW"));
     }
-    let heard = world.take(one);
+    let heard = world.take_lines(one);
     expect_that!(heard[0], starts_with("ERROR ABORTED"));
     expect_that!(heard[1], starts_with("IDLE E"));
     asked(&mut world, one, "QUERY a4 ABORT");
-    world.bases[0].lose = 1;
-    world.say(one, "QUERY a5 READ k");
+    world.databases[0].lost_replies = 1;
+    world.send_line(one, "QUERY a5 READ k");
     world.run(20 * MS);
     (0..4).for_each(|_| assert!(!asked(&mut world, other, "QUERY b2 READ k").is_empty()));
-    expect_that!(world.take(one)[0], starts_with("ROW"));
+    expect_that!(world.take_lines(one)[0], starts_with("ROW"));
     // Where a write alone left, no later return proves anything: its client hears nothing false.
-    world.bases[0].lose = 1;
-    world.say(one, "QUERY a6 WRITE k d");
+    world.databases[0].lost_replies = 1;
+    world.send_line(one, "QUERY a6 WRITE k d");
     world.run(20 * MS);
     (0..4).for_each(|_| assert!(!asked(&mut world, other, "QUERY b3 READ k").is_empty()));
-    expect_that!(world.take(one), is_empty());
+    expect_that!(world.take_lines(one), is_empty());
 }
 
 #[gtest]
 fn given_connections_reset_under_a_transaction_then_it_begins_elsewhere_only_while_nothing_of_it_was_returned() {
-    let mut world = World::serving(1, 3);
-    let client = world.client(0, "p");
+    let mut world = Simulation::configured(1, 3);
+    let client = world.open_client(0, "p");
     asked(&mut world, client, "QUERY a1 BEGIN");
-    world.say(client, "QUERY a2 WRITE k d");
+    world.send_line(client, "QUERY a2 WRITE k d");
     world.run(3 * MS);
-    world.reset_conns(0);
+    world.reset_connections(0);
     world.run(100 * MS);
-    expect_that!(world.take(client)[0], starts_with("COMPLETE stamp"));
+    expect_that!(world.take_lines(client)[0], starts_with("COMPLETE stamp"));
     expect_that!(asked(&mut world, client, "QUERY a3 COMMIT")[0], starts_with("COMPLETE stamp"));
-    expect_that!(world.bases[0].log.iter().filter(|entry| entry.write.tag == "a2").count(), eq(1));
+    expect_that!(world.databases[0].log.iter().filter(|entry| entry.write.tag == "a2").count(), eq(1));
     asked(&mut world, client, "QUERY b1 BEGIN");
     asked(&mut world, client, "QUERY b2 WRITE k d");
-    world.say(client, "QUERY b3 READ k");
+    world.send_line(client, "QUERY b3 READ k");
     world.run(3 * MS);
-    world.reset_conns(0);
+    world.reset_connections(0);
     world.run(100 * MS);
-    expect_that!(world.take(client)[0], starts_with("ERROR ABORTED"));
-    expect_that!(world.bases[0].log.iter().any(|entry| entry.write.tag == "b2"), eq(false));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR ABORTED"));
+    expect_that!(world.databases[0].log.iter().any(|entry| entry.write.tag == "b2"), eq(false));
 }
--- a/crates/wv-simulation/tests/voters.rs
+++ b/crates/wv-simulation/tests/voters.rs
@@ -3,21 +3,21 @@
 
 use googletest::prelude::*;
 use steps::{put_version, voters};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
-fn read(world: &mut World, control: usize) -> (u16, String) {
+fn read(world: &mut Simulation, control: usize) -> (u16, String) {
     let token = world.call(control, "GET", "/configuration", b"");
     world.run(1200 * MS);
-    let (status, body) = world.returns.get(&token).cloned().unwrap_or_default();
+    let (status, body) = world.responses.get(&token).cloned().unwrap_or_default();
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
 fn conf(version: u64) -> String {
-    String::from_utf8_lossy(&World::conf(version)).into_owned()
+    String::from_utf8_lossy(&Simulation::config(version)).into_owned()
 }
 
 /// Gone for good; an empty machine comes to another address a second later. Returns its place.
-fn replace(world: &mut World, control: usize) -> usize {
+fn replace(world: &mut Simulation, control: usize) -> usize {
     world.kill_control(control);
     world.run(S);
     // Its seeds are whoever serves control at that time.
@@ -28,7 +28,7 @@
 #[gtest]
 fn given_each_voter_replaced_in_turn_then_the_set_follows_and_nothing_acknowledged_is_missing() {
     for gone in 0..3 {
-        let mut world = World::serving(2, 3);
+        let mut world = Simulation::configured(2, 3);
         expect_that!(put_version(&mut world, (gone + 1) % 3, 20), eq(200));
         let new = replace(&mut world, gone);
         world.run(3 * S);
@@ -46,7 +46,7 @@
 
 #[gtest]
 fn given_all_voters_turned_over_and_then_all_power_lost_then_the_last_acknowledged_is_read_back() {
-    let mut world = World::serving(2, 3);
+    let mut world = Simulation::configured(2, 3);
     let mut new = Vec::new();
     for gone in 0..3 {
         let by = if gone < 2 { gone + 1 } else { new[0] };
@@ -67,7 +67,7 @@
 
 #[gtest]
 fn given_more_core_machines_than_the_first_set_then_it_grows_to_an_odd_number_and_bears_more_losses() {
-    let mut world = World::serving(2, 8);
+    let mut world = Simulation::configured(2, 8);
     world.run(3 * S);
     let (number, addrs) = voters(&mut world, 7);
     expect_that!(number, eq(3));
@@ -92,17 +92,17 @@
 #[gtest]
 fn given_two_that_both_hold_the_change_then_one_successor_is_settled_everywhere() {
     for split in 0..4u64 {
-        let mut world = World::serving(1, 5);
+        let mut world = Simulation::configured(1, 5);
         world.run(2 * S);
         // Neither side hears the other for a while, so that each has a holder of its own; then one is lost.
         for (one, other) in [("c0", "c3"), ("c0", "c4"), ("c1", "c4"), ("c2", "c3")] {
-            world.cut.insert((one.to_owned(), other.to_owned()));
+            world.dropped_links.insert((one.to_owned(), other.to_owned()));
         }
         world.kill_control((split % 3) as usize);
         world.add_control(&[0, 1, 2]);
         world.add_control(&[0, 1, 2]);
         world.run(split * 70 * MS + 2600 * MS);
-        world.cut.clear();
+        world.dropped_links.clear();
         world.run(5 * S);
         let all: Vec<(u64, Vec<String>)> =
             (0..7).filter(|at| *at != (split % 3) as usize).map(|at| voters(&mut world, at)).collect();
@@ -116,11 +116,11 @@
 fn given_the_holder_killed_at_any_step_of_a_change_then_another_ends_it_and_nothing_is_forgotten() {
     // A change takes some ten messages of half a millisecond each: every one of its moments is tried.
     for step in 0..24u64 {
-        let mut world = World::serving(1, 4);
+        let mut world = Simulation::configured(1, 4);
         expect_that!(put_version(&mut world, 1, 20), eq(200));
         world.kill_control(0);
         world.run(1900 * MS);
-        let is_under_way = |world: &World| (1..4).find(|at| world.is_changing(*at));
+        let is_under_way = |world: &Simulation| (1..4).find(|at| world.is_changing_voters(*at));
         let mut waited = 0;
         while is_under_way(&world).is_none() && waited < 3000 {
             world.run(MS / 4);
@@ -141,8 +141,8 @@
 
 #[gtest]
 fn given_writes_claims_and_a_promotion_under_way_while_voters_are_replaced_then_all_is_kept_once() {
-    let mut world = World::serving(3, 3);
-    world.load(12, "p");
+    let mut world = Simulation::configured(3, 3);
+    world.start_load(12, "p");
     world.run(S);
     world.crash(0);
     world.run(300 * MS);
@@ -150,9 +150,9 @@
     let mut last = 0;
     for version in 50..62 {
         let by = if version % 2 == 0 { 0 } else { 2 };
-        let token = world.call(by, "PUT", "/configuration", &World::conf(version));
+        let token = world.call(by, "PUT", "/configuration", &Simulation::config(version));
         world.run(237 * MS);
-        if world.returns.get(&token).is_some_and(|ret| ret.0 == 200) {
+        if world.responses.get(&token).is_some_and(|ret| ret.0 == 200) {
             last = version;
         }
     }
@@ -162,16 +162,16 @@
     expect_that!(world.primary(), not(eq(0)));
     world.revive(0);
     world.stop_load();
-    world.run(wv_simulation::REST);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_a_voter_that_was_replaced_while_it_was_cut_off_then_it_answers_no_quorum_when_it_wakes() {
-    let mut world = World::serving(1, 4);
+    let mut world = Simulation::configured(1, 4);
     let others = ["c1", "c2", "c3"];
     others.iter().for_each(|other| {
-        world.cut.insert(("c0".to_owned(), (*other).to_owned()));
+        world.dropped_links.insert(("c0".to_owned(), (*other).to_owned()));
     });
     world.run(4 * S);
     let (number, addrs) = voters(&mut world, 2);
@@ -181,7 +181,7 @@
     // What it still holds is old; alone with one of the others it must not pass for a majority.
     world.kill_control(2);
     world.kill_control(3);
-    world.cut.clear();
+    world.dropped_links.clear();
     world.run(S);
     expect_that!(read(&mut world, 0).0, eq(503));
     expect_that!(put_version(&mut world, 0, 19), eq(503));
@@ -192,7 +192,7 @@
 
 #[gtest]
 fn given_a_voter_whose_disk_came_back_empty_then_it_is_taken_in_anew_at_its_old_address() {
-    let mut world = World::serving(1, 3);
+    let mut world = Simulation::configured(1, 3);
     expect_that!(put_version(&mut world, 0, 20), eq(200));
     world.kill_control(2);
     world.controls[2].files.files.borrow_mut().clear();
@@ -207,9 +207,9 @@
 
 #[gtest]
 fn given_a_seed_without_a_disk_then_it_gives_its_vote_to_a_machine_that_has_one() {
-    let mut world = World::serving(1, 4);
+    let mut world = Simulation::configured(1, 4);
     world.kill_control(2);
-    world.controls[2].is_core = false;
+    world.controls[2].has_disk = false;
     world.controls[2].files = Default::default();
     world.start_control(2, false);
     world.run(1500 * MS);
@@ -217,20 +217,22 @@
     expect_that!(addrs.contains(&world.controls[2].addr), eq(false));
     expect_that!(addrs.contains(&world.controls[3].addr), eq(true));
     // A long body neither comes nor goes over its small link: the caller is sent to a voter.
-    for (method, body, ret) in [("PUT", World::conf(20), b"{}".to_vec()), ("GET", Vec::new(), World::conf(20))] {
+    for (method, body, ret) in
+        [("PUT", Simulation::config(20), b"{}".to_vec()), ("GET", Vec::new(), Simulation::config(20))]
+    {
         let token = world.call(2, method, "/configuration", &body);
-        let (status, place) = world.returns.get(&token).cloned().unwrap_or_default();
+        let (status, place) = world.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(307));
         let places = world.controls.iter().map(|control| format!("http://{}/configuration", control.addr));
         let to = places.into_iter().position(|named| named.as_bytes() == place).unwrap_or(2);
         expect_that!(addrs.contains(&world.controls[to].addr), eq(true));
         let token = world.call(to, method, "/configuration", &body);
         world.run(1200 * MS);
-        expect_that!(world.returns.get(&token), some(eq(&(200, ret))));
+        expect_that!(world.responses.get(&token), some(eq(&(200, ret))));
     }
     [0, 1, 3].into_iter().for_each(|at| world.kill_control(at));
     world.run(2 * S);
     let token = world.call(2, "GET", "/configuration", b"");
     world.run(2 * S);
-    expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(503)));
+    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)));
 }
