--- a/crates/wv-simulation/src/admin.rs
+++ b/crates/wv-simulation/src/admin.rs
@@ -6,7 +6,7 @@
 impl Simulation {
     /// One line for each database's role and for each access node's routing state of a database.
     pub fn status_lines(&self) -> Vec<String> {
-        let mut states: Vec<String> = self
+        let mut lines: Vec<String> = self
             .databases
             .iter()
             .map(|database| {
@@ -23,9 +23,9 @@
             .collect();
         for node in &self.access {
             let routes = node.core.iter().flat_map(|core| core.routing_states());
-            states.extend(routes.map(|(id, state)| format!("{} routes {id}: {state}", node.name)));
+            lines.extend(routes.map(|(id, state)| format!("{} routes {id}: {state}", node.name)));
         }
-        states
+        lines
     }
 
     /// Adds a control node with an empty disk that knows the seed nodes at the indexes `seeds`.
--- a/crates/wv-simulation/src/control_nodes.rs
+++ b/crates/wv-simulation/src/control_nodes.rs
@@ -2,7 +2,7 @@
 use crate::nodes::LinkEnd;
 use crate::simulation::{Event, Simulation, LINK_DELAY_US};
 use crate::MS;
-use wv_control::Action as ControlAct;
+use wv_control::Action as ControlAction;
 
 impl Simulation {
     pub fn start_control(&mut self, at: usize, is_first: bool) {
@@ -49,37 +49,37 @@
         let now = self.now;
         let core = self.controls[at].core.as_mut()?;
         let ret = event(core, now);
-        let acts = core.take_actions();
+        let actions = core.take_actions();
         // Power was lost during a write: actions that depend on it are discarded.
         if self.controls[at].disk_faults.is_powered_off() {
             self.power_off_control(at, 0);
             return None;
         }
-        acts.into_iter().for_each(|act| self.apply_control_action(at, act));
+        actions.into_iter().for_each(|action| self.apply_control_action(at, action));
         Some(ret)
     }
 
-    fn apply_control_action(&mut self, at: usize, act: ControlAct) {
-        match act {
-            ControlAct::Send { link, msg } => {
+    fn apply_control_action(&mut self, at: usize, action: ControlAction) {
+        match action {
+            ControlAction::Send { link, msg } => {
                 self.log_owner_change(&msg);
                 if let Some(to) = self.controls[at].far_ends.get(&link).copied() {
                     self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg });
                 }
             }
-            ControlAct::Close { link } => {
+            ControlAction::Close { link } => {
                 let peers = self.controls[at].far_ends.remove(&link);
                 peers.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
             }
-            ControlAct::Dial { link, addr } => self.dial(at, link, &addr),
-            ControlAct::Wake { delay_us: us } => {
+            ControlAction::Dial { link, addr } => self.dial(at, link, &addr),
+            ControlAction::Wake { delay_us: us } => {
                 self.schedule(us, Event::ControlWake(at, self.controls[at].incarnation))
             }
-            ControlAct::Respond { token, status, body } => {
+            ControlAction::Respond { token, status, body } => {
                 self.track_response(token, status);
                 self.responses.insert(token, (status, body));
             }
-            ControlAct::QueryDatabase { request, id, statement, .. } => {
+            ControlAction::QueryDatabase { request, id, statement, .. } => {
                 let is_open = |database: &usize| {
                     let instance = &self.databases[*database];
                     !instance.is_unreachable && !self.is_disconnected(&self.controls[at].name, &instance.id)
@@ -98,10 +98,10 @@
                     Event::DatabaseStatus { control: at, incarnation: self.controls[at].incarnation, request, reply },
                 );
             }
-            ControlAct::RunStatements { request: run, id, statements, .. } => {
+            ControlAction::RunStatements { request: run, id, statements, .. } => {
                 self.send_own_statements(at, run, &id, &statements)
             }
-            ControlAct::PromoteDatabase { request, service, id, fence, .. } => {
+            ControlAction::PromoteDatabase { request, service, id, fence, .. } => {
                 self.call_promotion(at, request, service, (id, fence))
             }
         }
--- a/crates/wv-simulation/src/database_log.rs
+++ b/crates/wv-simulation/src/database_log.rs
@@ -105,8 +105,8 @@
             Outcome::Read(rows) => self.complete_lines(&rows, &stamp, state),
             Outcome::Commit(writes) => {
                 let is_single = text != "COMMIT";
-                let named = |write: Write| if is_single { Write { tag: id.to_owned(), ..write } } else { write };
-                self.append(writes.into_iter().map(named).collect());
+                let with_tag = |write: Write| if is_single { Write { tag: id.to_owned(), ..write } } else { write };
+                self.append(writes.into_iter().map(with_tag).collect());
                 self.complete_lines("", &stamp, b'I')
             }
         })
--- a/crates/wv-simulation/src/database_service.rs
+++ b/crates/wv-simulation/src/database_service.rs
@@ -143,18 +143,18 @@
             }
             Outcome::Commit(writes) => {
                 let is_single = text != "COMMIT";
-                let named = |write: Write| if is_single { Write { tag: id.to_owned(), ..write } } else { write };
-                let writes = writes.into_iter().map(named).collect();
+                let with_tag = |write: Write| if is_single { Write { tag: id.to_owned(), ..write } } else { write };
+                let writes = writes.into_iter().map(with_tag).collect();
                 self.commit(database, conn, writes, &stamp, is_lost);
             }
         }
     }
 
     fn finish_statement(&mut self, database: usize, conn: u64, text: String, is_lost: bool) {
-        let work = self.databases[database].statement_us;
-        self.schedule(work, Event::StatementDone { database, conn });
+        let duration_us = self.databases[database].statement_us;
+        self.schedule(duration_us, Event::StatementDone { database, conn });
         if !is_lost {
-            self.send_to_access(database, conn, text, work);
+            self.send_to_access(database, conn, text, duration_us);
         }
     }
 
--- a/crates/wv-simulation/src/drain_check.rs
+++ b/crates/wv-simulation/src/drain_check.rs
@@ -88,10 +88,12 @@
             return;
         };
         let Some((access, _)) = self.connection_owner(database, conn) else { return };
-        let ago = self.now - acknowledged;
-        if ago > DRAIN_BOUND_US && self.is_fault_free(access) && self.drain_tracker.reported.insert(database_id.clone())
+        let elapsed_us = self.now - acknowledged;
+        if elapsed_us > DRAIN_BOUND_US
+            && self.is_fault_free(access)
+            && self.drain_tracker.reported.insert(database_id.clone())
         {
-            let (name, ms) = (&self.access[access].name, ago / 1000);
+            let (name, ms) = (&self.access[access].name, elapsed_us / 1000);
             let text = format!(
                 "DRAIN_BOUND_US: {id} of {name} reaches {database_id} {ms} ms after its leave was acknowledged"
             );
--- a/crates/wv-simulation/src/links.rs
+++ b/crates/wv-simulation/src/links.rs
@@ -159,8 +159,9 @@
 
     /// Whether no connection can be opened between the two: that takes both directions.
     fn is_unconnectable(&self, one: &str, other: &str) -> bool {
-        let way = |from: &str, to: &str| self.dropped_one_way.contains(&(from.to_owned(), to.to_owned()));
-        self.is_disconnected(one, other) || way(one, other) || way(other, one)
+        let is_one_way_dropped =
+            |from: &str, to: &str| self.dropped_one_way.contains(&(from.to_owned(), to.to_owned()));
+        self.is_disconnected(one, other) || is_one_way_dropped(one, other) || is_one_way_dropped(other, one)
     }
 
     /// Whether messages from one end to the other are lost.
--- a/crates/wv-simulation/src/nodes.rs
+++ b/crates/wv-simulation/src/nodes.rs
@@ -2,7 +2,7 @@
 use crate::simulation::{Event, Simulation, LINK_DELAY_US};
 use crate::{MS, S};
 use std::collections::BTreeMap;
-use wv_access::Act as AccessAct;
+use wv_access::Act as AccessAction;
 use wv_internal_protocol::Message;
 
 /// One end of a link to a control node.
@@ -106,10 +106,10 @@
         session.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
         // Workload sessions see the disconnect and reconnect elsewhere.
         let is_load = |client: &crate::clients::Client| self.has_link_timeouts && client.load.is_some();
-        let is_told = |client: &&crate::clients::Client| client.session.is_some() || is_load(client);
-        let cut = self.clients.iter().filter(|client| client.node == at).filter(is_told);
-        let cut: Vec<u64> = cut.filter_map(|client| client.id).collect();
-        cut.into_iter().for_each(|id| self.on_client_closed(at, id));
+        let is_notified = |client: &&crate::clients::Client| client.session.is_some() || is_load(client);
+        let disconnected = self.clients.iter().filter(|client| client.node == at).filter(is_notified);
+        let disconnected: Vec<u64> = disconnected.filter_map(|client| client.id).collect();
+        disconnected.into_iter().for_each(|id| self.on_client_closed(at, id));
         let keys: Vec<(usize, u64)> = self.db_conns.keys().filter(|key| key.0 == at).copied().collect();
         for key in keys {
             if let Some((database, conn)) = self.remove_connection(key) {
@@ -126,12 +126,12 @@
         let now = self.now;
         let core = self.access[at].core.as_mut()?;
         let ret = event(core, now);
-        let acts = core.take_acts();
+        let actions = core.take_acts();
         let next = core.next_limit();
         let health_reports =
             if core.has_sights() { core.take_health_reports(wv_access::ReportScope::Changes) } else { Vec::new() };
         let split_reports = if core.has_sights() { core.take_split_reports(false) } else { Vec::new() };
-        acts.into_iter().for_each(|act| self.apply_access_action(at, act));
+        actions.into_iter().for_each(|action| self.apply_access_action(at, action));
         if let Some(next) = next.filter(|next| *next < self.access[at].timer_us) {
             self.access[at].timer_us = next;
             self.schedule(next.saturating_sub(now), Event::AccessTimer(at));
@@ -145,11 +145,11 @@
         Some(ret)
     }
 
-    fn apply_access_action(&mut self, at: usize, act: AccessAct) {
-        match act {
-            AccessAct::DialHand { link, place } => self.dial_peer(at, link, &place),
-            AccessAct::SendHand { link, msg } => self.send_to_peer(at, link, msg),
-            AccessAct::WriteClient(id) => {
+    fn apply_access_action(&mut self, at: usize, action: AccessAction) {
+        match action {
+            AccessAction::DialHand { link, place } => self.dial_peer(at, link, &place),
+            AccessAction::SendHand { link, msg } => self.send_to_peer(at, link, msg),
+            AccessAction::WriteClient(id) => {
                 if let Some((link, msg)) =
                     self.access[at].core.as_mut().and_then(|core| core.take_forwarded_response(id))
                 {
@@ -159,11 +159,11 @@
                 let out = core.and_then(|core| core.client_out(id)).map(std::mem::take).unwrap_or_default();
                 self.on_client_data(at, id, &out);
             }
-            AccessAct::CloseClient(id, out) => {
+            AccessAction::CloseClient(id, out) => {
                 self.on_client_data(at, id, &out);
                 self.on_client_closed(at, id);
             }
-            AccessAct::WriteDb(db) => {
+            AccessAction::WriteDb(db) => {
                 let core = self.access[at].core.as_mut();
                 let out = core.and_then(|core| core.db_out(db)).map(std::mem::take).unwrap_or_default();
                 let name = self.access[at].name.clone();
@@ -173,13 +173,13 @@
                     }
                 }
             }
-            AccessAct::CloseDb(db) => {
+            AccessAction::CloseDb(db) => {
                 if let Some((database, conn)) = self.remove_connection((at, db)) {
                     self.databases[database].conns.remove(&conn);
                     self.databases[database].busy.remove(&conn);
                 }
             }
-            AccessAct::OpenDb { db, addr } => self.open_db(at, db, &addr),
+            AccessAction::OpenDb { db, addr } => self.open_db(at, db, &addr),
         }
     }
 }
--- a/crates/wv-simulation/src/partitions.rs
+++ b/crates/wv-simulation/src/partitions.rs
@@ -185,10 +185,13 @@
     pub(crate) fn close_silent_links(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.controls[at];
-        let (peer, received) = (&node.far_ends, &mut node.last_received_us);
-        received.retain(|link, _| peer.contains_key(link));
-        let silent: Vec<u64> =
-            peer.keys().copied().filter(|link| *received.entry(*link).or_insert(now) + LINK_TIMEOUT_US < now).collect();
+        let (far_ends, last_received) = (&node.far_ends, &mut node.last_received_us);
+        last_received.retain(|link, _| far_ends.contains_key(link));
+        let silent: Vec<u64> = far_ends
+            .keys()
+            .copied()
+            .filter(|link| *last_received.entry(*link).or_insert(now) + LINK_TIMEOUT_US < now)
+            .collect();
         for link in silent {
             let peer = self.controls[at].far_ends.remove(&link);
             self.with_control(at, |core, now| core.link_down(link, now));
@@ -200,9 +203,9 @@
     pub fn reset_links(&mut self, at: usize, other: &str) {
         self.record_fault(&self.controls[at].name.clone());
         self.record_fault(other);
-        let peer: Vec<(u64, LinkEnd)> = self.controls[at].far_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
-        let peer: Vec<(u64, LinkEnd)> = peer.into_iter().filter(|(_, peer)| self.end_name(*peer) == other).collect();
-        for (link, peer) in peer {
+        let peers: Vec<(u64, LinkEnd)> = self.controls[at].far_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
+        let peers: Vec<(u64, LinkEnd)> = peers.into_iter().filter(|(_, peer)| self.end_name(*peer) == other).collect();
+        for (link, peer) in peers {
             let end = LinkEnd::Control { at, link, incarnation: self.controls[at].incarnation };
             self.schedule(0, Event::LinkDown { end });
             self.schedule(0, Event::LinkDown { end: peer });
--- a/crates/wv-simulation/src/replication.rs
+++ b/crates/wv-simulation/src/replication.rs
@@ -26,15 +26,16 @@
     }
 
     pub(crate) fn is_replica_of(&self, database: usize, other: usize) -> bool {
-        let (one, other_base) = (&self.databases[database], &self.databases[other]);
-        database != other && one.service == other_base.service && !other_base.is_removed
+        let (one, other_database) = (&self.databases[database], &self.databases[other]);
+        database != other && one.service == other_database.service && !other_database.is_removed
     }
 
     /// Sends the primary's missing log entries to a replica, also while there are no writes.
     pub(crate) fn catch_up(&mut self, database: usize) {
-        let is_lead = |at: &usize| self.databases[*at].is_primary && self.is_replica_of(*at, database);
-        let lead = (0..self.databases.len()).filter(is_lead).max_by_key(|at| self.databases[*at].term);
-        if let Some(from) = lead.filter(|from| self.databases[*from].log.len() > self.databases[database].log.len()) {
+        let is_primary_of = |at: &usize| self.databases[*at].is_primary && self.is_replica_of(*at, database);
+        let primary = (0..self.databases.len()).filter(is_primary_of).max_by_key(|at| self.databases[*at].term);
+        if let Some(from) = primary.filter(|from| self.databases[*from].log.len() > self.databases[database].log.len())
+        {
             let len = self.databases[from].log.len();
             self.schedule(2 * MS, Event::Replicate { from, to: database, len });
         }
--- a/crates/wv-simulation/src/simulation.rs
+++ b/crates/wv-simulation/src/simulation.rs
@@ -95,7 +95,7 @@
 
     /// A fleet with the given services that is configured to tolerate the loss of `tolerate` machines at once.
     pub fn with_tolerance(access: usize, controls: usize, services: &[String], tolerate: usize) -> Simulation {
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             now: S,
             next_event: 0,
             queue: BTreeMap::new(),
@@ -143,12 +143,13 @@
         };
         let addrs: Vec<String> = (0..controls).map(|at| format!("10.1.0.{}:80", at + 1)).collect();
         let seeds: Vec<String> = addrs.iter().take(3).cloned().collect();
-        world.controls = addrs.iter().enumerate().map(|(at, addr)| ControlNode::new(at, addr, &seeds)).collect();
-        world.access = (0..access).map(AccessNode::new).collect();
-        (0..controls).for_each(|at| world.start_control(at, true));
-        (0..access).for_each(|at| world.start_access(at));
-        (0..world.databases.len()).for_each(|database| world.schedule(10 * MS, Event::Heartbeat { database }));
-        world
+        simulation.controls = addrs.iter().enumerate().map(|(at, addr)| ControlNode::new(at, addr, &seeds)).collect();
+        simulation.access = (0..access).map(AccessNode::new).collect();
+        (0..controls).for_each(|at| simulation.start_control(at, true));
+        (0..access).for_each(|at| simulation.start_access(at));
+        (0..simulation.databases.len())
+            .for_each(|database| simulation.schedule(10 * MS, Event::Heartbeat { database }));
+        simulation
     }
 
     pub(crate) fn schedule(&mut self, after: u64, event: Event) {
@@ -187,16 +188,16 @@
 
     /// A fleet with an accepted configuration.
     pub fn configured(access: usize, controls: usize) -> Simulation {
-        let mut world = Simulation::new(access, controls);
-        world.run(2 * S);
-        let token = world.call(0, "PUT", "/configuration", &Simulation::config(1));
-        world.run(2 * S);
+        let mut simulation = Simulation::new(access, controls);
+        simulation.run(2 * S);
+        let token = simulation.call(0, "PUT", "/configuration", &Simulation::config(1));
+        simulation.run(2 * S);
         assert_eq!(
-            world.responses.get(&token).map(|ret| ret.0),
+            simulation.responses.get(&token).map(|ret| ret.0),
             Some(200),
             "the initial configuration must be accepted"
         );
-        world
+        simulation
     }
 
     /// The first running primary.
--- a/crates/wv-simulation/src/workload.rs
+++ b/crates/wv-simulation/src/workload.rs
@@ -95,14 +95,14 @@
     }
 
     pub fn add_request(&mut self, at: u64, session: usize, kind: RequestKind, deadline: u64) {
-        let (asked_at, served_by) = (None, None);
+        let (asked_node, served_node) = (None, None);
         self.requests.push(Request {
             at,
             session,
             kind,
             deadline,
-            asked_node: asked_at,
-            served_node: served_by,
+            asked_node,
+            served_node,
             done_us: 0,
             outcome: RequestOutcome::Open,
             attempts: 0,
--- a/crates/wv-simulation/src/workload_requests.rs
+++ b/crates/wv-simulation/src/workload_requests.rs
@@ -94,10 +94,10 @@
             return self.start_next_request(session);
         };
         let wait = error.and_then(|rest| rest.split("after ").nth(1)?.split(' ').next()?.parse::<u64>().ok());
-        let is_promise = NOT_APPLIED_CODES.contains(&code.as_str());
+        let is_not_applied = NOT_APPLIED_CODES.contains(&code.as_str());
         let tags = std::mem::take(&mut current.tags);
         let has_written = !tags.is_empty();
-        if is_promise {
+        if is_not_applied {
             tags.into_iter().for_each(|tag| {
                 self.oracle.rejected.insert(tag, now);
             });
