--- a/crates/wv-replay/src/generator.rs
+++ b/crates/wv-replay/src/generator.rs
@@ -1,6 +1,6 @@
 //! Generates synthetic recordings for the built-in user profiles, marked as generated in their header.
 use crate::recording::{RecordedAction, RecordedEvent, Recording, RecordingError};
-use wv_simulation::{Kind, Luck};
+use wv_simulation::{RequestKind, Rng};
 
 #[derive(Clone, Debug)]
 pub struct GeneratorOptions {
@@ -57,7 +57,7 @@
     let profile = PROFILES.iter().find(|(name, _)| *name == options.profile).map(|(_, profile)| profile);
     let unknown = || RecordingError::Invalid(format!("--generate {}: expected couriers or cadastre", options.profile));
     let profile = profile.ok_or_else(unknown)?;
-    let mut rng = Luck::new(options.seed);
+    let mut rng = Rng::new(options.seed);
     let mut events: Vec<RecordedEvent> = Vec::new();
     let end = options.seconds * 1_000_000;
     let mut sessions: Vec<(String, bool, u64, u64)> = Vec::new();
@@ -91,13 +91,13 @@
             continue;
         }
         let kind = match rng.below(100) {
-            draw if *is_bounded && draw < 10 => Kind::Txn { statements: 2, writes: false },
-            _ if *is_bounded => Kind::Read,
-            draw if draw < profile.write_percent => Kind::Write,
+            draw if *is_bounded && draw < 10 => RequestKind::Txn { statements: 2, writes: false },
+            _ if *is_bounded => RequestKind::Read,
+            draw if draw < profile.write_percent => RequestKind::Write,
             draw if draw < profile.write_percent + profile.transaction_percent => {
-                Kind::Txn { statements: 2 + rng.below(4) as u8, writes: rng.below(10) < 8 }
+                RequestKind::Txn { statements: 2 + rng.below(4) as u8, writes: rng.below(10) < 8 }
             }
-            _ => Kind::Read,
+            _ => RequestKind::Read,
         };
         events.push(RecordedEvent { at_us, client: client.clone(), action: RecordedAction::Request(kind) });
     }
--- a/crates/wv-replay/src/recording.rs
+++ b/crates/wv-replay/src/recording.rs
@@ -5,7 +5,7 @@
 //! read|write|txn:STATEMENTS:r|w`, `SECONDS close CLIENT`, and finally `end COUNT`. In merged recordings a client is
 //! named `NODE/CLIENT`.
 use std::collections::BTreeMap;
-use wv_simulation::Kind;
+use wv_simulation::RequestKind;
 
 pub const FORMAT_VERSION: u32 = 1;
 const MAX_LINES: usize = 40_000_000;
@@ -39,7 +39,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum RecordedAction {
     Open { host: String, is_bounded: bool, service: String },
-    Request(Kind),
+    Request(RequestKind),
     Close,
 }
 
@@ -59,10 +59,10 @@
     pub events: Vec<RecordedEvent>,
 }
 
-fn parse_kind(word: &str) -> Option<Kind> {
+fn parse_kind(word: &str) -> Option<RequestKind> {
     match word {
-        "read" => Some(Kind::Read),
-        "write" => Some(Kind::Write),
+        "read" => Some(RequestKind::Read),
+        "write" => Some(RequestKind::Write),
         _ => {
             let mut parts = word.strip_prefix("txn:")?.split(':');
             let statements = parts.next()?.parse().ok().filter(|count| (1..=100).contains(count))?;
@@ -71,16 +71,16 @@
                 "r" => false,
                 _ => return None,
             };
-            parts.next().is_none().then_some(Kind::Txn { statements, writes })
+            parts.next().is_none().then_some(RequestKind::Txn { statements, writes })
         }
     }
 }
 
-pub fn format_kind(kind: Kind) -> String {
+pub fn format_kind(kind: RequestKind) -> String {
     match kind {
-        Kind::Read => "read".to_owned(),
-        Kind::Write => "write".to_owned(),
-        Kind::Txn { statements, writes } => format!("txn:{statements}:{}", if writes { "w" } else { "r" }),
+        RequestKind::Read => "read".to_owned(),
+        RequestKind::Write => "write".to_owned(),
+        RequestKind::Txn { statements, writes } => format!("txn:{statements}:{}", if writes { "w" } else { "r" }),
     }
 }
 
--- a/crates/wv-replay/src/recording_player.rs
+++ b/crates/wv-replay/src/recording_player.rs
@@ -2,7 +2,7 @@
 use crate::recording::{RecordedAction, Recording, RecordingError};
 use crate::recording_report::{DropOutcome, RecordingReport, ReportContext};
 use std::collections::BTreeMap;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Time that the fleet runs before the recording starts, so that it can form.
 const WARM_UP_US: u64 = 4 * S;
@@ -59,7 +59,7 @@
 }
 
 struct Player<'a> {
-    world: World,
+    world: Simulation,
     nodes: Vec<String>,
     options: &'a PlaybackOptions,
     start_us: u64,
@@ -81,13 +81,13 @@
     if nodes.is_empty() || services.is_empty() {
         return Err(RecordingError::Invalid("the recording has no nodes or no sessions".to_owned()));
     }
-    let mut world = World::of(nodes.len(), options.control_nodes, &services);
-    (world.things, world.luck) = (10_000, wv_simulation::Luck::new(options.seed));
-    world.bases.iter_mut().for_each(|base| base.work_us = options.statement_us);
+    let mut world = Simulation::with_services(nodes.len(), options.control_nodes, &services);
+    (world.key_count, world.rng) = (10_000, wv_simulation::Rng::new(options.seed));
+    world.databases.iter_mut().for_each(|base| base.statement_us = options.statement_us);
     world.run(2 * S);
-    let token = world.call(0, "PUT", "/configuration", &World::conf_of(1, &services));
+    let token = world.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
     world.run(WARM_UP_US - 2 * S);
-    if world.returns.get(&token).map(|ret| ret.0) != Some(200) {
+    if world.responses.get(&token).map(|ret| ret.0) != Some(200) {
         return Err(RecordingError::Invalid("the simulated fleet did not accept its configuration".to_owned()));
     }
     let start_us = world.now;
@@ -100,10 +100,10 @@
     let end = player.schedule_traffic(recording, &services)?;
     player.run(&targets, end);
     let kind_names = recording.header.get("kinds").cloned().unwrap_or_default();
-    let run = std::mem::take(&mut player.world.hour);
-    let violations = player.world.judge();
-    let promotions = player.world.posts.iter().filter(|post| post.3 == Some(200)).count();
-    let unclear = player.world.oracle.unsure;
+    let run = std::mem::take(&mut player.world.workload);
+    let violations = player.world.check_rules();
+    let promotions = player.world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count();
+    let unclear = player.world.oracle.indeterminate;
     let (nodes, drops, browse_limit_us) = (player.nodes, player.drops, options.browse_limit_us);
     let context = ReportContext { nodes, start_us, drops, kind_names, browse_limit_us };
     Ok(RecordingReport::new(run, context, violations, promotions, unclear))
@@ -116,10 +116,10 @@
             name.strip_prefix(letter).and_then(|rest| rest.parse::<usize>().ok()).filter(|at| *at < count)
         };
         let access = self.nodes.iter().position(|node| node == name).map(DropTarget::Access);
-        let base = || self.world.base(&format!("i-{name}")).map(DropTarget::Database);
+        let base = || self.world.database_index(&format!("i-{name}")).map(DropTarget::Database);
         let found = access.or_else(base).or_else(|| numbered('c', self.world.controls.len()).map(DropTarget::Control));
         found.ok_or_else(|| {
-            let bases = self.world.bases.iter().map(|base| &base.id[2..]).collect::<Vec<&str>>();
+            let bases = self.world.databases.iter().map(|base| &base.id[2..]).collect::<Vec<&str>>();
             let text = format!(
                 "unknown node {name:?}; access nodes: {}, control nodes: c0 to c{}, databases: {}",
                 self.nodes[..self.nodes.len().min(MAX_NAMES_LISTED)].join(" "),
@@ -138,7 +138,7 @@
             return Err(RecordingError::Invalid(format!("line 1: deadlines={deadlines}: expected MS,MS")));
         };
         let (from, until) = (self.options.from_us, self.options.until_us);
-        let mut traffic = wv_simulation::Hour::default();
+        let mut traffic = wv_simulation::Workload::default();
         let mut sessions: BTreeMap<&str, (usize, bool)> = BTreeMap::new();
         let (mut opens, mut closes, mut end) = (Vec::new(), Vec::new(), self.start_us);
         let node_of = |client: &str| {
@@ -155,7 +155,7 @@
                     let route = if *is_bounded { "b" } else { "p" };
                     let is_first = services.first() == Some(service);
                     let host = if is_first { route.to_owned() } else { format!("{route}.{service}") };
-                    let session = traffic.session(node, &host, *is_bounded);
+                    let session = traffic.add_session(node, &host, *is_bounded);
                     sessions.insert(&event.client, (session, *is_bounded));
                     opens.push((at, session));
                 }
@@ -167,14 +167,14 @@
                 RecordedAction::Request(kind) if event.at_us >= from => {
                     if let Some((session, is_bounded)) = sessions.get(event.client.as_str()).copied() {
                         let limit = at + if is_bounded { browse } else { work } * MS;
-                        traffic.op(at, session, *kind, limit);
+                        traffic.add_request(at, session, *kind, limit);
                         end = end.max(limit);
                     }
                 }
                 RecordedAction::Request(_) => {}
             }
         }
-        self.world.play_hour(traffic, &opens, &closes);
+        self.world.play_workload(traffic, &opens, &closes);
         Ok(end)
     }
 
@@ -222,7 +222,7 @@
             }
             DropTarget::Control(which) => self.world.kill_control(which),
             DropTarget::Database(which) => {
-                let base = &self.world.bases[which];
+                let base = &self.world.databases[which];
                 service = base.is_primary.then(|| base.service.clone());
                 self.world.crash(which);
             }
@@ -243,8 +243,8 @@
     /// every running access node follows a running control node.
     fn is_taken_over(&self, outcome: &DropOutcome) -> bool {
         let has_primary = outcome.service.as_ref().is_none_or(|service| {
-            self.world.bases.iter().any(|base| base.service == *service && base.is_primary && base.is_up)
+            self.world.databases.iter().any(|base| base.service == *service && base.is_primary && base.is_up)
         });
-        has_primary && self.world.is_followed() && self.world.has_moved(outcome.access_node)
+        has_primary && self.world.is_access_connected() && self.world.has_moved_sessions(outcome.access_node)
     }
 }
--- a/crates/wv-replay/src/recording_report.rs
+++ b/crates/wv-replay/src/recording_report.rs
@@ -1,7 +1,7 @@
 //! The report on a played recording: requests affected by drops, latencies per kind, and violated invariants.
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
-use wv_simulation::{End, Hour, Kind, Op};
+use wv_simulation::{Request, RequestKind, RequestOutcome, Workload};
 
 /// Maximum number of affected requests in the text report; the JSON report lists all.
 const MAX_WAITED_SHOWN: usize = 20;
@@ -31,7 +31,7 @@
 }
 
 pub struct RecordingReport {
-    run: Hour,
+    run: Workload,
     context: ReportContext,
     violations: Vec<String>,
     promotions: usize,
@@ -43,31 +43,37 @@
     histogram: Histogram<u64>,
     /// Requests that were not served within the latency target.
     target_missed: u64,
-    ends: BTreeMap<End, u64>,
+    ends: BTreeMap<RequestOutcome, u64>,
 }
 
-fn outcome_text(end: End) -> &'static str {
+fn outcome_text(end: RequestOutcome) -> &'static str {
     match end {
-        End::Open => "open",
-        End::Served => "served",
-        End::Refused => "refused",
-        End::Unclear => "unclear",
-        End::Hung => "HUNG",
+        RequestOutcome::Open => "open",
+        RequestOutcome::Served => "served",
+        RequestOutcome::Refused => "refused",
+        RequestOutcome::Unclear => "unclear",
+        RequestOutcome::Hung => "HUNG",
     }
 }
 
 impl RecordingReport {
-    pub fn new(run: Hour, context: ReportContext, violations: Vec<String>, promotions: usize, unclear: usize) -> Self {
+    pub fn new(
+        run: Workload,
+        context: ReportContext,
+        violations: Vec<String>,
+        promotions: usize,
+        unclear: usize,
+    ) -> Self {
         RecordingReport { run, context, violations, promotions, unclear }
     }
 
-    fn label(&self, op: &Op) -> String {
+    fn label(&self, op: &Request) -> String {
         let is_bounded = self.run.sessions[op.session].is_bounded;
         let key = match op.kind {
             _ if is_bounded => "browse",
-            Kind::Read => "read",
-            Kind::Write => "write",
-            Kind::Txn { .. } => "txn",
+            RequestKind::Read => "read",
+            RequestKind::Write => "write",
+            RequestKind::Txn { .. } => "txn",
         };
         let pairs = self.context.kind_names.split(',').filter_map(|pair| pair.split_once(':'));
         let named = pairs.into_iter().find(|(name, _)| *name == key).map(|(_, name)| name);
@@ -75,11 +81,11 @@
     }
 
     /// The phase of a request: before the first drop, during a takeover, or after it.
-    fn phase(&self, op: &Op) -> &'static str {
+    fn phase(&self, op: &Request) -> &'static str {
         let Some(first) = self.context.drops.first() else { return "all" };
         let is_during = |drop: &DropOutcome| {
             let taken = drop.taken_over_us.unwrap_or(u64::MAX);
-            op.at < taken && (op.at >= drop.dropped_us || op.done > drop.dropped_us)
+            op.at < taken && (op.at >= drop.dropped_us || op.done_us > drop.dropped_us)
         };
         match self.context.drops.iter().any(is_during) {
             true => "during",
@@ -89,38 +95,41 @@
     }
 
     /// Requests that were pending at a drop or arrived during a takeover, worst first.
-    fn waited(&self) -> Vec<&Op> {
-        let mut ops: Vec<&Op> = self.run.ops.iter().filter(|op| self.phase(op) == "during").collect();
-        ops.sort_by_key(|op| (std::cmp::Reverse((op.end != End::Served, op.done.saturating_sub(op.at))), op.at));
+    fn waited(&self) -> Vec<&Request> {
+        let mut ops: Vec<&Request> = self.run.requests.iter().filter(|op| self.phase(op) == "during").collect();
+        ops.sort_by_key(|op| {
+            (std::cmp::Reverse((op.outcome != RequestOutcome::Served, op.done_us.saturating_sub(op.at))), op.at)
+        });
         ops
     }
 
     fn latency_stats(&self) -> BTreeMap<(String, &'static str), LatencyStats> {
         let mut all: BTreeMap<(String, &'static str), LatencyStats> = BTreeMap::new();
-        for op in &self.run.ops {
+        for op in &self.run.requests {
             let empty = || LatencyStats {
                 histogram: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("fixed bounds that fit"),
                 target_missed: 0,
                 ends: BTreeMap::new(),
             };
             let stats = all.entry((self.label(op), self.phase(op))).or_insert_with(empty);
-            let took = op.done.saturating_sub(op.at);
-            *stats.ends.entry(op.end).or_default() += 1;
+            let took = op.done_us.saturating_sub(op.at);
+            *stats.ends.entry(op.outcome).or_default() += 1;
             let target_us = if self.run.sessions[op.session].is_bounded { BROWSE_TARGET_US } else { WORK_TARGET_US };
-            stats.target_missed += u64::from(op.end != End::Served || took > target_us);
+            stats.target_missed += u64::from(op.outcome != RequestOutcome::Served || took > target_us);
             stats.histogram.saturating_record(took.max(1));
         }
         all
     }
 
-    fn count(&self, end: End) -> usize {
-        self.run.ops.iter().filter(|op| op.end == end).count()
+    fn count(&self, end: RequestOutcome) -> usize {
+        self.run.requests.iter().filter(|op| op.outcome == end).count()
     }
 
     /// The highest 99th percentile latency of browse requests in any phase.
     fn browse_p99_us(&self) -> u64 {
         let stats = self.latency_stats();
-        let browse = self.run.ops.iter().find(|op| self.run.sessions[op.session].is_bounded).map(|op| self.label(op));
+        let browse =
+            self.run.requests.iter().find(|op| self.run.sessions[op.session].is_bounded).map(|op| self.label(op));
         let browse_stats = stats.iter().filter(|((name, _), _)| Some(name) == browse.as_ref());
         browse_stats.map(|(_, stats)| stats.histogram.value_at_quantile(0.99)).max().unwrap_or(0)
     }
@@ -128,7 +137,7 @@
     /// All violated invariants and latency limits.
     pub fn violations(&self) -> Vec<String> {
         let mut violations: Vec<String> = self.violations.clone();
-        let hung = self.count(End::Hung) + self.count(End::Open);
+        let hung = self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open);
         if hung > 0 {
             violations.push(format!("HUNG: {hung} requests were not answered in their clients' time"));
         }
@@ -143,17 +152,17 @@
         violations
     }
 
-    fn format_line(&self, op: &Op) -> String {
+    fn format_line(&self, op: &Request) -> String {
         let node = |at: Option<usize>| at.map_or("-", |at| self.context.nodes[at].as_str());
         format!(
             "{:>10.3}  {:<14} {:>7.1} ms  {:<8} {} tries, asked at {}, served by {}",
             (op.at - self.context.start_us) as f64 / 1e6,
             self.label(op),
-            op.done.saturating_sub(op.at) as f64 / 1e3,
-            outcome_text(op.end),
-            op.tries,
-            node(op.asked_at),
-            node(op.served_by)
+            op.done_us.saturating_sub(op.at) as f64 / 1e3,
+            outcome_text(op.outcome),
+            op.attempts,
+            node(op.asked_node),
+            node(op.served_node)
         )
     }
 
@@ -190,18 +199,18 @@
                 ms(0.99),
                 stats.histogram.max() as f64 / 1e3,
                 stats.target_missed,
-                end(End::Served),
-                end(End::Refused),
-                end(End::Unclear),
-                end(End::Hung) + end(End::Open)
+                end(RequestOutcome::Served),
+                end(RequestOutcome::Refused),
+                end(RequestOutcome::Unclear),
+                end(RequestOutcome::Hung) + end(RequestOutcome::Open)
             ));
         }
         out.push_str(&format!(
             "\nserved {}, refused with nothing kept {}, unclear {}, hung {}; promotions {}\n",
-            self.count(End::Served),
-            self.count(End::Refused),
+            self.count(RequestOutcome::Served),
+            self.count(RequestOutcome::Refused),
             self.unclear,
-            self.count(End::Hung) + self.count(End::Open),
+            self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open),
             self.promotions
         ));
         let violations = self.violations();
@@ -213,12 +222,12 @@
     }
 
     pub fn to_json(&self) -> String {
-        let row = |op: &Op| {
+        let row = |op: &Request| {
             let node = |at: Option<usize>| at.map(|at| self.context.nodes[at].as_str());
             serde_json::json!({
                 "at": (op.at - self.context.start_us) as f64 / 1e6, "kind": self.label(op), "part": self.phase(op),
-                "ms": op.done.saturating_sub(op.at) as f64 / 1e3, "outcome": outcome_text(op.end).to_lowercase(),
-                "tries": op.tries, "askedAt": node(op.asked_at), "servedBy": node(op.served_by),
+                "ms": op.done_us.saturating_sub(op.at) as f64 / 1e3, "outcome": outcome_text(op.outcome).to_lowercase(),
+                "tries": op.attempts, "askedAt": node(op.asked_node), "servedBy": node(op.served_node),
             })
         };
         let drops: Vec<serde_json::Value> = self
@@ -242,9 +251,10 @@
             })
             .collect();
         let waited: Vec<serde_json::Value> = self.waited().into_iter().map(row).collect();
-        serde_json::json!({ "drops": drops, "waited": waited, "kinds": kinds, "served": self.count(End::Served),
-            "refused": self.count(End::Refused), "unclear": self.unclear, "promotions": self.promotions,
-            "hung": self.count(End::Hung) + self.count(End::Open), "faults": self.violations() })
+        serde_json::json!({ "drops": drops, "waited": waited, "kinds": kinds,
+            "served": self.count(RequestOutcome::Served), "refused": self.count(RequestOutcome::Refused),
+            "unclear": self.unclear, "promotions": self.promotions,
+            "hung": self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open), "faults": self.violations() })
         .to_string()
     }
 }
--- a/crates/wv-replay/src/scenario_player.rs
+++ b/crates/wv-replay/src/scenario_player.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario on a simulated fleet and reports its timeline.
 use crate::{Action, Event, ReplayError, Scenario};
-use wv_simulation::World;
+use wv_simulation::Simulation;
 
 /// Time that the fleet keeps running after the last event.
 const SETTLE_US: u64 = 3_000_000;
@@ -57,7 +57,7 @@
 }
 
 struct Player {
-    world: World,
+    world: Simulation,
     clients: std::collections::BTreeMap<String, usize>,
     states: Vec<String>,
     timeline: Vec<TimelineEntry>,
@@ -75,12 +75,12 @@
     if let Some(name) = service.filter(|name| !scenario.services.iter().any(|held| held == name)) {
         return Err(ReplayError::Unknown { line: 0, kind: "service", name: name.to_owned() });
     }
-    let mut world = World::of(scenario.access_nodes, scenario.control_nodes, &scenario.services);
+    let mut world = Simulation::with_services(scenario.access_nodes, scenario.control_nodes, &scenario.services);
     let plan = wv_slow_start::SlowStartConfig {
         is_enabled: scenario.is_slow_start_on,
         ..wv_slow_start::SlowStartConfig::default()
     };
-    world.set_ease(plan);
+    world.set_slow_start(plan);
     // Scenario time starts once the fleet has formed.
     world.run(2_000_000);
     let start_us = world.now;
@@ -112,12 +112,12 @@
 
     /// Adds all changes since the last call to the timeline.
     fn record_changes(&mut self) {
-        let course: Vec<(u64, String)> = self.world.course[self.consumed..].to_vec();
-        self.consumed = self.world.course.len();
+        let course: Vec<(u64, String)> = self.world.event_log[self.consumed..].to_vec();
+        self.consumed = self.world.event_log.len();
         let start = self.start_us;
         self.timeline
             .extend(course.into_iter().map(|(at, text)| TimelineEntry { at_us: at.saturating_sub(start), text }));
-        let states = self.world.states();
+        let states = self.world.status_lines();
         let changed: Vec<String> = states.iter().filter(|state| !self.states.contains(state)).cloned().collect();
         changed.into_iter().for_each(|state| self.record(state));
         self.states = states;
@@ -127,7 +127,7 @@
             .map(|(name, at)| (name.clone(), *at))
             .collect::<Vec<_>>()
             .into_iter()
-            .map(|(name, at)| (name, self.world.take(at)))
+            .map(|(name, at)| (name, self.world.take_lines(at)))
             .collect();
         for (name, lines) in received {
             lines.into_iter().for_each(|line| self.record(format!("{name} hears {line}")));
@@ -136,7 +136,11 @@
 
     fn database(&self, event: &Event, name: &str) -> Result<usize, ReplayError> {
         let id = format!("i-{name}");
-        self.world.base(&id).ok_or(ReplayError::Unknown { line: event.line, kind: "database", name: name.to_owned() })
+        self.world.database_index(&id).ok_or(ReplayError::Unknown {
+            line: event.line,
+            kind: "database",
+            name: name.to_owned(),
+        })
     }
 
     fn node(&self, event: &Event, name: &str, kind: &'static str) -> Result<usize, ReplayError> {
@@ -150,7 +154,7 @@
 
     /// The identifier of a node or database in the set of cut connections.
     fn endpoint(&self, event: &Event, name: &str) -> Result<String, ReplayError> {
-        self.database(event, name).map(|at| self.world.bases[at].id.clone()).or_else(|_| {
+        self.database(event, name).map(|at| self.world.databases[at].id.clone()).or_else(|_| {
             let kind = if name.starts_with('c') { "control node" } else { "access node" };
             self.node(event, name, kind).map(|_| name.to_owned())
         })
@@ -162,28 +166,32 @@
             action => self.record(format!("day: {}", format!("{action:?}").to_lowercase())),
         }
         match &event.action {
-            Action::Conf(version) => self.put_configuration(&World::conf_of(*version, &scenario.services)),
+            Action::Conf(version) => self.put_configuration(&Simulation::config_for(*version, &scenario.services)),
             Action::Put(body) => self.put_configuration(body.as_bytes()),
-            Action::Load { route, count } => self.world.load(*count, route),
+            Action::Load { route, count } => self.world.start_load(*count, route),
             Action::Stop => self.world.stop_load(),
             Action::Crash(db) => self.database(event, db).map(|at| self.world.crash(at))?,
-            Action::Dark(db) => self.database(event, db).map(|at| self.world.darken(at))?,
+            Action::Dark(db) => self.database(event, db).map(|at| self.world.make_unreachable(at))?,
             Action::Revive(db) => self.database(event, db).map(|at| self.world.revive(at))?,
-            Action::Drain(db) => self.database(event, db).map(|at| self.world.bases[at].is_draining = true)?,
+            Action::Drain(db) => self.database(event, db).map(|at| self.world.databases[at].is_draining = true)?,
             Action::Leave(db) => {
                 let at = self.database(event, db)?;
-                self.world.bases[at].is_left = true;
+                self.world.databases[at].is_removed = true;
                 self.world.crash(at);
             }
-            Action::Deaf(db) => self.database(event, db).map(|at| self.world.bases[at].is_deaf = true)?,
-            Action::Hear(db) => self.database(event, db).map(|at| self.world.bases[at].is_deaf = false)?,
-            Action::Lag { db, ms } => self.database(event, db).map(|at| self.world.bases[at].apply_lag = ms * 1000)?,
-            Action::Lose { db, count } => self.database(event, db).map(|at| self.world.bases[at].lose = *count)?,
+            Action::Deaf(db) => self.database(event, db).map(|at| self.world.databases[at].is_log_blocked = true)?,
+            Action::Hear(db) => self.database(event, db).map(|at| self.world.databases[at].is_log_blocked = false)?,
+            Action::Lag { db, ms } => {
+                self.database(event, db).map(|at| self.world.databases[at].apply_lag_us = ms * 1000)?
+            }
+            Action::Lose { db, count } => {
+                self.database(event, db).map(|at| self.world.databases[at].lost_replies = *count)?
+            }
             Action::Congest { db, is_on } => {
-                self.database(event, db).map(|at| self.world.bases[at].is_congested = *is_on)?;
+                self.database(event, db).map(|at| self.world.databases[at].is_congested = *is_on)?;
             }
             Action::Bears { db, count } => {
-                self.database(event, db).map(|at| self.world.bases[at].bears = Some(*count))?
+                self.database(event, db).map(|at| self.world.databases[at].busy_limit = Some(*count))?
             }
             Action::Kill(name) if name.starts_with('a') => {
                 self.node(event, name, "access node").map(|at| self.world.kill_access(at))?;
@@ -195,30 +203,30 @@
             Action::Start(name) => {
                 self.node(event, name, "control node").map(|at| self.world.start_control(at, false))?;
             }
-            Action::Term(name) => self.node(event, name, "access node").map(|at| self.world.term_access(at))?,
+            Action::Term(name) => self.node(event, name, "access node").map(|at| self.world.terminate_access(at))?,
             Action::Wipe(name) => {
                 let at = self.node(event, name, "control node")?;
                 self.world.controls[at].files.files.borrow_mut().clear();
             }
             Action::Cut(one, other) => {
                 let pair = (self.endpoint(event, one)?, self.endpoint(event, other)?);
-                self.world.cut.insert(pair);
+                self.world.dropped_links.insert(pair);
             }
             Action::Join(one, other) => {
                 let (one, other) = (self.endpoint(event, one)?, self.endpoint(event, other)?);
-                self.world.cut.remove(&(one.clone(), other.clone()));
-                self.world.cut.remove(&(other, one));
+                self.world.dropped_links.remove(&(one.clone(), other.clone()));
+                self.world.dropped_links.remove(&(other, one));
             }
             Action::Platform { is_up } => self.world.is_platform_down = !is_up,
             Action::Client { name, node, route } => {
                 let at = self.node(event, node, "access node")?;
-                let client = self.world.client(at, route);
+                let client = self.world.open_client(at, route);
                 self.clients.insert(name.clone(), client);
             }
             Action::Say { name, text } => {
                 let unknown = ReplayError::Unknown { line: event.line, kind: "client", name: name.clone() };
                 let client = self.clients.get(name).copied().ok_or(unknown)?;
-                self.world.say(client, text);
+                self.world.send_line(client, text);
             }
         }
         Ok(())
@@ -228,14 +236,14 @@
         let running = (0..self.world.controls.len()).find(|at| self.world.controls[*at].core.is_some());
         let token = running.map_or(0, |at| self.world.call(at, "PUT", "/configuration", body));
         self.world.run(300_000);
-        let status = self.world.returns.get(&token).map_or("no return".to_owned(), |ret| ret.0.to_string());
+        let status = self.world.responses.get(&token).map_or("no return".to_owned(), |ret| ret.0.to_string());
         self.record(format!("configuration: {status}"));
     }
 
     fn report(mut self, service: Option<&str>, services: &[String]) -> ScenarioReport {
-        let violations = self.world.judge();
+        let violations = self.world.check_rules();
         self.timeline.sort_by_key(|entry| entry.at_us);
-        let (completed, failed) = self.world.load_done();
+        let (completed, failed) = self.world.load_counts();
         let others = services.iter().filter(|name| service.is_some_and(|wanted| wanted != name.as_str()));
         let hidden: Vec<String> = others.map(|name| format!("i-{name}")).collect();
         self.timeline.retain(|entry| !hidden.iter().any(|id| entry.text.contains(id.as_str())));
@@ -243,8 +251,8 @@
             timeline: self.timeline,
             completed,
             failed,
-            indeterminate: self.world.oracle.unsure,
-            promotions: self.world.posts.iter().filter(|post| post.3 == Some(200)).count(),
+            indeterminate: self.world.oracle.indeterminate,
+            promotions: self.world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count(),
             violations,
         }
     }
--- a/crates/wv-replay/tests/recordings.rs
+++ b/crates/wv-replay/tests/recordings.rs
@@ -168,27 +168,27 @@
 
 #[gtest]
 fn given_a_recording_node_then_its_recording_has_sessions_and_request_kinds_but_no_statement_text() {
-    let mut world = wv_simulation::World::serving(1, 3);
+    let mut world = wv_simulation::Simulation::configured(1, 3);
     world.access[0].core.iter_mut().for_each(|core| core.set_recording(8, 77, 5_000_000));
-    let client = world.client(0, "p");
+    let client = world.open_client(0, "p");
     for text in
         ["q1 WRITE secretthing secretdata", "q2 BEGIN", "q3 READ secretthing", "q4 WRITE secretthing x", "q5 COMMIT"]
     {
-        world.say(client, &format!("QUERY {text}"));
+        world.send_line(client, &format!("QUERY {text}"));
         world.run(100 * wv_simulation::MS);
     }
-    world.leave(client);
+    world.close_client(client);
     let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, not(contains_substring("secret")));
     let recording = Recording::parse("a0", &text).expect("valid recording");
     let kinds: Vec<&RecordedAction> = recording.events.iter().map(|event| &event.action).collect();
-    let txn = wv_simulation::Kind::Txn { statements: 2, writes: true };
+    let txn = wv_simulation::RequestKind::Txn { statements: 2, writes: true };
     let opened = RecordedAction::Open { host: "p".to_owned(), is_bounded: false, service: "s".to_owned() };
     expect_that!(
         kinds,
         eq(&vec![
             &opened,
-            &RecordedAction::Request(wv_simulation::Kind::Write),
+            &RecordedAction::Request(wv_simulation::RequestKind::Write),
             &RecordedAction::Request(txn),
             &RecordedAction::Close
         ])
@@ -199,8 +199,8 @@
     expect_that!(report.violations(), is_empty());
     // Events beyond the buffer size are counted as lost.
     (0..6).for_each(|_| {
-        let client = world.client(0, "b");
-        world.leave(client);
+        let client = world.open_client(0, "b");
+        world.close_client(client);
     });
     let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, contains_substring("lost=8"));
--- a/crates/wv-simulation/src/nemesis/faults.rs
+++ b/crates/wv-simulation/src/nemesis/faults.rs
@@ -1,21 +1,21 @@
 //! Applies faults to the simulated fleet and reverts them when they end.
 use super::run::{Deferred, Runner};
 use super::{Event, EventKind};
-use crate::{Node, MS, S};
+use crate::{NodeId, MS, S};
 
 /// Time from SIGTERM to SIGKILL.
 const TERMINATION_GRACE_US: u64 = 2 * S;
 
 impl Runner {
     /// Looks up a node such as `a0` or `c1`; none if the schedule names a node that does not exist.
-    pub(super) fn find_node(&self, name: &str) -> Option<Node> {
+    pub(super) fn find_node(&self, name: &str) -> Option<NodeId> {
         let parse_index = |prefix| name.strip_prefix(prefix).and_then(|rest: &str| rest.parse::<usize>().ok());
-        let access = parse_index('a').filter(|index| *index < self.world.access.len()).map(Node::Access);
-        access.or_else(|| parse_index('c').filter(|index| *index < self.world.controls.len()).map(Node::Control))
+        let access = parse_index('a').filter(|index| *index < self.world.access.len()).map(NodeId::Access);
+        access.or_else(|| parse_index('c').filter(|index| *index < self.world.controls.len()).map(NodeId::Control))
     }
 
     fn find_database(&self, name: &str) -> Option<usize> {
-        self.world.base(&format!("i-{name}")).filter(|index| !self.world.bases[*index].is_left)
+        self.world.database_index(&format!("i-{name}")).filter(|index| !self.world.databases[*index].is_removed)
     }
 
     /// The name of a node or database in blocked links.
@@ -26,7 +26,7 @@
     fn other_endpoints(&self, names: &[String], is_core_only: bool) -> Vec<String> {
         let controls = self.world.controls.iter().map(|node| node.name.clone());
         let access = self.world.access.iter().map(|node| node.name.clone()).filter(|_| !is_core_only);
-        let bases = self.world.bases.iter().map(|database| database.id.clone()).filter(|_| !is_core_only);
+        let bases = self.world.databases.iter().map(|database| database.id.clone()).filter(|_| !is_core_only);
         controls.chain(access).chain(bases).filter(|name| !names.contains(name)).collect()
     }
 
@@ -52,19 +52,19 @@
     }
 
     pub(super) fn begin_event(&mut self, event: &Event) {
-        self.world.note(format!("nemesis: {event}"));
+        self.world.log_event(format!("nemesis: {event}"));
         if event.kind.is_operator_action() {
             return self.perform_operator_action(event);
         }
         self.defer(event.duration_ms * MS, Deferred::EndEvent(event.clone()));
         let links = self.links_to_block(event);
-        links.iter().for_each(|(from, to)| self.world.wall(from, to));
+        links.iter().for_each(|(from, to)| self.world.add_partition(from, to));
         if event.kind != EventKind::PermanentPartition {
             self.blocked_links.insert((event.at_ms, event.to_string()), links);
         }
         match event.kind {
             EventKind::PlatformOutage => self.world.is_platform_down = true,
-            EventKind::SlowPromotion => self.world.promote_us = 2 * S,
+            EventKind::SlowPromotion => self.world.promotion_delay_us = 2 * S,
             EventKind::LostResponses => self.operators.is_losing_responses = true,
             EventKind::DelayedDuplicates => self.operators.is_duplicating = true,
             _ => {}
@@ -72,8 +72,8 @@
         let draw = self.rng.below(u64::MAX);
         for name in &event.targets {
             match (self.find_node(name), self.find_database(name)) {
-                (Some(Node::Control(index)), _) => self.apply_control_fault(event, index, draw),
-                (Some(Node::Access(index)), _) => self.apply_access_fault(event, index),
+                (Some(NodeId::Control(index)), _) => self.apply_control_fault(event, index, draw),
+                (Some(NodeId::Access(index)), _) => self.apply_access_fault(event, index),
                 (None, Some(index)) => self.apply_database_fault(event, index),
                 (None, None) => {}
             }
@@ -85,7 +85,7 @@
         let is_first = event.targets.first() == Some(&name);
         match event.kind {
             EventKind::Freeze => self.world.freeze_control(index),
-            EventKind::Slow => self.world.slow_down(Node::Control(index), event.amount * MS),
+            EventKind::Slow => self.world.set_event_delay(NodeId::Control(index), event.amount * MS),
             EventKind::Kill | EventKind::LoseDisk | EventKind::Replace => {
                 self.kill(&name, event.kind == EventKind::Replace);
                 if event.kind == EventKind::LoseDisk {
@@ -95,21 +95,21 @@
             EventKind::PowerLoss => {
                 self.stopped_nodes.insert(name);
                 self.world.thaw_control(index);
-                self.world.power_control(index, draw);
+                self.world.power_off_control(index, draw);
             }
             EventKind::TornWrite => {
                 self.stopped_nodes.insert(name);
-                self.world.controls[index].faults.tear(draw);
+                self.world.controls[index].disk_faults.tear_next_write(draw);
             }
             EventKind::Decommission => {
                 self.world.with_control(index, |core, now| core.begin_shutdown(now));
                 self.defer(TERMINATION_GRACE_US.min(event.duration_ms * MS / 2), Deferred::KillProcess(name, true));
             }
-            EventKind::DiskStall => self.world.controls[index].faults.hang(),
-            EventKind::DiskFull => self.world.controls[index].faults.fill(draw),
+            EventKind::DiskStall => self.world.controls[index].disk_faults.set_hanging(),
+            EventKind::DiskFull => self.world.controls[index].disk_faults.set_full(draw),
             EventKind::ClockStep => {
                 let step = (event.amount * MS) as i64;
-                self.world.controls[index].clock_us += if event.amount % 2 == 1 { -step } else { step };
+                self.world.controls[index].clock_offset_us += if event.amount % 2 == 1 { -step } else { step };
             }
             EventKind::ResetLinks if is_first => {
                 event.targets[1..].iter().for_each(|other| self.world.reset_links(index, other));
@@ -122,10 +122,10 @@
         let name = self.world.access[index].name.clone();
         match event.kind {
             EventKind::Freeze => self.world.freeze_access(index),
-            EventKind::Slow => self.world.slow_down(Node::Access(index), event.amount * MS),
+            EventKind::Slow => self.world.set_event_delay(NodeId::Access(index), event.amount * MS),
             EventKind::Kill | EventKind::PowerLoss | EventKind::LoseDisk => self.kill(&name, false),
             EventKind::Terminate => {
-                self.world.term_access(index);
+                self.world.terminate_access(index);
                 self.defer(TERMINATION_GRACE_US.min(event.duration_ms * MS / 2), Deferred::KillProcess(name, false));
             }
             _ => {}
@@ -138,14 +138,14 @@
         }
         self.stopped_nodes.insert(name.to_owned());
         match self.find_node(name) {
-            Some(Node::Control(index)) => {
+            Some(NodeId::Control(index)) => {
                 self.world.thaw_control(index);
                 self.world.kill_control(index);
                 let node = &self.world.controls[index];
                 // The kernel completes the write that was in progress.
-                node.faults.end(&node.files);
+                node.disk_faults.clear(&node.files);
             }
-            Some(Node::Access(index)) => {
+            Some(NodeId::Access(index)) => {
                 self.world.thaw_access(index);
                 self.world.kill_access(index);
             }
@@ -158,7 +158,7 @@
         self.stopped_nodes.remove(&name);
         if self.world.controls[index].core.is_none() && !self.removed_nodes.contains(&name) {
             let node = &self.world.controls[index];
-            node.faults.end(&node.files);
+            node.disk_faults.clear(&node.files);
             self.world.start_control(index, false);
         }
     }
@@ -168,11 +168,11 @@
             Deferred::EndEvent(event) => self.end_event(&event),
             Deferred::KillProcess(name, is_permanent) => self.kill(&name, is_permanent),
             Deferred::SendDelete(database) => {
-                self.world.gone.insert(database);
+                self.world.departed.insert(database);
                 self.send_delete(database);
             }
             Deferred::StopDatabase(database) => {
-                self.world.bases[database].is_left = true;
+                self.world.databases[database].is_removed = true;
                 self.world.crash(database);
             }
         }
@@ -180,10 +180,10 @@
 
     fn end_event(&mut self, event: &Event) {
         let links = self.blocked_links.remove(&(event.at_ms, event.to_string())).unwrap_or_default();
-        links.iter().for_each(|(from, to)| self.world.unwall(from, to));
+        links.iter().for_each(|(from, to)| self.world.remove_partition(from, to));
         match event.kind {
             EventKind::PlatformOutage => self.world.is_platform_down = false,
-            EventKind::SlowPromotion => self.world.promote_us = 300 * MS,
+            EventKind::SlowPromotion => self.world.promotion_delay_us = 300 * MS,
             EventKind::LostResponses => self.operators.is_losing_responses = false,
             EventKind::DelayedDuplicates => self.operators.is_duplicating = false,
             EventKind::Drain | EventKind::Deregister => event.targets.iter().for_each(|_| self.add_database()),
@@ -192,34 +192,34 @@
         }
         for name in &event.targets {
             match (self.find_node(name), self.find_database(name)) {
-                (Some(Node::Control(index)), _) => match event.kind {
+                (Some(NodeId::Control(index)), _) => match event.kind {
                     EventKind::Freeze => self.world.thaw_control(index),
-                    EventKind::Slow => self.world.slow_down(Node::Control(index), 0),
+                    EventKind::Slow => self.world.set_event_delay(NodeId::Control(index), 0),
                     EventKind::Kill | EventKind::LoseDisk | EventKind::PowerLoss | EventKind::TornWrite => {
                         self.start_control(index)
                     }
                     _ => {}
                 },
-                (Some(Node::Access(index)), _) => match event.kind {
+                (Some(NodeId::Access(index)), _) => match event.kind {
                     EventKind::Freeze => self.world.thaw_access(index),
-                    EventKind::Slow => self.world.slow_down(Node::Access(index), 0),
+                    EventKind::Slow => self.world.set_event_delay(NodeId::Access(index), 0),
                     EventKind::Kill | EventKind::PowerLoss | EventKind::LoseDisk | EventKind::Terminate => {
-                        self.world.start_access_anew(index)
+                        self.world.restart_access(index)
                     }
                     _ => {}
                 },
                 (None, Some(index)) => match event.kind {
                     EventKind::Crash | EventKind::Unreachable => self.world.revive(index),
-                    EventKind::ReplicationLag => self.world.bases[index].apply_lag = 20 * MS,
+                    EventKind::ReplicationLag => self.world.databases[index].apply_lag_us = 20 * MS,
                     _ => {}
                 },
                 (None, None) => {}
             }
-            if let (Some(Node::Control(index)), EventKind::DiskStall | EventKind::DiskFull | EventKind::TornWrite) =
+            if let (Some(NodeId::Control(index)), EventKind::DiskStall | EventKind::DiskFull | EventKind::TornWrite) =
                 (self.find_node(name), event.kind)
             {
                 let node = &self.world.controls[index];
-                node.faults.end(&node.files);
+                node.disk_faults.clear(&node.files);
             }
         }
     }
--- a/crates/wv-simulation/src/nemesis/generate.rs
+++ b/crates/wv-simulation/src/nemesis/generate.rs
@@ -1,6 +1,6 @@
 //! Generates schedules from a seed. The order of random draws determines the schedule of each seed.
 use super::{Event, EventKind, FaultBound, Schedule};
-use crate::Luck;
+use crate::Rng;
 
 /// A core node counts as unavailable for this long after its fault ends.
 const CATCH_UP_MS: u64 = 4000;
@@ -48,7 +48,7 @@
     EventKind::SlowPromotion,
 ];
 pub(super) struct Generator {
-    pub(super) rng: Luck,
+    pub(super) rng: Rng,
     pub(super) schedule: Schedule,
     pub(super) length_ms: u64,
     /// Unavailable core nodes, each with the start and end time.
@@ -66,7 +66,7 @@
 }
 
 pub fn generate(seed: u64) -> Schedule {
-    let mut rng = Luck::new(seed.wrapping_add(1));
+    let mut rng = Rng::new(seed.wrapping_add(1));
     (0..8).for_each(|_| {
         rng.below(2);
     });
@@ -76,7 +76,7 @@
         10..=16 => FaultBound::BeyondTolerance,
         _ => FaultBound::Unlimited,
     };
-    let (access_nodes, diskless_nodes) = (2 + rng.below(2) as usize, usize::from(rng.is(25)));
+    let (access_nodes, diskless_nodes) = (2 + rng.below(2) as usize, usize::from(rng.chance(25)));
     let schedule = Schedule { seed, access_nodes, core_nodes, diskless_nodes, fault_bound, events: Vec::new() };
     let voters = (core_nodes - 1 + core_nodes % 2).min(7);
     let length_ms = 2000 + rng.below(9000);
@@ -96,7 +96,7 @@
     let fault_count = 1 + generator.rng.below(8);
     let mut times: Vec<u64> = (0..fault_count).map(|_| generator.rng.below(length_ms)).collect();
     // Some schedules cluster their faults.
-    if generator.rng.is(40) {
+    if generator.rng.chance(40) {
         let first_ms = times.first().copied().unwrap_or(0);
         times.iter_mut().for_each(|at_ms| *at_ms = first_ms + generator.rng.below(1500));
     }
@@ -104,7 +104,7 @@
     times.into_iter().for_each(|at_ms| generator.add_fault(at_ms));
     let action_count = 2 + generator.rng.below(10);
     (0..action_count).for_each(|_| generator.add_operator_action());
-    if generator.rng.is(30) {
+    if generator.rng.chance(30) {
         generator.add_closing_fault();
     }
     generator.schedule.events.sort_by_key(|event| event.at_ms);
@@ -199,7 +199,7 @@
         if matches!(kind, EventKind::Partition | EventKind::OneWayPartition) {
             let remote: Vec<String> = self.databases.iter().chain(&self.controls).map(|node| node.0.clone()).collect();
             targets.extend(self.pick(&remote));
-            if kind == EventKind::OneWayPartition && self.rng.is(50) {
+            if kind == EventKind::OneWayPartition && self.rng.chance(50) {
                 targets.reverse();
             }
         }
@@ -214,7 +214,7 @@
         }
         let until_ms = at_ms + duration_ms + 10_000;
         let active = self.database_faults.iter().filter(|fault| fault.0 < until_ms && at_ms < fault.1).count();
-        if active > 0 && (self.schedule.fault_bound == FaultBound::WithinTolerance || self.rng.is(50)) {
+        if active > 0 && (self.schedule.fault_bound == FaultBound::WithinTolerance || self.rng.chance(50)) {
             return;
         }
         let ready: Vec<String> =
@@ -241,7 +241,7 @@
         }
         let all: Vec<String> = self.databases.iter().map(|node| node.0.clone()).collect();
         for (step, target) in (0..).zip(all) {
-            let kind = if self.rng.is(30) { EventKind::Deregister } else { EventKind::Drain };
+            let kind = if self.rng.chance(30) { EventKind::Deregister } else { EventKind::Drain };
             self.push_database_fault(at_ms + step * 9000, kind, target, 500 + self.length_ms % 2000);
         }
     }
--- a/crates/wv-simulation/src/nemesis/generate_operations.rs
+++ b/crates/wv-simulation/src/nemesis/generate_operations.rs
@@ -18,7 +18,7 @@
     fn pick_time_ms(&mut self) -> u64 {
         let boundaries_ms: Vec<u64> =
             self.schedule.events.iter().flat_map(|event| [event.at_ms, event.end_ms()]).collect();
-        match self.pick(&boundaries_ms).filter(|_| self.rng.is(60)) {
+        match self.pick(&boundaries_ms).filter(|_| self.rng.chance(60)) {
             Some(boundary_ms) => (boundary_ms + self.rng.below(60)).saturating_sub(20),
             None => self.rng.below(self.length_ms + 1000),
         }
--- a/crates/wv-simulation/src/nemesis/operator.rs
+++ b/crates/wv-simulation/src/nemesis/operator.rs
@@ -1,6 +1,6 @@
 //! Simulated operators and configuration readers: they follow redirects, and retry updates until a final response.
 use super::{ConfigRead, ConfigUpdate, History, UpdateResponse};
-use crate::{Luck, World, MS, S};
+use crate::{Rng, Simulation, MS, S};
 use std::collections::BTreeSet;
 
 /// A call without a response for this long is retried on another node.
@@ -37,7 +37,7 @@
 }
 
 pub(super) struct OperatorClients {
-    rng: Luck,
+    rng: Rng,
     calls: Vec<Call>,
     tasks: Vec<UpdateTask>,
     /// Duplicates to send: time, control node and update.
@@ -48,13 +48,13 @@
 }
 
 fn valid_body(version: u64, variant: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(version)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::config(version)).into_owned();
     text.replace("\"targetMs\":800", &format!("\"targetMs\":{}", 800 + variant)).into_bytes()
 }
 
 /// Bodies that every node must reject, each for another reason.
 fn invalid_body(version: u64, variant: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&World::conf(version)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::config(version)).into_owned();
     let text = match variant % 4 {
         0 => text.replace("\"expiryMs\":1000", "\"expiryMs\":0"),
         1 => text.replace("\"destination\":\"s\"", "\"destination\":\"nowhere\""),
@@ -67,7 +67,7 @@
 impl OperatorClients {
     pub fn new(seed: u64) -> OperatorClients {
         let (calls, tasks, duplicates) = (Vec::new(), Vec::new(), Vec::new());
-        let rng = Luck::new(seed ^ 0x0b5);
+        let rng = Rng::new(seed ^ 0x0b5);
         OperatorClients { rng, calls, tasks, duplicates, version: 0, is_losing_responses: false, is_duplicating: false }
     }
 
@@ -111,24 +111,24 @@
         self.tasks.iter().map(|task| task.update).collect()
     }
 
-    pub fn read(&mut self, world: &mut World, removed: &BTreeSet<String>) {
+    pub fn read(&mut self, world: &mut Simulation, removed: &BTreeSet<String>) {
         if let Some(index) = self.pick_control(world, removed) {
             self.call(world, CallKind::Read, index, b"", 0);
         }
     }
 
-    pub fn read_from(&mut self, world: &mut World, control: usize) {
+    pub fn read_from(&mut self, world: &mut Simulation, control: usize) {
         self.call(world, CallKind::Read, control, b"", 0);
     }
 
     /// A random control node that has not been removed.
-    fn pick_control(&mut self, world: &World, removed: &BTreeSet<String>) -> Option<usize> {
+    fn pick_control(&mut self, world: &Simulation, removed: &BTreeSet<String>) -> Option<usize> {
         let is_listed = |index: &usize| !removed.contains(&world.controls[*index].name);
         let listed: Vec<usize> = (0..world.controls.len()).filter(is_listed).collect();
         listed.get(self.rng.below(listed.len() as u64) as usize).copied()
     }
 
-    fn call(&mut self, world: &mut World, kind: CallKind, index: usize, body: &[u8], redirects: u32) -> u64 {
+    fn call(&mut self, world: &mut Simulation, kind: CallKind, index: usize, body: &[u8], redirects: u32) -> u64 {
         let method = if matches!(kind, CallKind::Read) { "GET" } else { "PUT" };
         let sent_us = world.now;
         let token = world.call(index, method, "/configuration", body);
@@ -139,18 +139,18 @@
     }
 
     /// Handles completed calls, and sends updates that are due.
-    pub fn poll(&mut self, world: &mut World, history: &mut History, removed: &BTreeSet<String>) {
+    pub fn poll(&mut self, world: &mut Simulation, history: &mut History, removed: &BTreeSet<String>) {
         let (completed, waiting): (Vec<Call>, Vec<Call>) =
-            std::mem::take(&mut self.calls).into_iter().partition(|call| world.returns.contains_key(&call.token));
+            std::mem::take(&mut self.calls).into_iter().partition(|call| world.responses.contains_key(&call.token));
         self.calls = waiting;
         for call in completed {
-            let (status, body) = world.returns.remove(&call.token).unwrap_or_default();
+            let (status, body) = world.responses.remove(&call.token).unwrap_or_default();
             self.on_response(world, history, &call, status, &body);
         }
         self.send_due(world, history, removed);
     }
 
-    fn on_response(&mut self, world: &mut World, history: &mut History, call: &Call, status: u16, body: &[u8]) {
+    fn on_response(&mut self, world: &mut Simulation, history: &mut History, call: &Call, status: u16, body: &[u8]) {
         let (now, control) = (world.now, world.controls[call.control].name.clone());
         if status == 307 && call.redirects < REDIRECTS_MAX {
             let location = String::from_utf8_lossy(body).into_owned();
@@ -181,7 +181,7 @@
                     received_us: now,
                     status,
                 });
-                let is_response_lost = self.is_losing_responses && self.rng.is(70);
+                let is_response_lost = self.is_losing_responses && self.rng.chance(70);
                 let index =
                     self.tasks.iter().position(|task| task.awaited_token == call.token && task.next_us.is_none());
                 if let Some(index) = index.filter(|_| !is_response_lost) {
@@ -203,7 +203,7 @@
         task.next_us = Some(now + (RETRY_DELAY_US << task.attempts.min(4)));
     }
 
-    fn send_due(&mut self, world: &mut World, history: &History, removed: &BTreeSet<String>) {
+    fn send_due(&mut self, world: &mut Simulation, history: &History, removed: &BTreeSet<String>) {
         let now = world.now;
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.duplicates).into_iter().partition(|entry| entry.0 <= now);
@@ -222,7 +222,7 @@
             };
             let Some(to) = to else { continue };
             let update = self.tasks[index].update;
-            if self.is_duplicating && self.rng.is(60) {
+            if self.is_duplicating && self.rng.chance(60) {
                 let (after, to) = (self.rng.below(3 * S), self.pick_control(world, removed).unwrap_or(to));
                 self.duplicates.push((now + after, to, update));
             }
--- a/crates/wv-simulation/src/nemesis/recovery.rs
+++ b/crates/wv-simulation/src/nemesis/recovery.rs
@@ -21,7 +21,7 @@
 
     fn send_to(&mut self, update: usize, name: &str, delay_us: u64) {
         let index = match self.find_node(name) {
-            Some(crate::Node::Control(index)) => index,
+            Some(crate::NodeId::Control(index)) => index,
             _ => 0,
         };
         let at_us = self.world.now + delay_us;
@@ -69,7 +69,7 @@
 
     /// Checks that the fleet recovers once all faults have ended; unlimited faults promise no recovery.
     pub(super) fn check_recovery(&mut self, fault_bound: FaultBound) {
-        self.world.note("nemesis: all faults ended");
+        self.world.log_event("nemesis: all faults ended");
         self.advance(CONTACT_TIMEOUT_US);
         let is_running = |index: &usize| self.world.controls[*index].core.is_some();
         let running: Vec<usize> = (0..self.world.controls.len()).filter(is_running).collect();
@@ -151,7 +151,7 @@
         let voter_sets: Vec<String> = tokens
             .iter()
             .map(|token| {
-                self.world.returns.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
+                self.world.responses.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
             })
             .collect();
         let set_numbers: std::collections::BTreeSet<Option<u64>> =
@@ -159,7 +159,7 @@
         let voters = voter_sets.iter().map(|voter_set| voter_set.matches("\"votes\"").count()).max().unwrap_or(0);
         let members = voter_sets.iter().map(|voter_set| voter_set.matches("\"address\"").count()).max().unwrap_or(0);
         // The voters must tolerate as many further losses as a set of all running core nodes would.
-        let core = running.iter().filter(|index| self.world.controls[**index].is_core).count().min(7);
+        let core = running.iter().filter(|index| self.world.controls[**index].has_disk).count().min(7);
         let tolerated_faults = core.saturating_sub(1) / 2;
         if set_numbers.len() != 1 || members % 2 == 0 || voters < members / 2 + 1 + tolerated_faults {
             self.record_failure(
@@ -171,13 +171,13 @@
 
     /// Checks that clients are served on both routes.
     fn check_service(&mut self) {
-        let before = [self.world.route_done("p"), self.world.route_done("b")];
+        let before = [self.world.route_counts("p"), self.world.route_counts("b")];
         self.advance(2 * S);
-        let after = [self.world.route_done("p"), self.world.route_done("b")];
+        let after = [self.world.route_counts("p"), self.world.route_counts("b")];
         for (route, (before, after)) in ["p", "b"].iter().zip(before.iter().zip(after.iter())) {
             let (done, failed) = (after.0 - before.0, after.1 - before.1);
             if done < 10 || failed > done / 4 {
-                let states = self.world.states().join("; ");
+                let states = self.world.status_lines().join("; ");
                 self.record_failure(
                     "not-served",
                     format!("route {route}: {done} operations succeeded and {failed} failed within 2 s; {states}"),
--- a/crates/wv-simulation/src/nemesis/run.rs
+++ b/crates/wv-simulation/src/nemesis/run.rs
@@ -1,7 +1,7 @@
 //! Runs a fault schedule against the simulated fleet, with operators and configuration reads in the background.
 use super::operator::OperatorClients;
 use super::{Event, History, PlatformCall, Schedule, VersionObservation};
-use crate::{Luck, World, MS, S};
+use crate::{Rng, Simulation, MS, S};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often responses to operators and the state of nodes are polled.
@@ -21,8 +21,8 @@
 }
 
 pub(super) struct Runner {
-    pub world: World,
-    pub rng: Luck,
+    pub world: Simulation,
+    pub rng: Rng,
     pub history: History,
     pub operators: OperatorClients,
     pub pending: BTreeMap<(u64, u64), Deferred>,
@@ -44,16 +44,20 @@
 /// Runs a schedule and the recovery checks after it, and returns the history.
 pub fn run(schedule: &Schedule) -> History {
     let tolerated_faults = (schedule.core_nodes.min(7) - 1) / 2;
-    let mut world =
-        World::bearing(schedule.access_nodes, schedule.core_nodes, &["s".to_owned()], tolerated_faults.max(1));
-    world.is_wild = true;
-    world.luck = Luck::new(schedule.seed ^ 0x5eed);
+    let mut world = Simulation::with_tolerance(
+        schedule.access_nodes,
+        schedule.core_nodes,
+        &["s".to_owned()],
+        tolerated_faults.max(1),
+    );
+    world.has_link_timeouts = true;
+    world.rng = Rng::new(schedule.seed ^ 0x5eed);
     (0..schedule.diskless_nodes).for_each(|_| {
-        world.add_thin();
+        world.add_diskless_control();
     });
     let mut runner = Runner {
         operators: OperatorClients::new(schedule.seed),
-        rng: Luck::new(schedule.seed),
+        rng: Rng::new(schedule.seed),
         history: History::default(),
         pending: BTreeMap::new(),
         sequence: 0,
@@ -69,14 +73,14 @@
     runner.advance(2 * S);
     runner.send_update("c0");
     runner.advance(S);
-    runner.world.load(4, "p");
-    runner.world.load(2, "b");
+    runner.world.start_load(4, "p");
+    runner.world.start_load(2, "b");
     runner.advance(2 * S);
     let start_us = runner.world.now;
     for event in &schedule.events {
         let at_us = start_us + event.at_ms * MS;
         runner.advance(at_us.saturating_sub(runner.world.now));
-        runner.rng = Luck::new(schedule.seed ^ event.at_ms);
+        runner.rng = Rng::new(schedule.seed ^ event.at_ms);
         runner.begin_event(event);
     }
     // Lets the events that are still active end.
@@ -120,13 +124,13 @@
         for (index, node) in self.world.access.iter().enumerate() {
             let Some(core) = node.core.as_ref() else { continue };
             let version = core.held_configuration_version();
-            if self.observed.insert((index, node.life), version) != Some(version) {
+            if self.observed.insert((index, node.incarnation), version) != Some(version) {
                 let observation =
-                    VersionObservation { node: node.name.clone(), incarnation: node.life, at_us: now, version };
+                    VersionObservation { node: node.name.clone(), incarnation: node.incarnation, at_us: now, version };
                 self.history.observed_versions.push(observation);
             }
         }
-        for base in self.world.bases.iter().filter(|base| base.is_primary && base.is_up) {
+        for base in self.world.databases.iter().filter(|base| base.is_primary && base.is_up) {
             let primary = (base.service.clone(), base.term, base.id.clone());
             if !self.history.primaries.contains(&primary) {
                 self.history.primaries.push(primary);
@@ -150,7 +154,7 @@
     fn retry_deletes(&mut self) {
         let now = self.world.now;
         for (database, token, sent_us) in std::mem::take(&mut self.pending_deletes) {
-            let is_acknowledged = self.world.returns.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
+            let is_acknowledged = self.world.responses.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
             match sent_us + 300 * MS <= now {
                 _ if is_acknowledged => {}
                 true => self.send_delete(database),
@@ -160,7 +164,7 @@
     }
 
     pub(super) fn send_delete(&mut self, database: usize) {
-        let path = format!("/instances/{}", self.world.bases[database].id);
+        let path = format!("/instances/{}", self.world.databases[database].id);
         let is_running = |index: &usize| self.world.controls[*index].core.is_some();
         let running: Vec<usize> = (0..self.world.controls.len()).filter(is_running).collect();
         let to = running.get(self.rng.below(running.len() as u64) as usize).copied();
@@ -170,16 +174,16 @@
 
     fn finish(mut self) -> History {
         self.world.stop_load();
-        self.advance(crate::REST);
-        let (done, failed) = self.world.load_done();
+        self.advance(crate::SETTLE_US);
+        let (done, failed) = self.world.load_counts();
         (self.history.done, self.history.failed) = (done, failed);
         // Without a primary there is no log to compare with; the recovery checks report that case.
-        let has_primary = self.world.bases.iter().any(|base| base.is_primary);
+        let has_primary = self.world.databases.iter().any(|base| base.is_primary);
         self.history.statement_violations = match has_primary {
-            true => self.world.judge(),
-            false => std::mem::take(&mut self.world.oracle.broken),
+            true => self.world.check_rules(),
+            false => std::mem::take(&mut self.world.oracle.violations),
         };
-        let platform_calls = self.world.posts.iter().zip(&self.world.posted_by);
+        let platform_calls = self.world.promotion_calls.iter().zip(&self.world.promotion_callers);
         let to_call = |((service, id, fence, code), (at, control, life)): (&(String, String, u64, Option<u16>), &_)| {
             PlatformCall {
                 at_us: *at,
@@ -191,7 +195,7 @@
             }
         };
         self.history.platform_calls = platform_calls.map(to_call).collect();
-        self.history.timeline = std::mem::take(&mut self.world.course);
+        self.history.timeline = std::mem::take(&mut self.world.event_log);
         self.history
     }
 }
--- a/crates/wv-simulation/tests/drain_acknowledgement.rs
+++ b/crates/wv-simulation/tests/drain_acknowledgement.rs
@@ -3,12 +3,12 @@
 
 use googletest::prelude::*;
 use isolation::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_a_drain_acknowledged_among_seven_then_it_survives_the_loss_of_three_control_nodes() {
     for lost in [[0, 1, 2], [0, 3, 6], [0, 4, 5], [0, 2, 4]] {
-        let mut world = World::serving(2, 3);
+        let mut world = Simulation::configured(2, 3);
         (3..7).for_each(|_| {
             world.add_control(&[0, 1, 2]);
         });
@@ -20,7 +20,7 @@
         world.run(S);
         // Only the required number of other nodes receive it.
         [1, 2, 3].iter().for_each(|other| {
-            world.one_way.insert(("c0".to_owned(), format!("c{other}")));
+            world.dropped_one_way.insert(("c0".to_owned(), format!("c{other}")));
         });
         let response = call_timed(&mut world, 0, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "draining", 2));
         expect_that!(response, eq((200, 5 * MS)));
@@ -35,13 +35,13 @@
 
 #[gtest]
 fn given_a_drain_received_by_too_few_control_nodes_then_repeats_are_not_acknowledged() {
-    let mut world = World::serving(2, 3);
+    let mut world = Simulation::configured(2, 3);
     (3..7).for_each(|_| {
         world.add_control(&[0, 1, 2]);
     });
     world.run(8 * S);
     (1..5).for_each(|other| {
-        world.one_way.insert(("c0".to_owned(), format!("c{other}")));
+        world.dropped_one_way.insert(("c0".to_owned(), format!("c{other}")));
     });
     // Two other nodes hold it; with this one, three of seven.
     for sequence in 2..4 {
--- a/crates/wv-simulation/tests/failover.rs
+++ b/crates/wv-simulation/tests/failover.rs
@@ -4,15 +4,15 @@
 
 use googletest::prelude::*;
 use scenario::{finish_and_check, serving_under_load};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
-fn expect_recovery(world: &mut World, wait_us: u64) {
-    let before = world.load_done().0;
+fn expect_recovery(world: &mut Simulation, wait_us: u64) {
+    let before = world.load_counts().0;
     world.run(wait_us);
-    let recovered = world.load_done().0;
+    let recovered = world.load_counts().0;
     world.run(2 * S);
     expect_that!(
-        world.load_done().0,
+        world.load_counts().0,
         gt(recovered + 50),
         "{} completed at the start, {} after the wait",
         before,
@@ -25,7 +25,7 @@
     let mut world = serving_under_load(4, 3);
     world.crash(0);
     expect_recovery(&mut world, 2 * S);
-    expect_that!(world.bases[0].is_primary, eq(false));
+    expect_that!(world.databases[0].is_primary, eq(false));
     world.revive(0);
     world.run(2 * S);
     expect_that!(world.primary(), not(eq(0)));
@@ -35,46 +35,46 @@
 #[gtest]
 fn given_a_primary_that_becomes_unreachable_and_returns_then_nothing_is_lost_duplicated_or_stale() {
     let mut world = serving_under_load(4, 3);
-    world.darken(0);
+    world.make_unreachable(0);
     expect_recovery(&mut world, 3 * S);
     world.revive(0);
     world.run(3 * S);
-    expect_that!(world.posts.iter().filter(|post| post.3 == Some(200)).count(), eq(1));
+    expect_that!(world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count(), eq(1));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
 #[gtest]
 fn given_a_primary_cut_off_from_one_node_then_no_promotion() {
     let mut world = serving_under_load(4, 3);
-    world.cut.insert(("a0".to_owned(), world.bases[0].id.clone()));
+    world.dropped_links.insert(("a0".to_owned(), world.databases[0].id.clone()));
     world.run(4 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
 #[gtest]
 fn given_a_draining_primary_then_its_work_moves_before_it_stops_and_no_read_is_stale() {
     let mut world = serving_under_load(4, 3);
-    world.bases[0].is_draining = true;
+    world.databases[0].is_draining = true;
     world.run(3 * S);
     expect_that!(world.primary(), not(eq(0)));
-    let failed = world.load_done().1;
-    world.bases[0].is_left = true;
+    let failed = world.load_counts().1;
+    world.databases[0].is_removed = true;
     world.crash(0);
     world.run(2 * S);
-    expect_that!(world.load_done().1, le(failed + 2));
+    expect_that!(world.load_counts().1, le(failed + 2));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
 #[gtest]
 fn given_a_lagging_replica_when_the_primary_crashes_then_the_up_to_date_one_is_promoted() {
     let mut world = serving_under_load(4, 3);
-    world.bases[2].is_deaf = true;
+    world.databases[2].is_log_blocked = true;
     world.run(2 * S);
     world.crash(0);
     world.run(2 * S);
     expect_that!(world.primary(), eq(1));
-    world.bases[2].is_deaf = false;
+    world.databases[2].is_log_blocked = false;
     world.revive(0);
     world.run(S);
     expect_that!(finish_and_check(&mut world), is_empty());
@@ -84,16 +84,16 @@
 fn given_an_unreachable_replica_possibly_ahead_when_the_primary_crashes_then_promotion_waits_for_it() {
     let mut world = serving_under_load(4, 3);
     // Only the unreachable replica received the last commits.
-    world.bases[1].is_deaf = true;
+    world.databases[1].is_log_blocked = true;
     world.run(S);
-    world.darken(2);
+    world.make_unreachable(2);
     world.crash(0);
     world.run(4 * S);
-    expect_that!(world.posts, is_empty());
+    expect_that!(world.promotion_calls, is_empty());
     world.revive(2);
     world.run(3 * S);
     expect_that!(world.primary(), eq(2));
-    world.bases[1].is_deaf = false;
+    world.databases[1].is_log_blocked = false;
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
@@ -119,7 +119,7 @@
         let mut holder = None;
         while holder.is_none() {
             world.run(5 * MS);
-            let requests = world.course.iter().rev().find(|(_, text)| text.contains("requests"));
+            let requests = world.event_log.iter().rev().find(|(_, text)| text.contains("requests"));
             holder = requests.and_then(|(_, text)| text[1..2].parse::<usize>().ok());
         }
         world.run(delay_ms * MS);
@@ -128,7 +128,7 @@
         expect_that!(world.primary(), not(eq(0)), "killed after {delay_ms} ms");
         world.revive(0);
         world.run(2 * S);
-        expect_that!(world.bases.iter().all(|db| db.held == 0), eq(true), "killed after {delay_ms} ms");
+        expect_that!(world.databases.iter().all(|db| db.suspended == 0), eq(true), "killed after {delay_ms} ms");
         expect_that!(finish_and_check(&mut world), is_empty(), "killed after {delay_ms} ms");
     }
 }
@@ -137,13 +137,13 @@
 fn given_two_partitioned_duty_holders_then_the_lower_fence_has_no_effect() {
     let mut world = serving_under_load(4, 3);
     // The control nodes are partitioned for a while; only one side keeps a majority.
-    world.cut.insert(("c0".to_owned(), "c1".to_owned()));
-    world.cut.insert(("c0".to_owned(), "c2".to_owned()));
+    world.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
+    world.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
     world.crash(0);
     world.run(3 * S);
-    world.cut.clear();
+    world.dropped_links.clear();
     world.run(3 * S);
-    let fences: Vec<u64> = world.posts.iter().filter(|post| post.3 == Some(200)).map(|post| post.2).collect();
+    let fences: Vec<u64> = world.promotion_calls.iter().filter(|post| post.3 == Some(200)).map(|post| post.2).collect();
     expect_that!(fences.windows(2).all(|pair| pair[0] <= pair[1]), eq(true));
     expect_that!(world.primary(), not(eq(0)));
     world.revive(0);
@@ -157,13 +157,13 @@
     world.is_platform_down = true;
     world.crash(0);
     world.run(6 * S);
-    expect_that!(world.bases.iter().filter(|db| db.is_primary && db.is_up).count(), eq(0));
+    expect_that!(world.databases.iter().filter(|db| db.is_primary && db.is_up).count(), eq(0));
     world.is_platform_down = false;
     world.run(5 * S);
     expect_that!(world.primary(), not(eq(0)));
     world.revive(0);
     world.run(2 * S);
-    expect_that!(world.bases.iter().all(|db| db.held == 0), eq(true));
+    expect_that!(world.databases.iter().all(|db| db.suspended == 0), eq(true));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
@@ -171,19 +171,19 @@
 fn given_an_access_node_isolated_with_a_replaced_primary_then_none_of_its_reads_is_stale() {
     let mut world = serving_under_load(4, 3);
     // Node a0 and the old primary reach only each other, so a0 cannot learn of the new primary.
-    let old = world.bases[0].id.clone();
+    let old = world.databases[0].id.clone();
     for other in ["a1", "a2", "a3", "c0", "c1", "c2", "i-s1", "i-s2"] {
-        world.cut.insert((other.to_owned(), old.clone()));
-        world.cut.insert((other.to_owned(), "a0".to_owned()));
+        world.dropped_links.insert((other.to_owned(), old.clone()));
+        world.dropped_links.insert((other.to_owned(), "a0".to_owned()));
     }
     world.run(3 * S);
-    expect_that!(world.bases[1].is_primary || world.bases[2].is_primary, eq(true));
-    let client = world.client(0, "p");
+    expect_that!(world.databases[1].is_primary || world.databases[2].is_primary, eq(true));
+    let client = world.open_client(0, "p");
     for _ in 0..20 {
         world.run(100 * MS);
-        world.say(client, "QUERY x READ k");
+        world.send_line(client, "QUERY x READ k");
     }
-    world.cut.clear();
+    world.dropped_links.clear();
     world.run(2 * S);
     expect_that!(finish_and_check(&mut world), is_empty());
 }
@@ -191,15 +191,15 @@
 #[gtest]
 fn given_a_candidate_that_stops_replicating_during_promotion_then_no_write_is_acknowledged_without_it() {
     let mut world = serving_under_load(4, 3);
-    world.bases[0].is_draining = true;
-    while world.posts.is_empty() {
+    world.databases[0].is_draining = true;
+    while world.promotion_calls.is_empty() {
         world.run(MS);
     }
-    let candidate = world.posts[0].1.clone();
-    let at = world.base(&candidate).unwrap_or(0);
-    world.bases[at].is_deaf = true;
+    let candidate = world.promotion_calls[0].1.clone();
+    let at = world.database_index(&candidate).unwrap_or(0);
+    world.databases[at].is_log_blocked = true;
     world.run(500 * MS);
-    expect_that!(world.bases[at].is_primary, eq(true));
+    expect_that!(world.databases[at].is_primary, eq(true));
     world.run(S);
     expect_that!(finish_and_check(&mut world), is_empty());
 }
@@ -213,11 +213,11 @@
     world.run(S);
     let primary = world.primary();
     // The restarted database wrongly considers itself primary of its old term.
-    (world.bases[0].is_primary, world.bases[0].term) = (true, 1);
-    world.bases[primary].is_draining = true;
+    (world.databases[0].is_primary, world.databases[0].term) = (true, 1);
+    world.databases[primary].is_draining = true;
     world.run(2 * S);
-    expect_that!(world.course.iter().any(|(_, text)| text.contains("requests i-s0: YIELD 2")), eq(true));
-    expect_that!(world.bases[0].is_primary && world.bases[0].term == 1, eq(false));
+    expect_that!(world.event_log.iter().any(|(_, text)| text.contains("requests i-s0: YIELD 2")), eq(true));
+    expect_that!(world.databases[0].is_primary && world.databases[0].term == 1, eq(false));
     // Invariants are not checked: they assume that a deposed database does not return to its old term.
-    expect_that!(world.bases[primary].is_primary, eq(false));
+    expect_that!(world.databases[primary].is_primary, eq(false));
 }
--- a/crates/wv-simulation/tests/learners.rs
+++ b/crates/wv-simulation/tests/learners.rs
@@ -6,13 +6,13 @@
 use scenario::{get_config, put_config_version};
 use std::collections::BTreeSet;
 use wv_consensus::{Store, VoterState};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Part of a change in which a second loss may block the survivors: at most five round trips of one millisecond.
 const STUCK_WINDOW_US: u64 = 5 * MS;
 
 /// The voter state and the configuration version on the disk of `control`.
-fn read_disk(world: &World, control: usize) -> (VoterState, u64) {
+fn read_disk(world: &Simulation, control: usize) -> (VoterState, u64) {
     let files = Box::new(world.controls[control].files.copy());
     let mut store = Store::open(files).expect("the store is readable");
     let state = VoterState::open(&mut store, &world.controls[control].addr, &[], false, 1)
@@ -21,13 +21,13 @@
 }
 
 /// The newest voter set on the disks of `controls`.
-fn newest_voter_set(world: &World, controls: &[usize]) -> wv_internal_protocol::VoterSet {
+fn newest_voter_set(world: &Simulation, controls: &[usize]) -> wv_internal_protocol::VoterSet {
     let known = controls.iter().map(|at| read_disk(world, *at).0.voters);
     known.max_by_key(|voters| voters.number).unwrap_or_default()
 }
 
 /// Runs in steps of a quarter millisecond until `is_met`, for at most `limit` microseconds.
-fn run_until(world: &mut World, limit: u64, is_met: impl Fn(&World) -> bool) -> bool {
+fn run_until(world: &mut Simulation, limit: u64, is_met: impl Fn(&Simulation) -> bool) -> bool {
     let end = world.now + limit;
     while !is_met(world) && world.now < end {
         world.run(MS / 4);
@@ -35,13 +35,13 @@
     is_met(world)
 }
 
-fn is_change_in_progress(world: &World) -> bool {
-    (0..world.controls.len()).any(|at| world.is_changing(at))
+fn is_change_in_progress(world: &Simulation) -> bool {
+    (0..world.controls.len()).any(|at| world.is_changing_voters(at))
 }
 
 /// Three voters and a learner; voter `lost` is killed, and its replacement has just begun.
-fn start_replacement(lost: usize) -> World {
-    let mut world = World::serving(1, 4);
+fn start_replacement(lost: usize) -> Simulation {
+    let mut world = Simulation::configured(1, 4);
     assert_eq!(put_config_version(&mut world, lost, 20), 200);
     world.run(2 * S);
     world.kill_control(lost);
@@ -66,7 +66,11 @@
             expect_that!(status, if is_known { eq(200) } else { eq(503) }, "{lost} {second} at {step}");
             if is_known {
                 continued += 1;
-                expect_that!(get_config(&mut world, left[1]), eq(&(200, World::conf(21))), "{lost} {second} at {step}");
+                expect_that!(
+                    get_config(&mut world, left[1]),
+                    eq(&(200, Simulation::config(21))),
+                    "{lost} {second} at {step}"
+                );
             } else {
                 stuck.insert(step);
             }
@@ -86,19 +90,19 @@
 fn given_a_write_acknowledged_before_a_change_then_it_is_on_a_majority_of_the_next_set() {
     for lost in 0..3 {
         for offset in 0..16u64 {
-            let mut world = World::serving(1, 4);
+            let mut world = Simulation::configured(1, 4);
             world.run(2 * S);
             world.kill_control(lost);
             // Sequential writes, so that the last acknowledgement falls close to the start of the change.
             let mut acked = 1;
             world.run(1950 * MS + offset * MS / 4);
             for version in 30..400 {
-                let token = world.call((lost + 1) % 3, "PUT", "/configuration", &World::conf(version));
-                run_until(&mut world, S, |world| is_change_in_progress(world) || world.returns.contains_key(&token));
+                let token = world.call((lost + 1) % 3, "PUT", "/configuration", &Simulation::config(version));
+                run_until(&mut world, S, |world| is_change_in_progress(world) || world.responses.contains_key(&token));
                 if is_change_in_progress(&world) {
                     run_until(&mut world, S, |world| newest_voter_set(world, &[0, 1, 2, 3]).number == 2);
                 }
-                if world.returns.get(&token).is_some_and(|ret| ret.0 == 200) {
+                if world.responses.get(&token).is_some_and(|ret| ret.0 == 200) {
                     acked = version;
                 }
                 if newest_voter_set(&world, &[0, 1, 2, 3]).number == 2 {
@@ -117,7 +121,7 @@
 
 #[gtest]
 fn given_a_learner_without_data_then_the_voter_set_is_unchanged_until_it_is_ready() {
-    let mut world = World::serving(1, 3);
+    let mut world = Simulation::configured(1, 3);
     expect_that!(put_config_version(&mut world, 0, 20), eq(200));
     world.kill_control(2);
     let new = world.add_control(&[0, 1]);
@@ -133,7 +137,7 @@
 
 #[gtest]
 fn given_a_member_that_does_not_start_voting_then_the_next_change_waits_for_a_limited_time() {
-    let mut world = World::serving(1, 5);
+    let mut world = Simulation::configured(1, 5);
     world.run(3 * S);
     expect_that!(newest_voter_set(&world, &[0]).members.len(), eq(5));
     let new = [world.add_control(&[0, 1, 2]), world.add_control(&[0, 1, 2])];
--- a/crates/wv-simulation/tests/nemesis_checks.rs
+++ b/crates/wv-simulation/tests/nemesis_checks.rs
@@ -4,7 +4,7 @@
     check, run, ConfigRead, ConfigUpdate, FaultBound, History, PlatformCall, RecoveryFailure, Schedule, UpdateResponse,
     VersionObservation, CHECKS,
 };
-use wv_simulation::{Entry, Oracle, Write};
+use wv_simulation::{LogEntry, Oracle, Write};
 
 fn update(version: u64, is_valid: bool, first_sent_us: u64) -> ConfigUpdate {
     ConfigUpdate { version, body: version.to_string().into_bytes(), is_valid, first_sent_us }
@@ -104,20 +104,20 @@
 
 #[gtest]
 fn given_statement_violations_or_recovery_failures_then_findings_carry_their_names() {
-    let log = |tags: &[&str]| -> Vec<Entry> {
-        let write = |tag: &&str| Write { tag: (*tag).to_owned(), thing: "k".to_owned(), data: "d".to_owned() };
+    let log = |tags: &[&str]| -> Vec<LogEntry> {
+        let write = |tag: &&str| Write { tag: (*tag).to_owned(), key: "k".to_owned(), value: "d".to_owned() };
         tags.iter()
-            .map(|tag| Entry { pos: wv_wire_protocol::LogPosition { term: 1, number: 1 }, write: write(tag) })
+            .map(|tag| LogEntry { pos: wv_wire_protocol::LogPosition { term: 1, number: 1 }, write: write(tag) })
             .collect()
     };
     let violations = |acknowledged: &[&str], rejected: &[&str], tags: &[&str]| {
         let mut oracle = Oracle::default();
-        acknowledged.iter().for_each(|tag| oracle.ack((*tag).to_owned(), 5));
+        acknowledged.iter().for_each(|tag| oracle.record_ack((*tag).to_owned(), 5));
         rejected.iter().for_each(|tag| {
-            oracle.promised.insert((*tag).to_owned(), 5);
+            oracle.rejected.insert((*tag).to_owned(), 5);
         });
-        oracle.judge(&log(tags));
-        let history = History { statement_violations: oracle.broken, ..History::default() };
+        oracle.check_log(&log(tags));
+        let history = History { statement_violations: oracle.violations, ..History::default() };
         failed_checks(&history, FaultBound::Unlimited)
     };
     expect_that!(violations(&["q1"], &["q2"], &["q1"]), is_empty());
--- a/crates/wv-simulation/tests/request_forwarding.rs
+++ b/crates/wv-simulation/tests/request_forwarding.rs
@@ -1,13 +1,13 @@
 //! Requests forwarded to the owner of their shard: no write runs twice and none is forwarded a second time.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Two access nodes and one shard; returns the world, the owner and the other node.
-fn two_node_fleet() -> (World, usize, usize) {
-    let mut world = World::new(2, 3);
+fn two_node_fleet() -> (Simulation, usize, usize) {
+    let mut world = Simulation::new(2, 3);
     world.run(2 * S);
     let mut value: serde_json::Value =
-        serde_json::from_slice(&World::conf(1)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::config(1)).expect("the default configuration is valid JSON");
     value["partners"] = serde_json::json!([{"label": "all", "portion": 1, "nodes": ["a*"]}]);
     world.call(1, "PUT", "/configuration", value.to_string().as_bytes());
     world.run(5 * S);
@@ -19,18 +19,18 @@
 #[gtest]
 fn given_a_forwarded_write_that_ran_when_the_owner_crashes_then_it_is_not_resent() {
     let (mut world, owner, other) = two_node_fleet();
-    let client = world.client(other, "p");
-    world.say(client, "QUERY w1 WRITE k d");
+    let client = world.open_client(other, "p");
+    world.send_line(client, "QUERY w1 WRITE k d");
     world.run(200 * MS);
-    expect_that!(world.take(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
+    expect_that!(world.take_lines(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
     // The write has run and its response is in transit when the owner is killed.
-    world.bases[0].work_us = 100 * MS;
-    world.say(client, "QUERY w2 WRITE k d");
+    world.databases[0].statement_us = 100 * MS;
+    world.send_line(client, "QUERY w2 WRITE k d");
     world.run(50 * MS);
     world.kill_access(owner);
     world.run(S);
-    expect_that!(world.take(client)[0], starts_with("ERROR INDETERM"));
-    expect_that!(world.bases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
+    expect_that!(world.take_lines(client)[0], starts_with("ERROR INDETERM"));
+    expect_that!(world.databases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
 }
 
 #[gtest]
@@ -63,18 +63,18 @@
 #[gtest]
 fn given_an_owner_that_shuts_down_then_open_transactions_finish_there_and_new_work_goes_elsewhere() {
     let (mut world, owner, other) = two_node_fleet();
-    let client = world.client(other, "p");
-    world.say(client, "QUERY t1 BEGIN");
-    world.say(client, "QUERY t2 WRITE k d");
+    let client = world.open_client(other, "p");
+    world.send_line(client, "QUERY t1 BEGIN");
+    world.send_line(client, "QUERY t2 WRITE k d");
     world.run(200 * MS);
-    world.term_access(owner);
+    world.terminate_access(owner);
     world.run(200 * MS);
-    world.say(client, "QUERY t3 COMMIT");
+    world.send_line(client, "QUERY t3 COMMIT");
     world.run(200 * MS);
-    let received = world.take(client);
+    let received = world.take_lines(client);
     expect_that!(received.iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2), "{received:?}");
-    world.say(client, "QUERY w1 WRITE k d");
+    world.send_line(client, "QUERY w1 WRITE k d");
     world.run(200 * MS);
-    expect_that!(world.take(client)[0], starts_with("COMPLETE stamp"));
-    expect_that!(world.judge(), is_empty());
+    expect_that!(world.take_lines(client)[0], starts_with("COMPLETE stamp"));
+    expect_that!(world.check_rules(), is_empty());
 }
--- a/crates/wv-simulation/tests/slow_start.rs
+++ b/crates/wv-simulation/tests/slow_start.rs
@@ -3,33 +3,33 @@
 
 use googletest::prelude::*;
 use scenario::finish_and_check;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Six access nodes under load, with slow start enabled or disabled.
-fn world_under_load(is_slow_start_on: bool) -> World {
-    let mut world = World::serving(6, 3);
+fn world_under_load(is_slow_start_on: bool) -> Simulation {
+    let mut world = Simulation::configured(6, 3);
     let plan =
         wv_slow_start::SlowStartConfig { is_enabled: is_slow_start_on, ..wv_slow_start::SlowStartConfig::default() };
     world.access.iter_mut().filter_map(|node| node.core.as_mut()).for_each(|core| core.set_slow_start(plan));
-    world.load(120, "p");
-    world.load(60, "b");
+    world.start_load(120, "p");
+    world.start_load(60, "b");
     world.run(3 * S);
     world
 }
 
 /// Restarts the primary without replicas; it handles at most `capacity` slow statements concurrently.
-fn restart_without_replicas(world: &mut World, capacity: usize) {
+fn restart_without_replicas(world: &mut Simulation, capacity: usize) {
     for at in [1, 2] {
-        world.bases[at].is_draining = true;
-        world.bases[at].is_left = true;
+        world.databases[at].is_draining = true;
+        world.databases[at].is_removed = true;
         world.crash(at);
     }
     world.crash(0);
     world.run(2 * S);
-    world.bases[0].bears = Some(capacity);
-    world.bases[0].work_us = 12 * MS;
-    world.bases[0].falls = 0;
-    world.bases[0].most_busy = 0;
+    world.databases[0].busy_limit = Some(capacity);
+    world.databases[0].statement_us = 12 * MS;
+    world.databases[0].overload_crashes = 0;
+    world.databases[0].peak_busy = 0;
     world.revive(0);
 }
 
@@ -37,17 +37,17 @@
 fn given_a_single_database_restarted_under_full_load_then_the_fleet_stays_within_its_capacity() {
     let mut world = world_under_load(true);
     restart_without_replicas(&mut world, 17);
-    let before = world.load_done().0;
+    let before = world.load_counts().0;
     world.run(1500 * MS);
-    expect_that!(world.bases[0].falls, eq(0), "peak concurrency: {}", world.bases[0].most_busy);
-    expect_that!(world.load_done().0, gt(before + 60));
+    expect_that!(world.databases[0].overload_crashes, eq(0), "peak concurrency: {}", world.databases[0].peak_busy);
+    expect_that!(world.load_counts().0, gt(before + 60));
     // At full capacity again, all requests are served.
-    (world.bases[0].bears, world.bases[0].work_us) = (None, 3 * MS);
+    (world.databases[0].busy_limit, world.databases[0].statement_us) = (None, 3 * MS);
     world.run(3 * S);
-    let (done, failed) = world.load_done();
+    let (done, failed) = world.load_counts();
     world.run(2 * S);
-    expect_that!(world.load_done().0, gt(done + 1000));
-    expect_that!(world.load_done().1, le(failed + 20));
+    expect_that!(world.load_counts().0, gt(done + 1000));
+    expect_that!(world.load_counts().1, le(failed + 20));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
@@ -56,9 +56,9 @@
     let mut world = world_under_load(false);
     restart_without_replicas(&mut world, 17);
     world.run(1500 * MS);
-    expect_that!(world.bases[0].falls, ge(1));
+    expect_that!(world.databases[0].overload_crashes, ge(1));
     // Even so, nothing is lost or duplicated and no write reported as not applied is applied.
-    world.bases[0].bears = None;
+    world.databases[0].busy_limit = None;
     world.revive(0);
     world.run(2 * S);
     expect_that!(finish_and_check(&mut world), is_empty());
@@ -69,14 +69,14 @@
     let mut world = world_under_load(true);
     world.crash(2);
     world.run(2 * S);
-    (world.bases[2].bears, world.bases[2].work_us) = (Some(8), 25 * MS);
-    world.bases[2].most_busy = 0;
+    (world.databases[2].busy_limit, world.databases[2].statement_us) = (Some(8), 25 * MS);
+    world.databases[2].peak_busy = 0;
     world.revive(2);
-    world.loads_reset();
+    world.reset_slowest();
     world.run(2 * S);
-    expect_that!(world.bases[2].falls, eq(0), "peak concurrency: {}", world.bases[2].most_busy);
-    expect_that!(world.bases[2].most_busy, ge(1));
-    expect_that!(world.slowest("b"), lt(400 * MS));
+    expect_that!(world.databases[2].overload_crashes, eq(0), "peak concurrency: {}", world.databases[2].peak_busy);
+    expect_that!(world.databases[2].peak_busy, ge(1));
+    expect_that!(world.slowest_us("b"), lt(400 * MS));
     expect_that!(finish_and_check(&mut world), is_empty());
 }
 
@@ -89,7 +89,7 @@
         world.revive(2);
         world.run(1500 * MS);
     }
-    let id = world.bases[2].id.clone();
+    let id = world.databases[2].id.clone();
     let in_slow_start =
         world.access.iter().filter_map(|node| node.core.as_ref()).filter(|core| core.is_in_slow_start(&id)).count();
     expect_that!(in_slow_start, eq(6));
@@ -106,11 +106,11 @@
     world.crash(2);
     world.run(S);
     // It returns under a new id with the same address and log.
-    world.bases[2].id = "i-again".to_owned();
-    world.bases[2].sequence = 0;
+    world.databases[2].id = "i-again".to_owned();
+    world.databases[2].sequence = 0;
     world.revive(2);
     world.run(700 * MS);
-    let in_slow_start = |world: &World| {
+    let in_slow_start = |world: &Simulation| {
         world
             .access
             .iter()
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -4,12 +4,12 @@
 use googletest::prelude::*;
 use split_test::{planned_config, SplitTest};
 use wv_internal_protocol::SplitPhase;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 #[gtest]
 fn given_live_writes_when_a_split_is_requested_then_the_upper_slots_move_and_each_record_exists_once() {
     let mut split = SplitTest::start();
-    let before = split.world.load_done().0;
+    let before = split.world.load_counts().0;
     split.request_split();
     expect_that!(split.wait_for_move(40 * S), eq(true));
     let map = split.world.slot_map("s");
@@ -17,10 +17,10 @@
     expect_that!((map.moved[0].from, map.moved[0].until), eq((512, 1024)));
     split.world.run(3 * S);
     // Both shards serve writes, and lookups were answered throughout.
-    let target = split.world.bases.iter().find(|db| db.service == "t" && db.is_primary);
+    let target = split.world.databases.iter().find(|db| db.service == "t" && db.is_primary);
     expect_that!(target.map_or(0, |db| db.log.iter().filter(|entry| entry.write.tag != "-").count()), gt(10));
-    expect_that!(split.world.load_done().0, gt(before + 400));
-    expect_that!(split.world.slowest("b"), lt(800 * MS));
+    expect_that!(split.world.load_counts().0, gt(before + 400));
+    expect_that!(split.world.slowest_us("b"), lt(800 * MS));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -33,7 +33,7 @@
     expect_that!(ret.0, eq(200));
     expect_that!(split.wait_for_move(60 * S), eq(true));
     // The plan cannot be removed now: it locates the moved slots.
-    let ret = split.call("PUT", "/configuration", &wv_simulation::World::conf(3));
+    let ret = split.call("PUT", "/configuration", &wv_simulation::Simulation::config(3));
     expect_that!(ret.0, eq(400));
     expect_that!(ret.1, contains_substring("slots of s have moved"));
     expect_that!(split.finish_and_check(), is_empty());
@@ -42,8 +42,8 @@
 #[gtest]
 fn given_an_overloaded_source_then_copying_pauses_and_a_cancelled_request_changes_nothing() {
     let mut split = SplitTest::start();
-    split.world.bases.iter_mut().for_each(|db| db.work_us = 40 * MS);
-    split.world.load(60, "p");
+    split.world.databases.iter_mut().for_each(|db| db.statement_us = 40 * MS);
+    split.world.start_load(60, "p");
     split.world.run(S);
     split.request_split();
     split.world.run(8 * S);
@@ -61,20 +61,20 @@
     let mut split = SplitTest::start();
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    let client = split.world.client(0, "p");
+    let client = split.world.open_client(0, "p");
     split.world.run(S);
     let (stays, moves) = (split.key_where(|slot| slot < 512), split.moving_key());
     for text in ["x1 BEGIN".to_owned(), format!("x2 WRITE {stays} one"), format!("x3 WRITE {moves} two")] {
-        split.world.take(client);
-        split.world.say(client, &format!("QUERY {text}"));
+        split.world.take_lines(client);
+        split.world.send_line(client, &format!("QUERY {text}"));
         split.world.run(100 * MS);
     }
-    let received = split.world.take(client);
+    let received = split.world.take_lines(client);
     expect_that!(received[0], starts_with("ERROR ABORTED rolled back: a transaction stays within one shard"));
     expect_that!(received[1], starts_with("IDLE E"));
     let is_kept =
-        |db: &wv_simulation::Base| db.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
-    expect_that!(split.world.bases.iter().any(is_kept), eq(false));
+        |db: &wv_simulation::Database| db.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
+    expect_that!(split.world.databases.iter().any(is_kept), eq(false));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -140,12 +140,12 @@
 }
 
 /// Retries a configuration write at one node until the answer is neither missing nor 503; 503 after four seconds.
-fn put_until_answered(world: &mut World, at: usize, body: &[u8]) -> u16 {
+fn put_until_answered(world: &mut Simulation, at: usize, body: &[u8]) -> u16 {
     let end = world.now + 4 * S;
     while world.now < end {
         let token = world.call(at, "PUT", "/configuration", body);
         world.run(100 * MS);
-        match world.returns.get(&token).map_or(0, |ret| ret.0) {
+        match world.responses.get(&token).map_or(0, |ret| ret.0) {
             0 | 503 => {}
             code => return code,
         }
@@ -167,13 +167,13 @@
     let holder = split.duty_holder();
     let other = (holder + 1) % 3;
     // It receives from the third node, so it has contact, but not from the node that moves the slots.
-    split.world.one_way.insert((format!("c{holder}"), format!("c{other}")));
+    split.world.dropped_one_way.insert((format!("c{holder}"), format!("c{other}")));
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
     let known = split.world.controls[other].core.as_ref().and_then(|core| core.slot_map("s"));
     expect_that!(known.is_none_or(|map| map.moved.is_empty()), eq(true));
     expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(9)), eq(400));
-    split.world.one_way.clear();
+    split.world.dropped_one_way.clear();
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -183,11 +183,11 @@
     let holder = split.duty_holder();
     let other = (holder + 2) % 3;
     for at in (0..3).filter(|at| *at != other) {
-        split.world.cut.insert((format!("c{other}"), format!("c{at}")));
+        split.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
-    split.world.cut.clear();
+    split.world.dropped_links.clear();
     expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(9)), eq(400));
     expect_that!(split.finish_and_check(), is_empty());
 }
@@ -205,16 +205,16 @@
     let other = (split.duty_holder() + 1) % 3;
     expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(2)), eq(200));
     for at in (0..3).filter(|at| *at != other) {
-        split.world.cut.insert((format!("c{other}"), format!("c{at}")));
+        split.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     let planned = planned_config(3, |_| {});
     expect_that!(put_until_answered(&mut split.world, (other + 1) % 3, &planned), eq(200));
     split.world.run(14 * S);
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
-    split.world.cut.clear();
+    split.world.dropped_links.clear();
     // Contact is restored, but nothing has been read yet.
-    let is_connected = |world: &World| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
+    let is_connected = |world: &Simulation| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
     let end = split.world.now + 2 * S;
     while !is_connected(&split.world) && split.world.now < end {
         split.world.run(MS / 10);
--- a/crates/wv-simulation/tests/split_faults.rs
+++ b/crates/wv-simulation/tests/split_faults.rs
@@ -49,18 +49,18 @@
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
         // Vary when during copying the node receives its write to a moving key.
         split.world.run(delay_ms * 5 * MS);
-        let client = split.world.client(1, "p");
+        let client = split.world.open_client(1, "p");
         split.world.run(20 * MS);
-        split.world.say(client, &format!("QUERY late WRITE {} mine", split.moving_key()));
+        split.world.send_line(client, &format!("QUERY late WRITE {} mine", split.moving_key()));
         split.world.freeze_access(1);
         expect_that!(split.wait_for_move(60 * S), eq(true));
         split.world.run(S);
         split.world.thaw_access(1);
         split.world.run(3 * S);
-        let received = split.world.take(client);
+        let received = split.world.take_lines(client);
         let is_acknowledged = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
         let has_write = |service: &str| {
-            let mut primaries = split.world.bases.iter().filter(|db| db.service == service && db.is_primary);
+            let mut primaries = split.world.databases.iter().filter(|db| db.service == service && db.is_primary);
             primaries.any(|db| db.log.iter().any(|entry| entry.write.tag == "late"))
         };
         expect_that!(has_write("s"), eq(false), "{received:?}");
@@ -77,7 +77,7 @@
         let mut split = SplitTest::start();
         split.request_split();
         expect_that!(split.wait_for_phase(phase, 20 * S), eq(true));
-        let primary = split.world.bases.iter().position(|db| db.service == service && db.is_primary);
+        let primary = split.world.databases.iter().position(|db| db.service == service && db.is_primary);
         split.world.crash(primary.unwrap_or(0));
         split.world.run(4 * S);
         split.world.revive(primary.unwrap_or(0));
@@ -92,18 +92,18 @@
     let mut split = SplitTest::start();
     (0..3).for_each(|at| {
         let (node, control) = (split.world.access[2].name.clone(), split.world.controls[at].name.clone());
-        split.world.cut.insert((node, control));
+        split.world.dropped_links.insert((node, control));
     });
     split.world.run(2 * S);
     split.request_split();
     for _ in 0..40 {
-        (0..6).for_each(|at| split.world.bases[at].lose = 1);
+        (0..6).for_each(|at| split.world.databases[at].lost_replies = 1);
         split.world.run(250 * MS);
     }
     expect_that!(split.wait_for_move(60 * S), eq(true));
     split.world.run(2 * S);
     // The isolated node must not write or read moved slots with its outdated slot map.
-    split.world.cut.clear();
+    split.world.dropped_links.clear();
     split.world.run(3 * S);
     expect_that!(split.finish_and_check(), is_empty());
 }
@@ -112,7 +112,7 @@
 fn given_a_write_with_a_lost_response_just_before_the_seal_then_its_row_is_copied_again() {
     for wait_ms in [0, 40, 80, 160] {
         let mut split = SplitTest::start();
-        let client = split.world.client(0, "p");
+        let client = split.world.open_client(0, "p");
         let key = split.moving_key();
         split.world.run(S);
         split.request_split();
@@ -122,11 +122,11 @@
             split.world.run(5 * MS);
         }
         split.world.run(wait_ms * MS);
-        let primary = split.world.bases.iter().position(|db| db.service == "s" && db.is_primary).unwrap_or(0);
+        let primary = split.world.databases.iter().position(|db| db.service == "s" && db.is_primary).unwrap_or(0);
         split.world.stop_load();
         split.world.run(60 * MS);
-        split.world.bases[primary].lose = 1;
-        split.world.say(client, &format!("QUERY last WRITE {key} mine"));
+        split.world.databases[primary].lost_replies = 1;
+        split.world.send_line(client, &format!("QUERY last WRITE {key} mine"));
         expect_that!(split.wait_for_move(40 * S), eq(true));
         split.world.run(2 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{wait_ms} ms");
@@ -156,23 +156,23 @@
 #[gtest]
 fn given_a_new_key_written_through_an_isolated_node_that_crashes_then_its_row_is_moved() {
     let mut split = SplitTest::start();
-    let client = split.world.client(1, "p");
+    let client = split.world.open_client(1, "p");
     split.world.run(S);
-    split.world.take(client);
+    split.world.take_lines(client);
     let mut names = (0..).map(|at| format!("{{new{at}}}x"));
     let name = names.find(|name| wv_internal_protocol::slot_for_key(name.as_bytes()) >= 512).unwrap_or_default();
     // The access node cannot reach any control node.
     for at in 0..3 {
         let pair = (split.world.access[1].name.clone(), split.world.controls[at].name.clone());
-        split.world.cut.insert(pair);
+        split.world.dropped_links.insert(pair);
     }
-    split.world.say(client, &format!("QUERY first WRITE {name} mine"));
+    split.world.send_line(client, &format!("QUERY first WRITE {name} mine"));
     split.world.run(400 * MS);
-    let received = split.world.take(client);
+    let received = split.world.take_lines(client);
     split.world.kill_access(1);
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    let primary = split.world.bases.iter().find(|db| db.service == "t" && db.is_primary);
+    let primary = split.world.databases.iter().find(|db| db.service == "t" && db.is_primary);
     let row = primary.and_then(|db| db.rows.get(&name));
     // Either acknowledged and moved, or reported as not applied.
     let is_kept = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
@@ -188,9 +188,9 @@
         split.request_split();
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
         // The next copies are delayed, and the duty holder that sent them is killed meanwhile.
-        split.world.copy_us = delay_ms * MS;
+        split.world.copy_delay_us = delay_ms * MS;
         split.world.run(900 * MS);
-        split.world.copy_us = 2 * MS;
+        split.world.copy_delay_us = 2 * MS;
         let duty_holder = split.duty_holder();
         split.world.kill_control(duty_holder);
         split.world.run(2 * S);
--- a/crates/wv-simulation/tests/split_test/mod.rs
+++ b/crates/wv-simulation/tests/split_test/mod.rs
@@ -1,10 +1,10 @@
 //! Shared fixture of the shard split tests: shard `s` with split target `t`, under load on many keys.
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// A configuration with a split plan for shard `s`, adjusted by `change`.
 pub fn planned_config(version: u64, change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&World::conf(version)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::config(version)).expect("the default configuration is valid JSON");
     let target = serde_json::json!({"label": "t", "maxConnections": 100, "syncReplicas": 1});
     value["services"].as_array_mut().expect("services is an array").push(target);
     let mut plan =
@@ -15,7 +15,7 @@
 }
 
 pub struct SplitTest {
-    pub world: World,
+    pub world: Simulation,
 }
 
 impl SplitTest {
@@ -30,19 +30,19 @@
 
     /// Like `with_plan`, with the given wall-clock time at the start.
     pub fn starting_at(epoch_us: u64, change: impl FnOnce(&mut serde_json::Value)) -> SplitTest {
-        let mut world = World::of(3, 3, &["s".to_owned(), "t".to_owned()]);
-        (world.things, world.epoch_us) = (200, epoch_us);
+        let mut world = Simulation::with_services(3, 3, &["s".to_owned(), "t".to_owned()]);
+        (world.key_count, world.epoch_us) = (200, epoch_us);
         world.run(2 * S);
         let token = world.call(0, "PUT", "/configuration", &planned_config(1, change));
         world.run(2 * S);
         assert_eq!(
-            world.returns.get(&token).map(|ret| ret.0),
+            world.responses.get(&token).map(|ret| ret.0),
             Some(200),
             "plan accepted: {:?}",
-            world.returns.get(&token)
+            world.responses.get(&token)
         );
-        world.load(12, "p");
-        world.load(8, "b");
+        world.start_load(12, "p");
+        world.start_load(8, "b");
         world.run(14 * S);
         SplitTest { world }
     }
@@ -53,10 +53,10 @@
         for _ in 0..20 {
             let token = self.world.call(at, method, path, body);
             let deadline = self.world.now + 4 * S;
-            while !self.world.returns.contains_key(&token) && self.world.now < deadline {
+            while !self.world.responses.contains_key(&token) && self.world.now < deadline {
                 self.world.run(50 * MS);
             }
-            let (status, text) = self.world.returns.get(&token).cloned().unwrap_or((0, Vec::new()));
+            let (status, text) = self.world.responses.get(&token).cloned().unwrap_or((0, Vec::new()));
             let text = String::from_utf8_lossy(&text).into_owned();
             match status {
                 307 => {
@@ -101,10 +101,10 @@
     /// Stops the load, lets the fleet settle and returns the invariants that were violated.
     pub fn finish_and_check(&mut self) -> Vec<String> {
         self.world.stop_load();
-        self.world.run(wv_simulation::REST);
+        self.world.run(wv_simulation::SETTLE_US);
         let moved = self.world.slot_map("s").moved;
-        let mut violations = self.world.judge_rows("s", "t", &moved);
-        violations.extend(self.world.judge());
+        let mut violations = self.world.check_rows("s", "t", &moved);
+        violations.extend(self.world.check_rules());
         violations
     }
 
--- a/crates/wv-simulation/tests/stale_observations.rs
+++ b/crates/wv-simulation/tests/stale_observations.rs
@@ -1,9 +1,9 @@
 //! Observations read late by a paused control node must not count as recent and lead to a promotion that loses writes.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Functions that start and end a fault of a control node.
-type Fault = (fn(&mut World, usize), fn(&mut World, usize));
+type Fault = (fn(&mut Simulation, usize), fn(&mut Simulation, usize));
 
 /// One replica stops receiving, and further writes are acknowledged through the other alone. That one and the primary
 /// crash while the control node is faulty. Returns the promoted instances.
@@ -12,10 +12,10 @@
     (offset_ms, fault_ms, recovery_ms): (u64, u64, u64),
     (begin, end): Fault,
 ) -> Vec<String> {
-    let mut world = World::serving(6, 3);
-    world.load(18, "p");
+    let mut world = Simulation::configured(6, 3);
+    world.start_load(18, "p");
     world.run(3 * S + offset_ms * MS);
-    world.bases[1].is_deaf = true;
+    world.databases[1].is_log_blocked = true;
     world.run(60 * MS);
     begin(&mut world, control);
     world.run(fault_ms * MS);
@@ -26,7 +26,7 @@
     end(&mut world, control);
     world.run(4 * S);
     // A call that names the primary itself only announces a new fence.
-    world.posts.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
+    world.promotion_calls.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
 }
 
 #[gtest]
--- a/crates/wv-simulation/tests/tenants.rs
+++ b/crates/wv-simulation/tests/tenants.rs
@@ -1,11 +1,11 @@
 //! Tenants that share access nodes: a surge of one must not exceed its share at the expense of the others.
 use googletest::prelude::*;
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
 /// Tenant `scans` on routes `p` and `b`, tenant `apps` on `x`; without `shares` there are no tenants.
 fn config(version: u64, shares: Option<(u64, u64)>) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&World::conf(version)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::config(version)).expect("the default configuration is valid JSON");
     let mut route = value["routing"][0].clone();
     (route["label"], route["host"]) = ("x".into(), "x".into());
     value["routing"].as_array_mut().expect("routing is an array").push(route);
@@ -19,35 +19,35 @@
     value.to_string().into_bytes()
 }
 
-fn fleet(shares: Option<(u64, u64)>) -> World {
-    let mut world = World::serving(2, 3);
+fn fleet(shares: Option<(u64, u64)>) -> Simulation {
+    let mut world = Simulation::configured(2, 3);
     let token = world.call(0, "PUT", "/configuration", &config(2, shares));
     world.run(S);
-    assert_eq!(world.returns.get(&token).map(|ret| ret.0), Some(200), "shares accepted");
-    world.bases.iter_mut().for_each(|db| db.work_us = 8 * MS);
+    assert_eq!(world.responses.get(&token).map(|ret| ret.0), Some(200), "shares accepted");
+    world.databases.iter_mut().for_each(|db| db.statement_us = 8 * MS);
     world
 }
 
-fn route_done(world: &World, route: &str) -> (u32, u32) {
-    world.route_done(route)
+fn route_done(world: &Simulation, route: &str) -> (u32, u32) {
+    world.route_counts(route)
 }
 
 /// Steady load from scans while apps send many times their share. Returns the completed and failed scans.
-fn surge(shares: Option<(u64, u64)>) -> (World, u32, u32) {
+fn surge(shares: Option<(u64, u64)>) -> (Simulation, u32, u32) {
     let mut world = fleet(shares);
-    world.load(10, "p");
-    world.load(6, "b");
+    world.start_load(10, "p");
+    world.start_load(6, "b");
     world.run(3 * S);
-    world.load(150, "x");
+    world.start_load(150, "x");
     // Some clients stay idle inside transactions.
     for at in 0..12 {
-        let client = world.client(at % 2, "x");
-        world.say(client, &format!("QUERY r{at} BEGIN"));
-        world.say(client, &format!("QUERY w{at} WRITE k d"));
+        let client = world.open_client(at % 2, "x");
+        world.send_line(client, &format!("QUERY r{at} BEGIN"));
+        world.send_line(client, &format!("QUERY w{at} WRITE k d"));
     }
     world.run(S);
     let before = route_done(&world, "p");
-    world.loads_reset();
+    world.reset_slowest();
     world.run(4 * S);
     let after = route_done(&world, "p");
     (world, after.0 - before.0, after.1 - before.1)
@@ -58,12 +58,12 @@
     let (mut world, completed, failed) = surge(Some((3, 1)));
     expect_that!(completed, gt(150));
     expect_that!(failed * 20, lt(completed), "of {completed}");
-    expect_that!(world.slowest("b"), lt(800 * MS));
+    expect_that!(world.slowest_us("b"), lt(800 * MS));
     // Apps use the capacity that scans leave.
     expect_that!(route_done(&world, "x").0, gt(200));
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
@@ -71,17 +71,17 @@
     let (mut world, completed, failed) = surge(None);
     expect_that!(failed * 20, ge(completed), "{failed} failed of {completed}");
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_two_saturating_tenants_then_each_gets_its_share_by_weight() {
     let mut world = fleet(Some((1, 1)));
-    world.load(60, "x");
+    world.start_load(60, "x");
     world.run(3 * S);
     // With equal demand and weights, both tenants get equal shares.
-    world.load(60, "p");
+    world.start_load(60, "p");
     world.run(S);
     let (apps, scans) = (route_done(&world, "x").0, route_done(&world, "p").0);
     world.run(4 * S);
@@ -102,19 +102,19 @@
     expect_that!((after.1 - before.1) * 10, lt(after.0 - before.0));
     world.revive(0);
     world.stop_load();
-    world.run(wv_simulation::REST * 2);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US * 2);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_changed_weights_then_they_apply_without_a_restart_and_an_invalid_section_is_rejected() {
     let mut world = fleet(Some((1, 1)));
-    world.load(60, "x");
-    world.load(60, "p");
+    world.start_load(60, "x");
+    world.start_load(60, "p");
     let token = world.call(0, "PUT", "/configuration", &config(3, Some((4, 1))));
     world.run(2 * S);
-    expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(200)));
-    let weights = |world: &World| {
+    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(200)));
+    let weights = |world: &Simulation| {
         let core = world.access[0].core.as_ref().expect("the node is running");
         let value: serde_json::Value = serde_json::from_str(&core.tenants_json()).expect("valid JSON");
         let row = |label: &str| {
@@ -138,11 +138,11 @@
         ("{\"label\":\"a\"}", "tenants"),
     ] {
         let mut value: serde_json::Value =
-            serde_json::from_slice(&World::conf(9)).expect("the default configuration is valid JSON");
+            serde_json::from_slice(&Simulation::config(9)).expect("the default configuration is valid JSON");
         value["tenants"] = serde_json::from_str(invalid_section).expect("valid JSON");
         let token = world.call(0, "PUT", "/configuration", value.to_string().as_bytes());
         world.run(200 * MS);
-        let (status, body) = world.returns.get(&token).cloned().unwrap_or_default();
+        let (status, body) = world.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(400), "{invalid_section}");
         expect_that!(String::from_utf8_lossy(&body).into_owned(), contains_substring(reason));
     }
--- a/crates/wv-simulation/tests/voters.rs
+++ b/crates/wv-simulation/tests/voters.rs
@@ -3,21 +3,21 @@
 
 use googletest::prelude::*;
 use scenario::{put_config_version, voter_set};
-use wv_simulation::{World, MS, S};
+use wv_simulation::{Simulation, MS, S};
 
-fn get_config(world: &mut World, control: usize) -> (u16, String) {
+fn get_config(world: &mut Simulation, control: usize) -> (u16, String) {
     let token = world.call(control, "GET", "/configuration", b"");
     world.run(1200 * MS);
-    let (status, body) = world.returns.get(&token).cloned().unwrap_or_default();
+    let (status, body) = world.responses.get(&token).cloned().unwrap_or_default();
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
 fn config_text(version: u64) -> String {
-    String::from_utf8_lossy(&World::conf(version)).into_owned()
+    String::from_utf8_lossy(&Simulation::config(version)).into_owned()
 }
 
 /// Kills a control node for good and adds an empty machine at another address a second later. Returns its index.
-fn replace_machine(world: &mut World, control: usize) -> usize {
+fn replace_machine(world: &mut Simulation, control: usize) -> usize {
     world.kill_control(control);
     world.run(S);
     // Its seeds are the control nodes running at that time.
@@ -28,7 +28,7 @@
 #[gtest]
 fn given_any_voter_replaced_then_the_voter_set_is_updated_and_no_acknowledged_write_is_lost() {
     for lost in 0..3 {
-        let mut world = World::serving(2, 3);
+        let mut world = Simulation::configured(2, 3);
         expect_that!(put_config_version(&mut world, (lost + 1) % 3, 20), eq(200));
         let new = replace_machine(&mut world, lost);
         world.run(3 * S);
@@ -46,7 +46,7 @@
 
 #[gtest]
 fn given_all_voters_replaced_and_a_power_loss_then_the_last_acknowledged_write_is_read() {
-    let mut world = World::serving(2, 3);
+    let mut world = Simulation::configured(2, 3);
     let mut new = Vec::new();
     for lost in 0..3 {
         let writer = if lost < 2 { lost + 1 } else { new[0] };
@@ -67,7 +67,7 @@
 
 #[gtest]
 fn given_more_core_machines_than_initial_voters_then_the_set_grows_to_an_odd_size_and_tolerates_more_losses() {
-    let mut world = World::serving(2, 8);
+    let mut world = Simulation::configured(2, 8);
     world.run(3 * S);
     let (number, addrs) = voter_set(&mut world, 7);
     expect_that!(number, eq(3));
@@ -92,17 +92,17 @@
 #[gtest]
 fn given_two_concurrent_drivers_of_a_change_then_all_nodes_agree_on_one_next_set() {
     for round in 0..4u64 {
-        let mut world = World::serving(1, 5);
+        let mut world = Simulation::configured(1, 5);
         world.run(2 * S);
         // During a partition each side has its own duty holder; then one node is lost.
         for (one, other) in [("c0", "c3"), ("c0", "c4"), ("c1", "c4"), ("c2", "c3")] {
-            world.cut.insert((one.to_owned(), other.to_owned()));
+            world.dropped_links.insert((one.to_owned(), other.to_owned()));
         }
         world.kill_control((round % 3) as usize);
         world.add_control(&[0, 1, 2]);
         world.add_control(&[0, 1, 2]);
         world.run(round * 70 * MS + 2600 * MS);
-        world.cut.clear();
+        world.dropped_links.clear();
         world.run(5 * S);
         let all: Vec<(u64, Vec<String>)> =
             (0..7).filter(|at| *at != (round % 3) as usize).map(|at| voter_set(&mut world, at)).collect();
@@ -116,11 +116,11 @@
 fn given_the_duty_holder_killed_at_any_step_of_a_change_then_another_completes_it_without_loss() {
     // A change takes about ten messages of half a millisecond each; the steps cover its whole duration.
     for step in 0..24u64 {
-        let mut world = World::serving(1, 4);
+        let mut world = Simulation::configured(1, 4);
         expect_that!(put_config_version(&mut world, 1, 20), eq(200));
         world.kill_control(0);
         world.run(1900 * MS);
-        let change_driver = |world: &World| (1..4).find(|at| world.is_changing(*at));
+        let change_driver = |world: &Simulation| (1..4).find(|at| world.is_changing_voters(*at));
         let mut waited = 0;
         while change_driver(&world).is_none() && waited < 3000 {
             world.run(MS / 4);
@@ -141,8 +141,8 @@
 
 #[gtest]
 fn given_writes_and_a_promotion_in_progress_during_a_voter_replacement_then_both_complete() {
-    let mut world = World::serving(3, 3);
-    world.load(12, "p");
+    let mut world = Simulation::configured(3, 3);
+    world.start_load(12, "p");
     world.run(S);
     world.crash(0);
     world.run(300 * MS);
@@ -150,9 +150,9 @@
     let mut last = 0;
     for version in 50..62 {
         let writer = if version % 2 == 0 { 0 } else { 2 };
-        let token = world.call(writer, "PUT", "/configuration", &World::conf(version));
+        let token = world.call(writer, "PUT", "/configuration", &Simulation::config(version));
         world.run(237 * MS);
-        if world.returns.get(&token).is_some_and(|ret| ret.0 == 200) {
+        if world.responses.get(&token).is_some_and(|ret| ret.0 == 200) {
             last = version;
         }
     }
@@ -162,16 +162,16 @@
     expect_that!(world.primary(), not(eq(0)));
     world.revive(0);
     world.stop_load();
-    world.run(wv_simulation::REST);
-    expect_that!(world.judge(), is_empty());
+    world.run(wv_simulation::SETTLE_US);
+    expect_that!(world.check_rules(), is_empty());
 }
 
 #[gtest]
 fn given_a_voter_replaced_while_isolated_then_it_is_not_counted_in_a_quorum_when_it_returns() {
-    let mut world = World::serving(1, 4);
+    let mut world = Simulation::configured(1, 4);
     let others = ["c1", "c2", "c3"];
     others.iter().for_each(|other| {
-        world.cut.insert(("c0".to_owned(), (*other).to_owned()));
+        world.dropped_links.insert(("c0".to_owned(), (*other).to_owned()));
     });
     world.run(4 * S);
     let (number, addrs) = voter_set(&mut world, 2);
@@ -181,7 +181,7 @@
     // Its state is stale: together with only one of the others it must not count as a majority.
     world.kill_control(2);
     world.kill_control(3);
-    world.cut.clear();
+    world.dropped_links.clear();
     world.run(S);
     expect_that!(get_config(&mut world, 0).0, eq(503));
     expect_that!(put_config_version(&mut world, 0, 19), eq(503));
@@ -192,7 +192,7 @@
 
 #[gtest]
 fn given_a_voter_that_returns_with_an_empty_disk_then_it_rejoins_at_its_old_address() {
-    let mut world = World::serving(1, 3);
+    let mut world = Simulation::configured(1, 3);
     expect_that!(put_config_version(&mut world, 0, 20), eq(200));
     world.kill_control(2);
     world.controls[2].files.files.borrow_mut().clear();
@@ -207,9 +207,9 @@
 
 #[gtest]
 fn given_a_seed_without_a_disk_then_a_machine_with_one_replaces_it_as_voter() {
-    let mut world = World::serving(1, 4);
+    let mut world = Simulation::configured(1, 4);
     world.kill_control(2);
-    world.controls[2].is_core = false;
+    world.controls[2].has_disk = false;
     world.controls[2].files = Default::default();
     world.start_control(2, false);
     world.run(1500 * MS);
@@ -217,20 +217,22 @@
     expect_that!(addrs.contains(&world.controls[2].addr), eq(false));
     expect_that!(addrs.contains(&world.controls[3].addr), eq(true));
     // Long bodies are not sent over its low-bandwidth link: the caller is redirected to a voter.
-    for (method, body, ret) in [("PUT", World::conf(20), b"{}".to_vec()), ("GET", Vec::new(), World::conf(20))] {
+    for (method, body, ret) in
+        [("PUT", Simulation::config(20), b"{}".to_vec()), ("GET", Vec::new(), Simulation::config(20))]
+    {
         let token = world.call(2, method, "/configuration", &body);
-        let (status, location) = world.returns.get(&token).cloned().unwrap_or_default();
+        let (status, location) = world.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(307));
         let locations = world.controls.iter().map(|control| format!("http://{}/configuration", control.addr));
         let to = locations.into_iter().position(|named| named.as_bytes() == location).unwrap_or(2);
         expect_that!(addrs.contains(&world.controls[to].addr), eq(true));
         let token = world.call(to, method, "/configuration", &body);
         world.run(1200 * MS);
-        expect_that!(world.returns.get(&token), some(eq(&(200, ret))));
+        expect_that!(world.responses.get(&token), some(eq(&(200, ret))));
     }
     [0, 1, 3].into_iter().for_each(|at| world.kill_control(at));
     world.run(2 * S);
     let token = world.call(2, "GET", "/configuration", b"");
     world.run(2 * S);
-    expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(503)));
+    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)));
 }
