--- a/crates/wv-simulation/src/database_service.rs
+++ b/crates/wv-simulation/src/database_service.rs
@@ -43,7 +43,7 @@
         let instance = &mut self.databases[database];
         instance.peak_busy = instance.peak_busy.max(instance.busy.len());
         if instance.busy_limit.is_some_and(|limit| instance.busy.len() > limit) {
-            self.log_event(format!("{} falls over", self.databases[database].id));
+            self.log_event(format!("{} crashes under overload", self.databases[database].id));
             self.databases[database].overload_crashes += 1;
             self.crash(database);
         }
--- a/crates/wv-simulation/src/load_clients.rs
+++ b/crates/wv-simulation/src/load_clients.rs
@@ -161,8 +161,8 @@
         if text == "BEGIN" || text == "BEGIN READ" {
             load.started_us = now;
         }
-        let first_byte = if is_txn { load.started_us } else { now };
-        let since = if load.route.starts_with('b') { first_byte.saturating_sub(1500 * MS) } else { first_byte };
+        let begun_us = if is_txn { load.started_us } else { now };
+        let since = if load.route.starts_with('b') { begun_us.saturating_sub(1500 * MS) } else { begun_us };
         let mut text = text;
         if text.starts_with("WRITE") {
             load.tags.push(tag.clone());
--- a/crates/wv-simulation/src/simulation.rs
+++ b/crates/wv-simulation/src/simulation.rs
@@ -20,7 +20,7 @@
 
 pub struct Simulation {
     pub now: u64,
-    next_event: u64,
+    event_sequence: u64,
     queue: BTreeMap<(u64, u64), Event>,
     pub access: Vec<AccessNode>,
     pub controls: Vec<ControlNode>,
@@ -97,7 +97,7 @@
     pub fn with_tolerance(access: usize, controls: usize, services: &[String], tolerate: usize) -> Simulation {
         let mut simulation = Simulation {
             now: S,
-            next_event: 0,
+            event_sequence: 0,
             queue: BTreeMap::new(),
             access: Vec::new(),
             controls: Vec::new(),
@@ -153,8 +153,8 @@
     }
 
     pub(crate) fn schedule(&mut self, after: u64, event: Event) {
-        self.next_event += 1;
-        self.queue.insert((self.now + after, self.next_event), event);
+        self.event_sequence += 1;
+        self.queue.insert((self.now + after, self.event_sequence), event);
     }
 
     pub fn log_event(&mut self, text: impl Into<String>) {
--- a/crates/wv-simulation/src/workload.rs
+++ b/crates/wv-simulation/src/workload.rs
@@ -111,15 +111,14 @@
 }
 
 impl Simulation {
-    /// Starts the replay; `enters` and `leaves` give the times at which sessions start and end.
-    pub fn play_workload(&mut self, hour: Workload, enters: &[(u64, usize)], leaves: &[(u64, usize)]) {
-        self.workload = hour;
+    /// Starts the replay; `starts` and `ends` give the times at which sessions start and end.
+    pub fn play_workload(&mut self, workload: Workload, starts: &[(u64, usize)], ends: &[(u64, usize)]) {
+        self.workload = workload;
         let now = self.now;
-        enters
+        starts
             .iter()
             .for_each(|(at, session)| self.schedule(at.saturating_sub(now), Event::SessionStart { session: *session }));
-        leaves
-            .iter()
+        ends.iter()
             .for_each(|(at, session)| self.schedule(at.saturating_sub(now), Event::SessionEnd { session: *session }));
         let times: Vec<u64> = self.workload.requests.iter().map(|request| request.at).collect();
         (0..)
--- a/crates/wv-simulation/src/workload_requests.rs
+++ b/crates/wv-simulation/src/workload_requests.rs
@@ -64,8 +64,8 @@
             current.tags.push(tag.clone());
         }
         current.is_awaiting_reply = true;
-        let first_byte = if current.statements.len() > 1 { current.started_us } else { now };
-        let since = if entry.is_bounded { first_byte.saturating_sub(1500 * MS) } else { first_byte };
+        let begun_us = if current.statements.len() > 1 { current.started_us } else { now };
+        let since = if entry.is_bounded { begun_us.saturating_sub(1500 * MS) } else { begun_us };
         self.expectations.insert(tag.clone(), Expectation { since, ..Expectation::default() });
         self.send_line(client, &format!("QUERY {tag} {text}"));
     }
