--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -83,7 +83,7 @@
         control.tick(now + 1);
         let sent = control.take_effects().into_iter().filter_map(|act| match act {
             wv_control::Effect::Send {
-                msg: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
+                message: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
                 ..
             } => Some(msg),
             _ => None,
--- a/crates/wv-access/src/client.rs
+++ b/crates/wv-access/src/client.rs
@@ -30,7 +30,7 @@
             retry_window: None,
         };
         self.clients.insert(id, client);
-        let wait = self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.setup_timeout_us);
+        let wait = self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.setup_timeout_us);
         self.timers.schedule(self.now + wait, Timer::Setup { client: id });
         id
     }
@@ -55,7 +55,10 @@
 
     /// Processes complete lines until a statement has to wait for a database.
     pub(crate) fn process_input(&mut self, id: u64) {
-        let bound = self.conf.as_ref().map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |conf| conf.limits.max_line_bytes);
+        let bound = self
+            .configuration
+            .as_ref()
+            .map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |configuration| configuration.limits.max_line_bytes);
         let Some(client) = self.clients.get_mut(&id) else { return };
         let buf = std::mem::take(&mut client.inbuf);
         let mut at = 0;
@@ -97,10 +100,10 @@
                 let login = &login[..login.len().min(LOGIN_MAX_BYTES)];
                 client.login = String::from_utf8_lossy(login).into_owned();
                 let database = String::from_utf8_lossy(database).into_owned();
-                match &self.conf {
+                match &self.configuration {
                     // The databases are not known yet, so the client waits for the first configuration.
                     None => client.pending_database = Some(database),
-                    Some(conf) if conf.route(&database).is_none() => {
+                    Some(configuration) if configuration.route(&database).is_none() => {
                         self.close_with_error(id, ErrorCode::NoDb, "no such database");
                     }
                     Some(_) => self.complete_setup(id, database),
@@ -127,14 +130,14 @@
 
     /// Completes or rejects the setups that waited for the first configuration.
     pub(crate) fn complete_pending_setups(&mut self) {
-        let Some(conf) = self.conf.clone() else { return };
+        let Some(configuration) = self.configuration.clone() else { return };
         let awaited: Vec<(u64, String)> = self
             .clients
             .iter_mut()
             .filter_map(|(id, client)| client.pending_database.take().map(|name| (*id, name)))
             .collect();
         for (id, database) in awaited {
-            if conf.route(&database).is_some() {
+            if configuration.route(&database).is_some() {
                 self.complete_setup(id, database);
                 self.process_input(id);
             } else {
@@ -144,11 +147,14 @@
     }
 
     pub(crate) fn query(&mut self, id: u64, query: &[u8], text: &[u8]) {
-        let conf = self.conf.clone();
+        let configuration = self.configuration.clone();
         let Some(client) = self.clients.get_mut(&id) else { return };
         // A changed route applies from the next transaction on.
         let route = client.txn.as_ref().map(|txn| txn.route.clone()).or_else(|| {
-            client.database.as_ref().and_then(|name| conf.as_ref().and_then(|conf| conf.route(name).cloned()))
+            client
+                .database
+                .as_ref()
+                .and_then(|name| configuration.as_ref().and_then(|configuration| configuration.route(name).cloned()))
         });
         let Some(route) = route else { return self.close_with_error(id, ErrorCode::NoDb, "no such database") };
         let statement = Statement::parse(text);
--- a/crates/wv-access/src/control_session.rs
+++ b/crates/wv-access/src/control_session.rs
@@ -196,10 +196,10 @@
             match wv_internal_protocol::decode_frame(&buf) {
                 Ok(None) => break,
                 Err(_) => return closed_or_no_response(has_received),
-                Ok(Some((msg, len))) => {
+                Ok(Some((message, len))) => {
                     buf.drain(..len);
                     has_received = true;
-                    match msg {
+                    match message {
                         // Without a majority its feed may be stale.
                         Message::ControlHeartbeat { has_majority: false } => return SessionEnd::NoResponse,
                         Message::ControlHeartbeat { .. } => {}
@@ -212,8 +212,8 @@
                         Message::ShardReportAck { shard, incarnation, serial, .. } => {
                             node.with(|core, now| core.shard_report_acked(&shard, (incarnation, serial), now));
                         }
-                        msg => {
-                            if node.with(|core, now| core.apply_feed_message(msg, now)).is_err() {
+                        message => {
+                            if node.with(|core, now| core.apply_feed_message(message, now)).is_err() {
                                 wv_internal_protocol::encode_frame(
                                     &mut out,
                                     &Message::Subscribe { incarnation: 0, position: 0 },
@@ -229,5 +229,5 @@
 
 fn encode_split_reports(node: &Node, out: &mut Vec<u8>, is_start: bool) {
     let reports = node.core.borrow_mut().take_split_reports(is_start);
-    reports.iter().for_each(|msg| wv_internal_protocol::encode_frame(out, msg));
+    reports.iter().for_each(|message| wv_internal_protocol::encode_frame(out, message));
 }
--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -21,9 +21,9 @@
 pub struct Core {
     pub(crate) now: u64,
     pub(crate) zone: String,
-    pub(crate) conf: Option<Rc<wv_configuration::Configuration>>,
+    pub(crate) configuration: Option<Rc<wv_configuration::Configuration>>,
     /// Version and encoded body of the configuration, the base for deltas.
-    pub(crate) conf_body: (u64, Rc<[u8]>),
+    pub(crate) configuration_body: (u64, Rc<[u8]>),
     pub(crate) health: HealthTable,
     pub(crate) statements: wv_session_state::PreparedStatements,
     pub(crate) clients: Map<u64, Client>,
@@ -66,8 +66,8 @@
         Core {
             now: 0,
             zone: zone.to_owned(),
-            conf: None,
-            conf_body: Default::default(),
+            configuration: None,
+            configuration_body: Default::default(),
             health: HealthTable::default(),
             statements: wv_session_state::PreparedStatements::default(),
             clients: Map::default(),
@@ -106,7 +106,7 @@
 
     /// Whether clients can be accepted: there is a configuration and the node is not draining.
     pub fn is_ready(&self) -> bool {
-        self.conf.is_some() && self.leaving_since.is_none()
+        self.configuration.is_some() && self.leaving_since.is_none()
     }
 
     pub fn take_effects(&mut self) -> Vec<Effect> {
@@ -126,50 +126,49 @@
         self.dbs.get_mut(&db).map(|db| &mut db.out)
     }
 
-    pub(crate) fn connection_limit(&self, spot: DatabaseKey) -> u32 {
-        let service = self.health.service(spot.service).map(|checker| checker.service.as_str()).unwrap_or_default();
-        let bound =
-            self.conf.as_ref().and_then(|conf| conf.services.get(service)).map_or(16, |held| held.max_connections);
+    pub(crate) fn connection_limit(&self, key: DatabaseKey) -> u32 {
+        let service = self.health.service(key.service).map(|checker| checker.service.as_str()).unwrap_or_default();
+        let settings = self.configuration.as_ref().and_then(|configuration| configuration.services.get(service));
+        let bound = settings.map_or(16, |settings| settings.max_connections);
         // A tenth is reserved for the control node. After an outage the databases may still hold connections of the
         // previous process, so half of the share is used at first.
         let part = if self.now < STARTUP_PERIOD_US { 2 } else { 1 };
         (bound * 9 / 10 / self.node_count.max(1) / part).max(1)
     }
 
-    /// Opens another connection to `spot` if the limit allows it.
-    pub(crate) fn open_db(&mut self, spot: DatabaseKey) -> bool {
-        self.open_with_extra(spot, 0)
+    /// Opens another connection to `key` if the limit allows it.
+    pub(crate) fn open_db(&mut self, key: DatabaseKey) -> bool {
+        self.open_with_extra(key, 0)
     }
 
     /// Like `open_db`, but allows a small share one extra connection so that the instance can still be probed.
-    pub(crate) fn open_probe(&mut self, spot: DatabaseKey) -> bool {
-        self.open_with_extra(spot, u32::from(self.has_small_share(spot)))
+    pub(crate) fn open_probe(&mut self, key: DatabaseKey) -> bool {
+        self.open_with_extra(key, u32::from(self.has_small_share(key)))
     }
 
     /// Whether this node's share of the instance's connections is small.
-    pub(crate) fn has_small_share(&self, spot: DatabaseKey) -> bool {
-        self.connection_limit(spot) < SMALL_SHARE
+    pub(crate) fn has_small_share(&self, key: DatabaseKey) -> bool {
+        self.connection_limit(key) < SMALL_SHARE
     }
 
-    fn open_with_extra(&mut self, spot: DatabaseKey, over: u32) -> bool {
-        let cap = self.connection_limit(spot);
-        let Some(member) = self.health.database(spot).filter(|member| !member.instance.gone) else { return false };
+    fn open_with_extra(&mut self, key: DatabaseKey, over: u32) -> bool {
+        let cap = self.connection_limit(key);
+        let Some(member) = self.health.database(key).filter(|member| !member.instance.gone) else { return false };
         let (addr, id) = (member.instance.address.clone(), member.instance.id.clone());
-        let pool = self.pools.entry(spot).or_default();
+        let pool = self.pools.entry(key).or_default();
         // During slow start, connections are opened one at a time.
-        let is_held = self.now < pool.open_not_before || (pool.opening > 0 && self.slow_starts.contains_key(&spot));
-        let is_wanted = !pool.waiting.is_empty();
-        let may_borrow = is_wanted
+        let is_delayed = self.now < pool.open_not_before || (pool.opening > 0 && self.slow_starts.contains_key(&key));
+        let may_borrow = !pool.waiting.is_empty()
             && cap < SMALL_SHARE
-            && self.health.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
-        if pool.total >= cap + if may_borrow { EXTRA_CONNECTIONS } else { over } || is_held {
+            && self.health.service(key.service).and_then(|checker| checker.leader()) == Some(key.index);
+        if pool.total >= cap + if may_borrow { EXTRA_CONNECTIONS } else { over } || is_delayed {
             return false;
         }
         pool.total += 1;
         pool.opening += 1;
         let db = self.allocate_id();
-        let conn = DbConnection {
-            spot,
+        let connection = DbConnection {
+            key,
             id,
             phase: Phase::Opening,
             inbuf: Vec::new(),
@@ -186,15 +185,15 @@
             phase_since: self.now,
             opened_at: self.now,
         };
-        self.dbs.insert(db, conn);
+        self.dbs.insert(db, connection);
         self.effects.push(Effect::OpenDb { db, addr });
         true
     }
 
     /// Delays the next connection attempt, so that the nodes do not overload a struggling instance.
-    pub(crate) fn back_off_opening(&mut self, spot: DatabaseKey) {
+    pub(crate) fn back_off_opening(&mut self, key: DatabaseKey) {
         let now = self.now;
-        if let Some(pool) = self.pools.get_mut(&spot) {
+        if let Some(pool) = self.pools.get_mut(&key) {
             pool.open_failures = (pool.open_failures + 1).min(5);
             pool.open_not_before = now + (BACKOFF_MIN_US << pool.open_failures).min(BACKOFF_MAX_US);
         }
@@ -207,44 +206,44 @@
     }
 
     pub(crate) fn remove_db(&mut self, db: u64) -> Option<DbConnection> {
-        let conn = self.dbs.remove(&db)?;
-        self.release_charge(conn.spot, conn.charge);
-        if let Some(pool) = self.pools.get_mut(&conn.spot) {
+        let connection = self.dbs.remove(&db)?;
+        self.release_charge(connection.key, connection.charge);
+        if let Some(pool) = self.pools.get_mut(&connection.key) {
             pool.total = pool.total.saturating_sub(1);
-            if conn.phase == Phase::Opening {
+            if connection.phase == Phase::Opening {
                 pool.opening = pool.opening.saturating_sub(1);
             }
             pool.idle.retain(|idle| *idle != db);
             pool.newer_term.retain(|early| *early != db);
         }
-        Some(conn)
+        Some(connection)
     }
 
     /// A connection was closed or could not be opened.
     pub fn db_lost(&mut self, db: u64, loss: ConnectionLoss, now: u64) {
         self.now = self.now.max(now);
-        let Some(conn) = self.remove_db(db) else { return };
+        let Some(connection) = self.remove_db(db) else { return };
         // Without a connection, the reported health is out of date.
-        self.is_health_report_due |= self.pools.get(&conn.spot).is_some_and(|pool| pool.total == 0);
-        if conn.phase == Phase::Opening {
-            self.back_off_opening(conn.spot);
+        self.is_health_report_due |= self.pools.get(&connection.key).is_some_and(|pool| pool.total == 0);
+        if connection.phase == Phase::Opening {
+            self.back_off_opening(connection.key);
         }
         let health = match loss {
             ConnectionLoss::Refused => Some(Health::Refused),
             ConnectionLoss::Unreachable => Some(Health::Unreachable),
             ConnectionLoss::Closed => None,
         };
-        if let (Some(health), Some(member)) = (health, self.health.database_mut(conn.spot)) {
+        if let (Some(health), Some(member)) = (health, self.health.database_mut(connection.key)) {
             let is_changed = member.on_failure(health, self.now);
             if is_changed {
-                log::info!("saw {} {}", conn.id, if health == Health::Unreachable { "dark" } else { "refused" });
+                log::info!("saw {} {}", connection.id, if health == Health::Unreachable { "dark" } else { "refused" });
             }
             self.is_health_report_due = true;
             if is_changed {
-                self.redispatch_queue(conn.spot);
+                self.redispatch_queue(connection.key);
             }
         }
-        self.connection_lost(conn);
+        self.connection_lost(connection);
         self.serve_all_queues();
     }
 }
--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -33,8 +33,8 @@
             return;
         }
         match self.route_request(id) {
-            RouteDecision::Forward { spot, min_position, wrap_in_txn } => {
-                self.place_request(id, spot, min_position, wrap_in_txn)
+            RouteDecision::Forward { key, min_position, wrap_in_txn } => {
+                self.place_request(id, key, min_position, wrap_in_txn)
             }
             RouteDecision::Wait => self.park(id),
             RouteDecision::Refuse(code) => {
@@ -71,36 +71,36 @@
             tie_break_salt: if self.has_many_databases { self.tie_break_salt } else { 0 },
             refused_by: &request.refused_by,
         };
-        decide_route(&self.health, &route_request, &|spot| self.pool_availability(spot, client.tenant))
+        decide_route(&self.health, &route_request, &|key| self.pool_availability(key, client.tenant))
     }
 
-    fn pool_availability(&self, spot: DatabaseKey, tenant: u16) -> PoolAvailability {
-        let Some(pool) = self.pools.get(&spot) else {
+    fn pool_availability(&self, key: DatabaseKey, tenant: u16) -> PoolAvailability {
+        let Some(pool) = self.pools.get(&key) else {
             return PoolAvailability { outstanding: 0, can_accept: true, is_warm: !self.has_many_databases };
         };
         let outstanding = pool.total.saturating_sub(pool.idle.len() as u32 + pool.opening) + pool.waiting.len() as u32;
         // With on-demand connections, prefers pools that have an idle one.
         let is_warm = !self.has_many_databases || !pool.idle.is_empty();
-        let can_accept = self.can_queue(spot, tenant) && self.can_start_request(spot);
+        let can_accept = self.can_queue(key, tenant) && self.can_start_request(key);
         PoolAvailability { outstanding, can_accept, is_warm }
     }
 
-    fn place_request(&mut self, id: u64, spot: DatabaseKey, minpos: Option<LogPosition>, is_wrapped: bool) {
+    fn place_request(&mut self, id: u64, key: DatabaseKey, minpos: Option<LogPosition>, is_wrapped: bool) {
         // During slow start, queued requests go first.
-        let is_next = !self.slow_starts.contains_key(&spot)
+        let is_next = !self.slow_starts.contains_key(&key)
             || self.dequeued == Some(id)
-            || self.pools.get(&spot).is_none_or(|pool| pool.waiting.is_empty());
-        self.note_connection_demand(id, spot);
-        self.pools.entry(spot).or_default().last_used_at = self.now;
+            || self.pools.get(&key).is_none_or(|pool| pool.waiting.is_empty());
+        self.note_connection_demand(id, key);
+        self.pools.entry(key).or_default().last_used_at = self.now;
         if minpos.is_none() {
-            self.last_write_at.insert(spot.service, self.now);
+            self.last_write_at.insert(key.service, self.now);
         }
-        let is_free = is_next && self.can_start_request(spot);
+        let is_free = is_next && self.can_start_request(key);
         let (may_take, tenant) =
-            (self.can_take_connection(id, spot), self.clients.get(&id).map_or(0, |client| client.tenant));
-        let may_wait = self.can_queue(spot, tenant);
+            (self.can_take_connection(id, key), self.clients.get(&id).map_or(0, |client| client.tenant));
+        let may_wait = self.can_queue(key, tenant);
         let Some(client) = self.clients.get(&id) else { return };
-        let pool = self.pools.entry(spot).or_default();
+        let pool = self.pools.entry(key).or_default();
         // Prefers the connection that needs the fewest session changes, then the most recently used.
         let fitting = pool
             .idle
@@ -108,14 +108,14 @@
             .enumerate()
             .rev()
             .filter_map(|(at, db)| {
-                self.dbs
-                    .get(db)
-                    .map(|conn| (conn.session_state.sync_cost(&client.session, client.request.statement_id), at))
+                self.dbs.get(db).map(|connection| {
+                    (connection.session_state.sync_cost(&client.session, client.request.statement_id), at)
+                })
             })
             .min_by_key(|(cost, _)| *cost);
         if let Some((_, at)) = fitting.filter(|_| is_free && may_take) {
             let db = pool.idle.remove(at);
-            self.charge_connection(id, db, spot);
+            self.charge_connection(id, db, key);
             return self.send_request(id, db, minpos, is_wrapped);
         }
         if !may_wait {
@@ -124,12 +124,12 @@
         pool.waiting.push_back(id);
         let is_covered = (pool.opening as usize) >= pool.waiting.len();
         if let Some(client) = self.clients.get_mut(&id) {
-            client.request.queue = Some(spot);
+            client.request.queue = Some(key);
         }
         if !is_free {
-            self.schedule_next_start(spot);
+            self.schedule_next_start(key);
         } else if !is_covered {
-            self.open_db(spot);
+            self.open_db(key);
         }
         self.schedule_wait_limit(id);
     }
@@ -184,28 +184,28 @@
     }
 
     /// Gives free connections to queued requests, by tenant share and route precedence, and opens more if needed.
-    pub(crate) fn serve_queue(&mut self, spot: DatabaseKey) {
+    pub(crate) fn serve_queue(&mut self, key: DatabaseKey) {
         loop {
-            let Some(pool) = self.pools.get_mut(&spot) else { return };
+            let Some(pool) = self.pools.get_mut(&key) else { return };
             let clients = &self.clients;
             pool.waiting.retain(|id| {
-                clients.get(id).is_some_and(|client| client.request.is_open && client.request.queue == Some(spot))
+                clients.get(id).is_some_and(|client| client.request.is_open && client.request.queue == Some(key))
             });
             if pool.waiting.is_empty() {
                 return;
             }
             if pool.idle.is_empty() {
                 let is_short = (pool.opening as usize) < pool.waiting.len();
-                if is_short && self.open_db(spot) {
+                if is_short && self.open_db(key) {
                     continue;
                 }
                 return;
             }
-            if !self.can_start_request(spot) {
-                return self.schedule_next_start(spot);
+            if !self.can_start_request(key) {
+                return self.schedule_next_start(key);
             }
-            let first = self.next_queued_request(spot);
-            let Some(pool) = self.pools.get_mut(&spot) else { return };
+            let first = self.next_queued_request(key);
+            let Some(pool) = self.pools.get_mut(&key) else { return };
             let Some(id) = first.and_then(|at| pool.waiting.remove(at)) else { return };
             self.clients.get_mut(&id).into_iter().for_each(|client| client.request.queue = None);
             // Routed again, as the target may have changed while it was queued.
@@ -216,9 +216,9 @@
     }
 
     pub(crate) fn serve_all_queues(&mut self) {
-        let spots: Vec<DatabaseKey> =
-            self.pools.iter().filter(|(_, pool)| !pool.waiting.is_empty()).map(|(spot, _)| *spot).collect();
-        spots.into_iter().for_each(|spot| self.serve_queue(spot));
+        let keys: Vec<DatabaseKey> =
+            self.pools.iter().filter(|(_, pool)| !pool.waiting.is_empty()).map(|(key, _)| *key).collect();
+        keys.into_iter().for_each(|key| self.serve_queue(key));
     }
 
     /// Dispatches the requests without a target again after a routing change.
@@ -238,10 +238,10 @@
     }
 
     /// Dispatches the requests queued for an isolated instance elsewhere.
-    pub(crate) fn redispatch_queue(&mut self, spot: DatabaseKey) {
-        let waiting = self.pools.get_mut(&spot).map(|pool| std::mem::take(&mut pool.waiting)).unwrap_or_default();
+    pub(crate) fn redispatch_queue(&mut self, key: DatabaseKey) {
+        let waiting = self.pools.get_mut(&key).map(|pool| std::mem::take(&mut pool.waiting)).unwrap_or_default();
         for id in waiting {
-            if let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.queue == Some(spot)) {
+            if let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.queue == Some(key)) {
                 client.request.queue = None;
                 self.dispatch(id);
             }
--- a/crates/wv-access/src/drain.rs
+++ b/crates/wv-access/src/drain.rs
@@ -31,8 +31,11 @@
     }
 
     /// The earliest time at which the reported database may have begun to drain.
-    pub(crate) fn drain_start(&self, inst: &Instance) -> LeaveTime {
-        LeaveTime::from_age(self.now, inst.leaving_age_us.saturating_add(self.drain.stall_detector.lag_us(self.now)))
+    pub(crate) fn drain_start(&self, instance: &Instance) -> LeaveTime {
+        LeaveTime::from_age(
+            self.now,
+            instance.leaving_age_us.saturating_add(self.drain.stall_detector.lag_us(self.now)),
+        )
     }
 
     /// Whether the client's request is new work for a database: a single statement, or the first one of a transaction.
@@ -43,8 +46,8 @@
     }
 
     /// Whether the request is new work and the database's window for new work is over.
-    pub(crate) fn is_past_drain_window(&self, client: u64, spot: DatabaseKey) -> bool {
-        self.is_new_work(client) && self.health.is_closed_to_new_work(spot, self.now)
+    pub(crate) fn is_past_drain_window(&self, client: u64, key: DatabaseKey) -> bool {
+        self.is_new_work(client) && self.health.is_closed_to_new_work(key, self.now)
     }
 
     /// Rolls back a transaction that has only begun, and begins it on another database.
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -77,8 +77,8 @@
         match effect {
             Effect::WriteClient(id) => {
                 let back = self.core.borrow_mut().take_forwarded_response(id);
-                if let Some((link, msg)) = back {
-                    return self.send_forward_message(link, msg);
+                if let Some((link, message)) = back {
+                    return self.send_forward_message(link, message);
                 }
                 let sock = self.clients.borrow().get(&id).cloned();
                 if let (Some(sock), Some(out)) = (sock, self.core.borrow_mut().client_output(id)) {
@@ -104,7 +104,7 @@
             Effect::DialPeer { link, address: place } => {
                 tokio::task::spawn_local(self.clone().connect_peer_link(link, place));
             }
-            Effect::SendToPeer { link, message: msg } => self.send_forward_message(link, msg),
+            Effect::SendToPeer { link, message } => self.send_forward_message(link, message),
             Effect::OpenDb { db, addr } => {
                 tokio::task::spawn_local(self.clone().open_db(db, addr));
             }
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -9,17 +9,17 @@
 
 impl Core {
     /// Applies a feed message. On `Gap` the caller has to subscribe again from a snapshot.
-    pub fn apply_feed_message(&mut self, msg: Message, now: u64) -> Result<(), wv_change_feed::Gap> {
+    pub fn apply_feed_message(&mut self, message: Message, now: u64) -> Result<(), wv_change_feed::Gap> {
         self.now = self.now.max(now);
         self.drain.stall_detector.observe(self.now);
-        if let Message::Snapshot { updates, .. } = &msg {
+        if let Message::Snapshot { updates, .. } = &message {
             let ids = updates.iter().filter_map(|update| match update {
-                FeedUpdate::Instance(inst) if !inst.gone => Some(inst.id.as_str()),
+                FeedUpdate::Instance(instance) if !instance.gone => Some(instance.id.as_str()),
                 _ => None,
             });
             self.health.mark_missing(&ids.collect(), self.now);
         }
-        let updates = self.follower.receive(msg);
+        let updates = self.follower.receive(message);
         let result =
             updates.and_then(|updates| updates.into_iter().try_for_each(|update| self.apply_feed_update(update)));
         self.dispatch_unplaced();
@@ -37,37 +37,38 @@
             }
             FeedUpdate::ConfigurationDelta { base, version, delta } => {
                 // The held configuration is as new or newer: the delta is skipped and the feed continues.
-                if version <= self.conf_body.0 {
+                if version <= self.configuration_body.0 {
                     return Ok(());
                 }
                 // The delta applies to a different base version: a snapshot is needed.
-                if self.conf_body.0 != base {
+                if self.configuration_body.0 != base {
                     return Err(wv_change_feed::Gap);
                 }
-                let body = wv_compression::apply_delta(&self.conf_body.1, &delta, wv_configuration::MAX_BODY_BYTES);
+                let body =
+                    wv_compression::apply_delta(&self.configuration_body.1, &delta, wv_configuration::MAX_BODY_BYTES);
                 if body.is_err() {
                     return Err(wv_change_feed::Gap);
                 }
                 self.apply_configuration(version, body);
             }
-            FeedUpdate::Instance(inst) => {
-                let is_new = self.health.key(&inst.id).is_none();
-                let since = self.drain_start(&inst);
-                let spot = self.health.apply_instance(&inst, since, self.now);
+            FeedUpdate::Instance(instance) => {
+                let is_new = self.health.key(&instance.id).is_none();
+                let since = self.drain_start(&instance);
+                let key = self.health.apply_instance(&instance, since, self.now);
                 // A database that starts with cold caches goes through slow start as soon as it is known.
-                if let Some(spot) = spot.filter(|_| is_new && inst.cold_left_us > 0) {
-                    self.begin_slow_start(spot, 1);
+                if let Some(key) = key.filter(|_| is_new && instance.cold_left_us > 0) {
+                    self.begin_slow_start(key, 1);
                 }
-                if let Some(spot) = spot.filter(|_| inst.gone || inst.draining) {
-                    self.close_idle(spot);
+                if let Some(key) = key.filter(|_| instance.gone || instance.draining) {
+                    self.close_idle(key);
                 }
             }
-            FeedUpdate::Leader(lead) => {
-                if !self.health.apply_leader(&lead, self.now) {
+            FeedUpdate::Leader(leader) => {
+                if !self.health.apply_leader(&leader, self.now) {
                     return Ok(());
                 }
-                self.recheck_connections(&lead.service);
-                self.health.service_index(&lead.service).into_iter().for_each(|service| {
+                self.recheck_connections(&leader.service);
+                self.health.service_index(&leader.service).into_iter().for_each(|service| {
                     self.promoting.remove(&service);
                 });
             }
@@ -76,7 +77,7 @@
                 self.promoting.insert(service, (self.now + max_wait_us, id));
             }
             FeedUpdate::SlowStart { id, outages } => {
-                self.health.key(&id).into_iter().for_each(|spot| self.begin_slow_start(spot, outages));
+                self.health.key(&id).into_iter().for_each(|key| self.begin_slow_start(key, outages));
             }
             FeedUpdate::Owner(owner) => self.set_owner(owner),
             FeedUpdate::Slots(map) => self.apply_slot_map(map),
@@ -85,15 +86,15 @@
         Ok(())
     }
 
-    fn close_idle(&mut self, spot: DatabaseKey) {
-        let idle = self.pools.get_mut(&spot).map(|pool| std::mem::take(&mut pool.idle)).unwrap_or_default();
+    fn close_idle(&mut self, key: DatabaseKey) {
+        let idle = self.pools.get_mut(&key).map(|pool| std::mem::take(&mut pool.idle)).unwrap_or_default();
         idle.into_iter().for_each(|db| self.close_db(db));
     }
 
     /// Version of the newest configuration received, 0 if there is none. It may differ from the one in force if that
     /// version could not be parsed.
     pub fn held_configuration_version(&self) -> u64 {
-        self.conf_body.0
+        self.configuration_body.0
     }
 
     /// Incarnation and position of the feed, for the next subscription.
@@ -163,8 +164,8 @@
     /// Each database and its routing state.
     pub fn routing_states(&self) -> Vec<(String, String)> {
         let states = self.health.iter().flat_map(|(_, checker)| {
-            checker.databases().map(|(seat, member)| {
-                (member.instance.id.clone(), format!("{:?}", checker.state(seat, self.now)).to_lowercase())
+            checker.databases().map(|(index, member)| {
+                (member.instance.id.clone(), format!("{:?}", checker.state(index, self.now)).to_lowercase())
             })
         });
         states.collect()
--- a/crates/wv-access/src/forward_response.rs
+++ b/crates/wv-access/src/forward_response.rs
@@ -145,7 +145,7 @@
         while let Some(out) = self.forwarding.outbound.get_mut(&session) {
             let Some((line, len)) = wv_wire_protocol::split_line(&out.buf) else { return };
             let parsed = match wv_wire_protocol::DatabaseLine::parse(line) {
-                wv_wire_protocol::DatabaseLine::Idle(state, pos) => Some((state, pos)),
+                wv_wire_protocol::DatabaseLine::Idle(state, position) => Some((state, position)),
                 wv_wire_protocol::DatabaseLine::Error(code, text) => {
                     out.error = Some((code, text.to_vec()));
                     None
@@ -167,13 +167,13 @@
                         out.pending.pop_front();
                     }
                 }
-                Some((state, pos)) => {
+                Some((state, position)) => {
                     let error = out.error.take();
                     out.pending.pop_front();
                     if !out.buf.is_empty() {
                         return self.fail_forwarded_session(session);
                     }
-                    self.finish_forwarded_request(id, session, error, state, pos);
+                    self.finish_forwarded_request(id, session, error, state, position);
                 }
                 None if is_internal || out.error.is_some() => {}
                 None => {
@@ -191,7 +191,7 @@
         session: u64,
         error: Option<(wv_wire_protocol::ErrorCode, Vec<u8>)>,
         state: u8,
-        pos: Option<wv_wire_protocol::LogPosition>,
+        position: Option<wv_wire_protocol::LogPosition>,
     ) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.request.is_open) else { return };
         if client.request.forwarded_session != Some(session) {
@@ -203,7 +203,7 @@
             client.txn.iter_mut().for_each(|txn| txn.forwarded_session = None);
         }
         match error {
-            None => self.complete_request(id, state, pos),
+            None => self.complete_request(id, state, position),
             Some((code, text)) => self.fail(id, code, &String::from_utf8_lossy(&text), state),
         }
     }
--- a/crates/wv-access/src/forwarded_sessions.rs
+++ b/crates/wv-access/src/forwarded_sessions.rs
@@ -14,9 +14,9 @@
         self.allocate_id()
     }
 
-    pub fn handle_forward_message(&mut self, link: u64, msg: ForwardMessage, now: u64) {
+    pub fn handle_forward_message(&mut self, link: u64, message: ForwardMessage, now: u64) {
         self.now = self.now.max(now);
-        match msg {
+        match message {
             ForwardMessage::Open { session, host, user } => self.open_forwarded_session(link, session, host, user),
             ForwardMessage::Request { session, request, lines } => {
                 self.handle_forwarded_request(link, (session, request), &lines)
@@ -52,7 +52,7 @@
         if self.forwarding.inbound.contains_key(&(link, session)) {
             return;
         }
-        let is_known = self.conf.as_ref().is_some_and(|conf| conf.route(&host).is_some());
+        let is_known = self.configuration.as_ref().is_some_and(|configuration| configuration.route(&host).is_some());
         if !is_known || self.forwarding.inbound.len() >= MAX_FORWARDED_SESSIONS {
             return self
                 .effects
@@ -116,7 +116,7 @@
             .clients
             .get(&id)
             .and_then(|client| client.database.as_ref())
-            .and_then(|host| self.conf.as_ref().and_then(|conf| conf.route(host)));
+            .and_then(|host| self.configuration.as_ref().and_then(|configuration| configuration.route(host)));
         let owner = route
             .and_then(|route| self.health.service_index(&route.service))
             .and_then(|at| self.forwarding.owners.get(&at));
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -81,12 +81,12 @@
 
     /// The owner to forward this request to, or `None` to execute it here.
     fn forwarding_target(&self, id: u64) -> Option<&Owner> {
-        let conf = self.conf.as_ref().filter(|conf| !conf.partners.is_empty())?;
+        let configuration = self.configuration.as_ref().filter(|configuration| !configuration.partners.is_empty())?;
         let client = self.clients.get(&id).filter(|client| client.forward_origin.is_none())?;
         let route = client.request.route.as_ref().filter(|route| route.category == Category::Primary)?;
         let is_here = client.request.is_local_only
             || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.has_completed_statement);
-        conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
+        configuration.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
         let owner = self.forwarding.owners.get(&self.health.service_index(&route.service)?)?;
         let is_failed = self
             .forwarding
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -37,13 +37,13 @@
             // A removed leader receives no more writes, so its newest position needs no time to settle.
             let is_leader_removed = checker
                 .leader_or_departed()
-                .and_then(|seat| checker.database(seat))
+                .and_then(|index| checker.database(index))
                 .is_some_and(|leader| leader.instance.gone);
             let fenced =
                 if is_leader_removed { checker.fenced_positions.newest() } else { checker.fenced_positions.settled() };
-            for (seat, member) in checker.databases() {
-                let spot = DatabaseKey { service, index: seat };
-                let is_connected = pools.get(&spot).is_some_and(|pool| pool.total > pool.opening);
+            for (index, member) in checker.databases() {
+                let key = DatabaseKey { service, index };
+                let is_connected = pools.get(&key).is_some_and(|pool| pool.total > pool.opening);
                 // Reports only observations: down once the checks agree, up if a connection is established.
                 let is_silent = !member.is_isolated() && member.health == Health::Unreachable;
                 let health = match (member.instance.gone, member.is_isolated(), is_silent) {
@@ -53,8 +53,8 @@
                     _ if is_connected => Health::Up,
                     _ => Health::Unknown,
                 };
-                let last_reported = self.reported_health.get(&spot).copied().unwrap_or(Health::Unknown);
-                let is_leader = checker.leader_or_departed() == Some(seat);
+                let last_reported = self.reported_health.get(&key).copied().unwrap_or(Health::Unknown);
+                let is_leader = checker.leader_or_departed() == Some(index);
                 // Leaders take turns in periodic reports; other nodes report the same ones.
                 let is_turn = scope != ReportScope::Periodic
                     || (u64::from(service) + self.maintenance_round).is_multiple_of(turns);
@@ -69,17 +69,17 @@
                 if health == last_reported && !(expires && scope >= min_scope) {
                     continue;
                 }
-                self.reported_health.insert(spot, health);
+                self.reported_health.insert(key, health);
                 let fenced = fenced.filter(|_| is_leader);
                 reports.push(HealthReport {
                     id: member.instance.id.clone(),
                     health,
                     health_age_us: now.saturating_sub(member.health_since),
                     last_heard_age_us: pools
-                        .get(&spot)
+                        .get(&key)
                         .filter(|pool| pool.last_data_at > 0)
                         .map_or(u64::MAX, |pool| now.saturating_sub(pool.last_data_at)),
-                    fenced_position: fenced.map(|(_, pos)| pos.to_string()).unwrap_or_default(),
+                    fenced_position: fenced.map(|(_, position)| position.to_string()).unwrap_or_default(),
                     fenced_age_us: fenced.map_or(0, |(sent, _)| now.saturating_sub(sent)),
                 });
             }
--- a/crates/wv-access/src/load_test_node.rs
+++ b/crates/wv-access/src/load_test_node.rs
@@ -14,7 +14,7 @@
 impl Core {
     /// Version of the configuration in force, 0 if there is none.
     pub fn active_configuration_version(&self) -> u64 {
-        self.conf.as_ref().map_or(0, |conf| conf.version)
+        self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
     /// Number of known databases, removed ones excluded.
@@ -29,15 +29,18 @@
     pub fn simulate_writes(&mut self, count: usize, now: u64) {
         self.now = self.now.max(now);
         let all = self.health.iter().count().max(1);
-        let pos = wv_wire_protocol::LogPosition { term: 1, number: now / 1000 };
+        let position = wv_wire_protocol::LogPosition { term: 1, number: now / 1000 };
         for at in 0..count.min(all) {
             let service = ((usize::from(self.tie_break_salt) + at * 7) % all) as u16;
-            let lead = self.health.service(service).and_then(|checker| checker.leader());
-            let Some(spot) = lead.map(|seat| DatabaseKey { service, index: seat }) else { continue };
-            let pool = self.pools.entry(spot).or_default();
+            let leader = self.health.service(service).and_then(|checker| checker.leader());
+            let Some(key) = leader.map(|index| DatabaseKey { service, index }) else { continue };
+            let pool = self.pools.entry(key).or_default();
             self.is_health_report_due |= pool.total == 0;
             (pool.total, pool.last_data_at) = (1, now.max(1));
-            self.health.service_mut(service).into_iter().for_each(|checker| checker.fenced_positions.record(now, pos));
+            self.health
+                .service_mut(service)
+                .into_iter()
+                .for_each(|checker| checker.fenced_positions.record(now, position));
         }
     }
 }
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -25,15 +25,15 @@
         version: u64,
         body: Result<Vec<u8>, wv_compression::CompressionError>,
     ) {
-        let held = self.conf.clone();
+        let held = self.configuration.clone();
         // The configuration version never decreases within a process.
         if held.as_ref().is_some_and(|held| held.version > version) {
             return;
         }
         let Ok(body) = body else { return };
         // A resubscribed feed repeats the current version.
-        if self.conf_body.0 == version {
-            if self.conf_body.1[..] != body[..] {
+        if self.configuration_body.0 == version {
+            if self.configuration_body.1[..] != body[..] {
                 // Consensus decides each version once, so this indicates a fault in the control plane.
                 log::error!("configuration version {version} was received with two different bodies");
             }
@@ -43,19 +43,19 @@
             .as_ref()
             .map_or_else(|| wv_configuration::Configuration::parse(&body), |held| held.parse_incremental(&body));
         // The control plane validates configurations; one that this node cannot parse is ignored.
-        let Ok(conf) = read else {
-            self.conf_body = (version, body.into());
+        let Ok(configuration) = read else {
+            self.configuration_body = (version, body.into());
             return;
         };
-        self.conf_body = (version, conf.body().clone());
-        if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &conf.services)) {
-            conf.services.keys().for_each(|name| {
+        self.configuration_body = (version, configuration.body().clone());
+        if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &configuration.services)) {
+            configuration.services.keys().for_each(|name| {
                 self.health.intern_service(name);
             });
         }
-        self.set_tenants(&conf, held.as_deref());
-        self.set_shard_plans(&conf);
-        self.conf = Some(Rc::new(conf));
+        self.set_tenants(&configuration, held.as_deref());
+        self.set_shard_plans(&configuration);
+        self.configuration = Some(Rc::new(configuration));
         self.complete_pending_setups();
     }
 
@@ -78,14 +78,14 @@
     /// Closes idle connections above this node's share, which shrinks when nodes join, and unused ones where the share
     /// is small.
     fn close_excess_idle(&mut self) {
-        let over = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
+        let over = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
             let is_unused = self.has_many_databases
-                && self.has_small_share(*spot)
+                && self.has_small_share(*key)
                 && pool.last_used_at + RECENT_USE_SMALL_SHARE_US < self.now;
             let count = if is_unused {
                 pool.idle.len()
             } else {
-                pool.total.saturating_sub(self.connection_limit(*spot)) as usize
+                pool.total.saturating_sub(self.connection_limit(*key)) as usize
             };
             pool.idle.iter().take(count).copied().collect::<Vec<u64>>()
         };
@@ -94,8 +94,8 @@
     }
 
     /// Whether this node recently sent requests to the service's primary; always true with few databases.
-    fn has_recent_writes(&self, service: u16, spot: DatabaseKey) -> bool {
-        let span = if self.has_small_share(spot) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
+    fn has_recent_writes(&self, service: u16, key: DatabaseKey) -> bool {
+        let span = if self.has_small_share(key) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
         !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + span > self.now)
     }
 
@@ -108,15 +108,15 @@
             let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
             let is_quiet = self
                 .pools
-                .get(&db.spot)
+                .get(&db.key)
                 .is_some_and(|pool| pool.last_data_at + SILENCE_LIMIT_US < now && pool.opening == 0);
-            if is_waiting && is_quiet && !silent.contains(&db.spot) {
-                silent.push(db.spot);
+            if is_waiting && is_quiet && !silent.contains(&db.key) {
+                silent.push(db.key);
             }
         }
-        for spot in silent {
-            if self.open_probe(spot) {
-                self.health.database_mut(spot).into_iter().for_each(|member| member.on_timeout(now));
+        for key in silent {
+            if self.open_probe(key) {
+                self.health.database_mut(key).into_iter().for_each(|member| member.on_timeout(now));
                 self.is_health_report_due = true;
             }
         }
@@ -135,7 +135,7 @@
 
     /// Opens warm connections and probes.
     pub(crate) fn maintain_pools(&mut self) {
-        if self.conf.is_none() {
+        if self.configuration.is_none() {
             return;
         }
         let now = self.now;
@@ -144,38 +144,38 @@
         let warm = if self.has_many_databases { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
         for (service, checker) in self.health.iter() {
-            for (seat, member) in checker.databases() {
-                let spot = DatabaseKey { service, index: seat };
-                let state = checker.state(seat, now);
+            for (index, member) in checker.databases() {
+                let key = DatabaseKey { service, index };
+                let state = checker.state(index, now);
                 let is_next =
                     self.promoting.get(&service).is_some_and(|(until, id)| *until > now && *id == member.instance.id);
                 let is_same_zone = member.instance.zone == self.zone;
                 match state {
-                    State::Writer if !member.is_suspect() && self.has_recent_writes(service, spot) => {
-                        wanted.push((spot, warm))
+                    State::Writer if !member.is_suspect() && self.has_recent_writes(service, key) => {
+                        wanted.push((key, warm))
                     }
                     // Connections to the database being promoted are opened before it leads.
-                    State::Online if is_next && self.has_recent_writes(service, spot) => wanted.push((spot, warm)),
+                    State::Online if is_next && self.has_recent_writes(service, key) => wanted.push((key, warm)),
                     State::Online if is_same_zone && !self.has_many_databases && !member.is_suspect() => {
-                        wanted.push((spot, WARM_REPLICA_CONNECTIONS))
+                        wanted.push((key, WARM_REPLICA_CONNECTIONS))
                     }
                     // Isolated and suspect databases are probed with one connection at a time.
-                    State::Isolated if member.next_probe_at <= now => wanted.push((spot, 1)),
-                    State::Writer | State::Online if member.is_suspect() => wanted.push((spot, 1)),
+                    State::Isolated if member.next_probe_at <= now => wanted.push((key, 1)),
+                    State::Writer | State::Online if member.is_suspect() => wanted.push((key, 1)),
                     _ => {}
                 }
             }
         }
-        for (spot, count) in wanted {
-            let is_isolated = self.health.database(spot).is_some_and(|member| member.is_isolated());
+        for (key, count) in wanted {
+            let is_isolated = self.health.database(key).is_some_and(|member| member.is_isolated());
             let (opening, available) = self
                 .pools
-                .get(&spot)
+                .get(&key)
                 .map_or((0, 0), |pool| (pool.opening, (pool.idle.len() + pool.newer_term.len()) as u32 + pool.opening));
             let is_wanted = if is_isolated { opening == 0 } else { available < count };
-            let is_opened = is_wanted && if is_isolated { self.open_probe(spot) } else { self.open_db(spot) };
+            let is_opened = is_wanted && if is_isolated { self.open_probe(key) } else { self.open_db(key) };
             if is_opened {
-                self.health.database_mut(spot).into_iter().for_each(|member| member.on_probe(now));
+                self.health.database_mut(key).into_iter().for_each(|member| member.on_probe(now));
             }
         }
     }
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -6,9 +6,9 @@
 impl Core {
     /// Counts new work sent to a draining database, and logs the first case after the platform's drain timeout, which
     /// would violate the invariant of the `drain` module.
-    pub(crate) fn count_new_work_while_draining(&mut self, spot: DatabaseKey) {
+    pub(crate) fn count_new_work_while_draining(&mut self, key: DatabaseKey) {
         let now = self.now;
-        let Some(member) = self.health.database_mut(spot) else { return };
+        let Some(member) = self.health.database_mut(key) else { return };
         let Some(leaving) = member.leaving.as_mut() else { return };
         leaving.new_work_count += 1;
         let age_us = leaving.since.age_us(now);
@@ -28,8 +28,8 @@
         page.figure(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
         let members =
             || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |held| (checker, held)));
-        let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (seat, member))| {
-            let state = format!("{:?}", checker.state(seat, self.now)).to_lowercase();
+        let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (index, member))| {
+            let state = format!("{:?}", checker.state(index, self.now)).to_lowercase();
             (vec![member.instance.id.clone(), checker.service.clone(), state], 1)
         });
         page.figures(
--- a/crates/wv-access/src/peer_links.rs
+++ b/crates/wv-access/src/peer_links.rs
@@ -10,8 +10,8 @@
 const MAX_PEER_LINKS: usize = 512;
 
 impl Node {
-    pub(crate) fn send_forward_message(&self, link: u64, msg: ForwardMessage) {
-        let is_full = self.peer_links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
+    pub(crate) fn send_forward_message(&self, link: u64, message: ForwardMessage) {
+        let is_full = self.peer_links.borrow().get(&link).is_some_and(|queue| queue.try_send(message).is_err());
         if is_full {
             self.peer_links.borrow_mut().remove(&link);
         }
@@ -61,7 +61,7 @@
         receiver: tokio::sync::mpsc::Receiver<ForwardMessage>,
     ) {
         wv_http::tune(&stream, SILENCE_TIMEOUT);
-        let on_message = |msg| self.with(|core, now| core.handle_forward_message(link, msg, now));
+        let on_message = |message| self.with(|core, now| core.handle_forward_message(link, message, now));
         wv_process::carry(stream, receiver, SILENCE_TIMEOUT, None, on_message).await;
         self.peer_links.borrow_mut().remove(&link);
     }
--- a/crates/wv-access/src/recorder.rs
+++ b/crates/wv-access/src/recorder.rs
@@ -67,7 +67,7 @@
     pub(crate) fn record_open(&mut self, id: u64) {
         let (true, Some(name)) = (self.is_recording(), self.recorded_client(id)) else { return };
         let host = self.clients.get(&id).and_then(|client| client.database.clone()).unwrap_or_default();
-        let route = self.conf.as_ref().and_then(|conf| conf.route(&host).cloned());
+        let route = self.configuration.as_ref().and_then(|configuration| configuration.route(&host).cloned());
         let Some(route) = route else { return };
         let row = (host, route.category != wv_configuration::Category::Primary, route.service.clone());
         let known = self.recorder.hosts.iter().position(|held| *held == row);
--- a/crates/wv-access/src/release.rs
+++ b/crates/wv-access/src/release.rs
@@ -7,60 +7,58 @@
 impl Core {
     /// Returns a clean connection to the pool, or closes it.
     pub(crate) fn release_db(&mut self, db: u64) {
-        let Some(conn) = self.dbs.get_mut(&db) else { return };
-        let (spot, charge) = (conn.spot, conn.charge.take());
-        self.release_charge(spot, charge);
-        let Some(conn) = self.dbs.get(&db) else { return };
+        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let (key, charge) = (connection.key, connection.charge.take());
+        self.release_charge(key, charge);
+        let Some(connection) = self.dbs.get(&db) else { return };
         let is_gone =
-            self.health.database(spot).is_none_or(|member| member.instance.gone || member.instance.id != conn.id);
-        let is_over = self
-            .pools
-            .get(&spot)
-            .is_some_and(|pool| pool.total > self.connection_limit(spot) && pool.waiting.is_empty());
+            self.health.database(key).is_none_or(|member| member.instance.gone || member.instance.id != connection.id);
+        let is_over =
+            self.pools.get(&key).is_some_and(|pool| pool.total > self.connection_limit(key) && pool.waiting.is_empty());
         let fitness = self.compare_term(db);
-        let Some(conn) = self.dbs.get_mut(&db) else { return };
-        if conn.is_tainted || !conn.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
+        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        if connection.is_tainted || !connection.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
             self.close_db(db);
         } else if fitness.is_gt() {
             // Keeps the connection until the slot map for its newer term arrives.
-            (conn.phase, conn.txn_client) = (Phase::Idle, None);
-            self.pools.entry(spot).or_default().newer_term.push(db);
+            (connection.phase, connection.txn_client) = (Phase::Idle, None);
+            self.pools.entry(key).or_default().newer_term.push(db);
         } else {
-            conn.phase = Phase::Idle;
-            conn.txn_client = None;
-            conn.phase_since = self.now;
-            self.pools.entry(spot).or_default().idle.push(db);
+            connection.phase = Phase::Idle;
+            connection.txn_client = None;
+            connection.phase_since = self.now;
+            self.pools.entry(key).or_default().idle.push(db);
         }
-        self.serve_queue(spot);
+        self.serve_queue(key);
     }
 
     /// The leader refused a write on this connection. It may have lost and regained leadership since the connection was
     /// opened and then accepts writes only on newer connections.
     pub(crate) fn taint_leader(&mut self, db: u64) {
-        let Some(spot) = self.dbs.get(&db).map(|conn| conn.spot) else { return };
-        let is_lead = self.health.service(spot.service).and_then(|checker| checker.leader()) == Some(spot.index);
-        self.dbs.get_mut(&db).filter(|_| is_lead).into_iter().for_each(|conn| conn.is_tainted = true);
+        let Some(key) = self.dbs.get(&db).map(|connection| connection.key) else { return };
+        let is_leader = self.health.service(key.service).and_then(|checker| checker.leader()) == Some(key.index);
+        self.dbs.get_mut(&db).filter(|_| is_leader).into_iter().for_each(|connection| connection.is_tainted = true);
     }
 
     /// Rolls back the connection's transaction and returns it to the pool.
     pub(crate) fn roll_back_db(&mut self, db: u64) {
         let now = self.now;
-        let Some(conn) = self.dbs.get_mut(&db) else { return };
-        conn.txn_client = None;
+        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        connection.txn_client = None;
         // With a response pending, only closing the connection ensures a rollback.
-        if conn.pending.iter().any(|reply| matches!(reply.kind, Reply::Request { .. })) {
+        if connection.pending.iter().any(|reply| matches!(reply.kind, Reply::Request { .. })) {
             return self.discard_db(db);
         }
-        write_query(&mut conn.out, b"-", &[b"ABORT"]);
-        conn.pending.push_back(Pending { kind: Reply::Abort, sent_at: now, is_fenced: false });
+        write_query(&mut connection.out, b"-", &[b"ABORT"]);
+        connection.pending.push_back(Pending { kind: Reply::Abort, sent_at: now, is_fenced: false });
         self.effects.push(Effect::WriteDb(db));
     }
 
     /// Closes a connection with a pending response that no client waits for.
     pub(crate) fn discard_db(&mut self, db: u64) {
-        let spot = self.dbs.get(&db).map(|conn| conn.spot);
+        let key = self.dbs.get(&db).map(|connection| connection.key);
         self.close_db(db);
-        spot.into_iter().for_each(|spot| self.serve_queue(spot));
+        key.into_iter().for_each(|key| self.serve_queue(key));
     }
 
     /// The client's connection was closed.
--- a/crates/wv-access/src/response.rs
+++ b/crates/wv-access/src/response.rs
@@ -44,7 +44,7 @@
     }
 
     /// Completes the open request with the response of the database.
-    pub(crate) fn complete_request(&mut self, id: u64, state: u8, pos: Option<LogPosition>) {
+    pub(crate) fn complete_request(&mut self, id: u64, state: u8, position: Option<LogPosition>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.request.is_open = false;
         let (tenant, is_commit) = (client.tenant, client.request.verb() == Verb::Commit);
@@ -70,7 +70,7 @@
             client.retry_window = None;
         }
         client.out.extend_from_slice(&client.request.response);
-        write_idle(&mut client.out, state, pos);
+        write_idle(&mut client.out, state, position);
         self.effects.push(Effect::WriteClient(id));
         self.after_request(id);
     }
@@ -123,8 +123,8 @@
     }
 
     /// Resolves the pending requests of a lost connection.
-    pub(crate) fn connection_lost(&mut self, conn: DbConnection) {
-        let begun = conn.pending.iter().find_map(|reply| match reply.kind {
+    pub(crate) fn connection_lost(&mut self, connection: DbConnection) {
+        let begun = connection.pending.iter().find_map(|reply| match reply.kind {
             Reply::Begin { client, sequence } => Some((client, sequence)),
             _ => None,
         });
@@ -138,14 +138,14 @@
             }
             return;
         }
-        if let Some(client) = conn.txn_client {
+        if let Some(client) = connection.txn_client {
             if let Some(txn) = self.clients.get_mut(&client).and_then(|client| client.txn.as_mut()) {
                 txn.db = None;
                 // No request is open: the next statement reports the failure.
                 txn.failure = txn.failure.or(Some(TxnFailure::Unreported));
             }
         }
-        let requests = conn.pending.iter().filter_map(|reply| match reply.kind {
+        let requests = connection.pending.iter().filter_map(|reply| match reply.kind {
             Reply::Request { client, sequence } => Some((client, sequence)),
             _ => None,
         });
@@ -193,11 +193,11 @@
         let Some(db) = client.request.db else { return self.refuse_request(id) };
         // A late response may still arrive, so the connection cannot be reused.
         self.effects.push(Effect::CloseDb(db));
-        let conn = self.remove_db(db);
+        let connection = self.remove_db(db);
         if is_single_read(self, id) {
             return self.fail(id, ErrorCode::Expired, "over the route's limit", b'I');
         }
-        conn.into_iter().for_each(|conn| self.connection_lost(conn));
+        connection.into_iter().for_each(|connection| self.connection_lost(connection));
         // A request is always answered at its deadline.
         self.request_lost(id, sequence);
     }
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -50,11 +50,11 @@
     }
 
     /// Takes over the shard plans of a new configuration.
-    pub(crate) fn set_shard_plans(&mut self, conf: &wv_configuration::Configuration) {
+    pub(crate) fn set_shard_plans(&mut self, configuration: &wv_configuration::Configuration) {
         let now = self.now;
         let slots = &mut self.slots;
-        slots.shards_without_map.retain(|shard, _| conf.shard_plans.iter().any(|plan| plan.shard == *shard));
-        for plan in conf.shard_plans.iter().filter(|plan| !slots.shards.contains_key(&plan.shard)) {
+        slots.shards_without_map.retain(|shard, _| configuration.shard_plans.iter().any(|plan| plan.shard == *shard));
+        for plan in configuration.shard_plans.iter().filter(|plan| !slots.shards.contains_key(&plan.shard)) {
             slots.shards_without_map.entry(plan.shard.clone()).or_insert(now);
         }
     }
@@ -138,18 +138,18 @@
         }
     }
 
-    /// The term that connections for primary requests to `spot` must have; 0 if any.
-    fn required_term(&self, spot: DatabaseKey) -> u64 {
-        let Some(checker) = self.health.service(spot.service).filter(|_| !self.slots.shards.is_empty()) else {
+    /// The term that connections for primary requests to `key` must have; 0 if any.
+    fn required_term(&self, key: DatabaseKey) -> u64 {
+        let Some(checker) = self.health.service(key.service).filter(|_| !self.slots.shards.is_empty()) else {
             return 0;
         };
-        let is_lead = checker.leader() == Some(spot.index);
-        self.slots.shards.get(&checker.service).filter(|_| is_lead).map_or(0, |shard| shard.map.term)
+        let is_leader = checker.leader() == Some(key.index);
+        self.slots.shards.get(&checker.service).filter(|_| is_leader).map_or(0, |shard| shard.map.term)
     }
 
-    /// Whether a new connection to `spot` has to query the database's term.
-    pub(crate) fn needs_term_query(&self, spot: DatabaseKey) -> bool {
-        let Some(checker) = self.health.service(spot.service).filter(|_| self.has_planned_shards()) else {
+    /// Whether a new connection to `key` has to query the database's term.
+    pub(crate) fn needs_term_query(&self, key: DatabaseKey) -> bool {
+        let Some(checker) = self.health.service(key.service).filter(|_| self.has_planned_shards()) else {
             return false;
         };
         self.slots.shards.contains_key(&checker.service) || self.slots.shards_without_map.contains_key(&checker.service)
@@ -158,7 +158,7 @@
     /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
         let Some(held) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
-        let bound = self.required_term(held.spot);
+        let bound = self.required_term(held.key);
         if bound == 0 {
             return std::cmp::Ordering::Equal;
         }
@@ -172,9 +172,9 @@
             return;
         }
         let Some(number) = self.health.service_index(service) else { return };
-        let spots: Vec<DatabaseKey> = self.pools.keys().filter(|spot| spot.service == number).copied().collect();
-        for spot in spots {
-            let Some(pool) = self.pools.get_mut(&spot) else { continue };
+        let keys: Vec<DatabaseKey> = self.pools.keys().filter(|key| key.service == number).copied().collect();
+        for key in keys {
+            let Some(pool) = self.pools.get_mut(&key) else { continue };
             let all: Vec<u64> = pool.idle.drain(..).chain(pool.newer_term.drain(..)).collect();
             all.into_iter().for_each(|db| self.release_db(db));
         }
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -12,28 +12,28 @@
         self.slow_start_plan = plan;
     }
 
-    fn slow_start_scale(&self, spot: DatabaseKey) -> Scale {
-        let capacity = self.health.database(spot).map_or(1, |member| member.instance.capacity);
+    fn slow_start_scale(&self, key: DatabaseKey) -> Scale {
+        let capacity = self.health.database(key).map_or(1, |member| member.instance.capacity);
         let work_us =
-            self.pools.get(&spot).map_or_else(|| wv_slow_start::Work::default().us(), |pool| pool.service_time.us());
+            self.pools.get(&key).map_or_else(|| wv_slow_start::Work::default().us(), |pool| pool.service_time.us());
         Scale { now: self.now, capacity, nodes: self.node_count, work_us }
     }
 
     /// Limits new requests to a recovered database until its slow start is over.
-    pub(crate) fn begin_slow_start(&mut self, spot: DatabaseKey, outages: u32) {
-        let is_running = self.slow_starts.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now));
+    pub(crate) fn begin_slow_start(&mut self, key: DatabaseKey, outages: u32) {
+        let is_running = self.slow_starts.get(&key).is_some_and(|slow_start| !slow_start.is_over(self.now));
         // A recovery seen here and reported by the control plane starts only one slow start.
         if !self.slow_start_plan.is_on || is_running {
             return;
         }
-        let cold_us = self.health.database(spot).map_or(0, |member| member.instance.cold_left_us);
-        self.slow_starts.insert(spot, Ease::new(self.slow_start_plan, outages, cold_us, self.now));
+        let cold_us = self.health.database(key).map_or(0, |member| member.instance.cold_left_us);
+        self.slow_starts.insert(key, Ease::new(self.slow_start_plan, outages, cold_us, self.now));
     }
 
     pub fn is_in_slow_start(&self, id: &str) -> bool {
         self.health
             .key(id)
-            .is_some_and(|spot| self.slow_starts.get(&spot).is_some_and(|slow_start| !slow_start.is_over(self.now)))
+            .is_some_and(|key| self.slow_starts.get(&key).is_some_and(|slow_start| !slow_start.is_over(self.now)))
     }
 
     pub(crate) fn end_finished_slow_starts(&mut self) {
@@ -41,31 +41,31 @@
         self.slow_starts.retain(|_, slow_start| !slow_start.is_over(now));
     }
 
-    pub(crate) fn can_start_request(&self, spot: DatabaseKey) -> bool {
-        self.slow_starts.get(&spot).is_none_or(|slow_start| {
+    pub(crate) fn can_start_request(&self, key: DatabaseKey) -> bool {
+        self.slow_starts.get(&key).is_none_or(|slow_start| {
             // Idle transactions do not count as in flight.
-            let in_flight = self.dbs.values().filter(|db| db.spot == spot && !db.pending.is_empty()).count() as u32;
-            slow_start.has(&self.slow_start_scale(spot), in_flight)
+            let in_flight = self.dbs.values().filter(|db| db.key == key && !db.pending.is_empty()).count() as u32;
+            slow_start.has(&self.slow_start_scale(key), in_flight)
         })
     }
 
-    pub(crate) fn note_request_started(&mut self, spot: DatabaseKey) {
+    pub(crate) fn note_request_started(&mut self, key: DatabaseKey) {
         if self.slow_starts.is_empty() {
             return;
         }
-        let scale = self.slow_start_scale(spot);
-        self.slow_starts.get_mut(&spot).into_iter().for_each(|slow_start| slow_start.take(&scale));
+        let scale = self.slow_start_scale(key);
+        self.slow_starts.get_mut(&key).into_iter().for_each(|slow_start| slow_start.take(&scale));
     }
 
     /// Schedules a wake-up of the wait queue for when the next request may start.
-    pub(crate) fn schedule_next_start(&mut self, spot: DatabaseKey) {
-        let scale = self.slow_start_scale(spot);
-        let Some(slow_start) = self.slow_starts.get(&spot) else { return };
+    pub(crate) fn schedule_next_start(&mut self, key: DatabaseKey) {
+        let scale = self.slow_start_scale(key);
+        let Some(slow_start) = self.slow_starts.get(&key) else { return };
         // Requests held back by the in-flight limit are served by responses; the timer covers the rate limit.
         let at = slow_start.next(&scale).max(scale.now + MIN_WAKE_INTERVAL_US);
         // One pending wake-up serves the whole queue.
-        let Some(pool) = self.pools.get_mut(&spot).filter(|pool| pool.wake_at <= scale.now) else { return };
+        let Some(pool) = self.pools.get_mut(&key).filter(|pool| pool.wake_at <= scale.now) else { return };
         pool.wake_at = at;
-        self.timers.schedule(at, Timer::SlowStart { spot });
+        self.timers.schedule(at, Timer::SlowStart { key });
     }
 }
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -39,12 +39,12 @@
     }
 
     /// New weights apply to requests that start from now on.
-    pub(crate) fn set_tenants(&mut self, conf: &Configuration, before: Option<&Configuration>) {
+    pub(crate) fn set_tenants(&mut self, configuration: &Configuration, before: Option<&Configuration>) {
         // Without tenants before and after, no session changes.
-        if conf.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
+        if configuration.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
             return;
         }
-        self.tenant_shares.tenants = Tenants::new(&conf.tenants, &self.tenant_shares.tenants);
+        self.tenant_shares.tenants = Tenants::new(&configuration.tenants, &self.tenant_shares.tenants);
         let count = self.tenant_shares.tenants.len();
         self.tenant_shares.tallies.resize(count, TenantUsage::default());
         self.tenant_shares.open_requests.resize(count, 0);
@@ -116,9 +116,9 @@
         }
     }
 
-    /// Whether the tenant may queue one more request for `spot`. A burst of one tenant does not take others' places.
-    pub(crate) fn can_queue(&self, spot: DatabaseKey, tenant: u16) -> bool {
-        let Some(pool) = self.pools.get(&spot) else { return true };
+    /// Whether the tenant may queue one more request for `key`. A burst of one tenant does not take others' places.
+    pub(crate) fn can_queue(&self, key: DatabaseKey, tenant: u16) -> bool {
+        let Some(pool) = self.pools.get(&key) else { return true };
         if !self.has_tenants() {
             return pool.waiting.len() < MAX_QUEUE;
         }
@@ -133,32 +133,32 @@
         pool.waiting.iter().filter(is_of_tenant).count()
     }
 
-    /// Whether this request may take a connection to `spot` now. Only transactions are limited, since they may hold a
+    /// Whether this request may take a connection to `key` now. Only transactions are limited, since they may hold a
     /// connection while idle.
-    pub(crate) fn can_take_connection(&self, id: u64, spot: DatabaseKey) -> bool {
+    pub(crate) fn can_take_connection(&self, id: u64, key: DatabaseKey) -> bool {
         let Some(client) = self.clients.get(&id).filter(|_| self.has_tenants()) else { return true };
         let is_single = client.txn.is_none();
-        let slots = self.connection_limit(spot);
+        let slots = self.connection_limit(key);
         is_single
-            || self.pools.get(&spot).is_none_or(|pool| {
+            || self.pools.get(&key).is_none_or(|pool| {
                 pool.fair_queue.may_hold_slot(&self.tenant_shares.tenants, client.tenant, slots, self.now)
             })
     }
 
-    pub(crate) fn note_connection_demand(&mut self, id: u64, spot: DatabaseKey) {
+    pub(crate) fn note_connection_demand(&mut self, id: u64, key: DatabaseKey) {
         if let (true, Some(client)) = (self.has_tenants(), self.clients.get(&id)) {
-            self.pools.entry(spot).or_default().fair_queue.record_request(client.tenant, self.now);
+            self.pools.entry(key).or_default().fair_queue.record_request(client.tenant, self.now);
         }
     }
 
     /// Charges a connection taken from the pool to the request's tenant.
-    pub(crate) fn charge_connection(&mut self, id: u64, db: u64, spot: DatabaseKey) {
+    pub(crate) fn charge_connection(&mut self, id: u64, db: u64, key: DatabaseKey) {
         if !self.has_tenants() {
             return;
         }
         let Some(tenant) = self.clients.get(&id).map(|client| client.tenant) else { return };
         let weight = self.tenant_shares.tenants.weight(tenant);
-        let Some(pool) = self.pools.get_mut(&spot) else { return };
+        let Some(pool) = self.pools.get_mut(&key) else { return };
         let has_other_waiting =
             pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
         let expected_us = pool.fair_queue.start(tenant, weight);
@@ -175,11 +175,11 @@
     }
 
     /// Ends the charge of a connection that was returned to the pool or closed.
-    pub(crate) fn release_charge(&mut self, spot: DatabaseKey, charge: Option<Charge>) {
+    pub(crate) fn release_charge(&mut self, key: DatabaseKey, charge: Option<Charge>) {
         let Some(charge) = charge else { return };
         let held_us = self.now.saturating_sub(charge.since);
         let weight = self.tenant_shares.tenants.weight(charge.tenant);
-        if let Some(pool) = self.pools.get_mut(&spot) {
+        if let Some(pool) = self.pools.get_mut(&key) {
             pool.fair_queue.finish(charge.tenant, weight, charge.expected_us, held_us);
         }
         if let Some(tally) = self.tenant_shares.tallies.get_mut(charge.tenant as usize) {
@@ -188,8 +188,8 @@
     }
 
     /// Index of the queued request to start next: of the tenant furthest below its share, the highest precedence first.
-    pub(crate) fn next_queued_request(&self, spot: DatabaseKey) -> Option<usize> {
-        let pool = self.pools.get(&spot)?;
+    pub(crate) fn next_queued_request(&self, key: DatabaseKey) -> Option<usize> {
+        let pool = self.pools.get(&key)?;
         let client = |id: &u64| self.clients.get(id);
         let precedence =
             |id: &u64| client(id).and_then(|client| client.request.route.as_ref()).map(|route| route.precedence);
@@ -200,9 +200,9 @@
         if !self.has_tenants() {
             return first(&|_| true);
         }
-        let ready = pool.waiting.iter().filter(|id| self.can_take_connection(**id, spot));
+        let ready = pool.waiting.iter().filter(|id| self.can_take_connection(**id, key));
         let tenant = pool.fair_queue.scheduler.select(ready.filter_map(|id| client(id).map(|client| client.tenant)))?;
-        first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.can_take_connection(*id, spot))
+        first(&|id| client(id).is_some_and(|client| client.tenant == tenant) && self.can_take_connection(*id, key))
     }
 
     /// Retry delay of a refused request: the expected time to work off its tenant's backlog.
@@ -212,16 +212,16 @@
         let route = client.request.route.clone()?;
         self.tenant_shares.tallies.get_mut(tenant as usize).into_iter().for_each(|tally| tally.refused += 1);
         let service = self.health.service_index(&route.service)?;
-        let backlog = |(spot, pool): (&DatabaseKey, &crate::core::Pool)| {
+        let backlog = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
             let slots = pool.fair_queue.entitled_slots(
                 &self.tenant_shares.tenants,
                 tenant,
-                self.connection_limit(*spot),
+                self.connection_limit(*key),
                 self.now,
             );
             self.queued_requests(pool, tenant) as u64 * pool.fair_queue.expected_us() / u64::from(slots)
         };
-        let longest = self.pools.iter().filter(|(spot, _)| spot.service == service).map(backlog).max().unwrap_or(0);
+        let longest = self.pools.iter().filter(|(key, _)| key.service == service).map(backlog).max().unwrap_or(0);
         Some((longest / 1000).clamp(20, 2000))
     }
 
--- a/crates/wv-access/src/timer.rs
+++ b/crates/wv-access/src/timer.rs
@@ -28,7 +28,7 @@
     },
     /// The next start on an instance in slow start.
     SlowStart {
-        spot: wv_health::DatabaseKey,
+        key: wv_health::DatabaseKey,
     },
 }
 
@@ -71,7 +71,7 @@
                 clients.get(client).is_some_and(|client| client.request.is_open && client.request.sequence == *sequence)
             }
             Timer::TxnIdle { client, .. } => clients.get(client).is_some_and(|client| client.txn.is_some()),
-            Timer::SlowStart { spot } => pools.get(spot).is_some_and(|pool| !pool.waiting.is_empty()),
+            Timer::SlowStart { key } => pools.get(key).is_some_and(|pool| !pool.waiting.is_empty()),
             Timer::Setup { client } => clients.get(client).is_some_and(|client| client.database.is_none()),
         })
     }
@@ -84,7 +84,7 @@
                 Timer::WaitLimit { client, sequence } => self.expire_wait(client, sequence),
                 Timer::Overdue { client, sequence } => self.check_overdue(client, sequence),
                 Timer::TxnIdle { client, since } => self.expire_idle_txn(client, since),
-                Timer::SlowStart { spot } => self.serve_queue(spot),
+                Timer::SlowStart { key } => self.serve_queue(key),
                 Timer::Setup { client } => {
                     if self.clients.get(&client).is_some_and(|client| client.database.is_none()) {
                         self.close_client(client);
--- a/crates/wv-access/src/txn.rs
+++ b/crates/wv-access/src/txn.rs
@@ -65,7 +65,10 @@
 
     /// Starts the idle timer of the client's transaction.
     pub(crate) fn start_idle_timer(&mut self, id: u64) {
-        let (now, wait) = (self.now, self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.txn_idle_timeout_us));
+        let (now, wait) = (
+            self.now,
+            self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.txn_idle_timeout_us),
+        );
         if let Some(txn) = self.clients.get_mut(&id).and_then(|client| client.txn.as_mut()) {
             txn.idle_since = now;
             self.timers.schedule(now + wait, Timer::TxnIdle { client: id, since: now });
--- a/crates/wv-access/src/types.rs
+++ b/crates/wv-access/src/types.rs
@@ -188,7 +188,7 @@
 
 /// A connection to a database.
 pub struct DbConnection {
-    pub spot: DatabaseKey,
+    pub key: DatabaseKey,
     pub id: String,
     pub phase: Phase,
     pub inbuf: Vec<u8>,
--- a/crates/wv-access/tests/common/mod.rs
+++ b/crates/wv-access/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use wv_internal_protocol::{FeedUpdate, ForwardMessage, ForwardedSessionId, Instance, Leader, Message, Owner, SlotMap};
 
 pub const MS: u64 = 1_000;
-const CONF: &str = r#"{"issue":1,"routing":[
+const CONFIGURATION: &str = r#"{"issue":1,"routing":[
   {"label":"p","host":"shop","category":"primary","expiryMs":1000,"targetMs":200,"destination":"s","maxAttempts":3},
   {"label":"b","host":"look","category":"bounded_staleness","maxStalenessMs":1500,"expiryMs":3000,"targetMs":800,
    "destination":"s","maxAttempts":3}],
@@ -63,9 +63,9 @@
     fn with(partners: &str, more: Vec<FeedUpdate>) -> TestNode {
         let instance = database();
         let leader = Leader { service: "s".to_owned(), id: "d1".to_owned(), term: 3 };
-        let conf = CONF.replace("PARTNERS", partners).into_bytes();
+        let configuration = CONFIGURATION.replace("PARTNERS", partners).into_bytes();
         let first = [
-            FeedUpdate::Configuration { version: 1, body: conf },
+            FeedUpdate::Configuration { version: 1, body: configuration },
             FeedUpdate::Instance(instance),
             FeedUpdate::Leader(leader),
             FeedUpdate::NodeCount(1),
@@ -137,8 +137,8 @@
                 }
             }
             Effect::WriteClient(id) => {
-                if let Some((link, msg)) = self.core.take_forwarded_response(id) {
-                    return self.peer_messages.push((link, msg));
+                if let Some((link, message)) = self.core.take_forwarded_response(id) {
+                    return self.peer_messages.push((link, message));
                 }
                 let out = self.core.client_output(id).map(std::mem::take).unwrap_or_default();
                 self.client_output.entry(id).or_default().push_str(&String::from_utf8_lossy(&out));
@@ -151,7 +151,7 @@
                 self.peer_links.push(link);
                 self.core.peer_link_up(link, self.now);
             }
-            Effect::SendToPeer { link, message: msg } => self.peer_messages.push((link, msg)),
+            Effect::SendToPeer { link, message } => self.peer_messages.push((link, message)),
         }
     }
 
@@ -191,14 +191,14 @@
         self.apply_effects();
     }
 
-    pub fn receive_from_peer(&mut self, link: u64, msg: ForwardMessage) {
-        self.core.handle_forward_message(link, msg, self.now);
+    pub fn receive_from_peer(&mut self, link: u64, message: ForwardMessage) {
+        self.core.handle_forward_message(link, message, self.now);
         self.apply_effects();
     }
 
     /// The peer link, session and request of the last forwarded request.
     pub fn last_forwarded_request(&self) -> (u64, ForwardedSessionId, u64) {
-        let last = self.peer_messages.iter().rev().find_map(|(link, msg)| match msg {
+        let last = self.peer_messages.iter().rev().find_map(|(link, message)| match message {
             ForwardMessage::Request { session: hand, request: ask, .. } => Some((*link, *hand, *ask)),
             _ => None,
         });
--- a/crates/wv-access/tests/drain.rs
+++ b/crates/wv-access/tests/drain.rs
@@ -17,9 +17,9 @@
 
 /// Feeds an update of the node's only database: draining, or in service.
 fn report_database(bare: &mut TestNode, position: u64, sequence: u64, draining: bool, draining_age_us: u64) {
-    let inst = Instance { sequence, draining, leaving_age_us: draining_age_us, ..database() };
+    let instance = Instance { sequence, draining, leaving_age_us: draining_age_us, ..database() };
     let result =
-        bare.core.apply_feed_message(Message::Update { position, update: FeedUpdate::Instance(inst) }, bare.now);
+        bare.core.apply_feed_message(Message::Update { position, update: FeedUpdate::Instance(instance) }, bare.now);
     assert!(result.is_ok(), "the update follows the feed position");
     bare.apply_effects();
 }
--- a/crates/wv-access/tests/leader_terms.rs
+++ b/crates/wv-access/tests/leader_terms.rs
@@ -3,7 +3,7 @@
 use wv_access::{Core, Effect};
 use wv_internal_protocol::{FeedUpdate, Instance, Leader, Message, SlotMap};
 
-const CONF: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
+const CONFIGURATION: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
   "targetMs":200,"destination":"s"}],"services":[{"label":"s","syncReplicas":1},{"label":"t","syncReplicas":1}],
   "shardPlans":[{"shard":"s","upper":"t","rowsMax":1000,"quiet":"* * 1-4 * * *"}]}"#;
 
@@ -104,7 +104,7 @@
 fn given_a_connection_opened_to_a_replica_then_it_is_not_used_once_the_replica_leads_another_term() {
     let first = vec![
         slot_map(1 << 16, 3),
-        FeedUpdate::Configuration { version: 1, body: CONF.as_bytes().to_vec() },
+        FeedUpdate::Configuration { version: 1, body: CONFIGURATION.as_bytes().to_vec() },
         instance("d1", true),
         instance("d2", false),
         leader("d1", 3),
--- a/crates/wv-access/tests/split_reports.rs
+++ b/crates/wv-access/tests/split_reports.rs
@@ -14,8 +14,8 @@
     let client = bare.connect_client("shop");
     bare.send_line(client, "QUERY w1 WRITE k d");
     let (mut dirty_serial, mut sample_serial) = (0, 0);
-    for msg in bare.core.take_split_reports(false) {
-        match msg {
+    for message in bare.core.take_split_reports(false) {
+        match message {
             Message::DirtyKeys(report) => {
                 (dirty_serial, _) =
                     (report.serial, expect_that!((report.incarnation, report.attempt), eq((NODE_INCARNATION, 5))))
@@ -42,7 +42,7 @@
     expect_that!(bare.statement_count("WRITE"), eq(1));
     let client = bare.connect_client("shop");
     bare.send_line(client, "QUERY w2 WRITE l d");
-    let serial = |msg: &Message| match msg {
+    let serial = |message: &Message| match message {
         Message::ShardReport(report) => Some(report.serial),
         _ => None,
     };
--- a/crates/wv-access/tests/stale_control_node.rs
+++ b/crates/wv-access/tests/stale_control_node.rs
@@ -7,12 +7,12 @@
 const S: u64 = 1_000_000;
 
 fn text(version: u64, host: &str) -> Vec<u8> {
-    let conf = serde_json::json!({"issue": version, "services": [{"label": "s", "syncReplicas": 1}], "routing": [
+    let configuration = serde_json::json!({"issue": version, "services": [{"label": "s", "syncReplicas": 1}], "routing": [
         {"label": "p", "host": host, "category": "primary", "expiryMs": 1000, "targetMs": 200, "destination": "s"}]});
-    conf.to_string().into_bytes()
+    configuration.to_string().into_bytes()
 }
 
-fn conf(version: u64, host: &str) -> FeedUpdate {
+fn configuration(version: u64, host: &str) -> FeedUpdate {
     FeedUpdate::Configuration { version, body: wv_compression::compress(&text(version, host)) }
 }
 
@@ -57,8 +57,8 @@
         node
     }
 
-    fn feed(&mut self, msg: Message) {
-        self.snapshot_requests += usize::from(self.core.apply_feed_message(msg, self.now).is_err());
+    fn feed(&mut self, message: Message) {
+        self.snapshot_requests += usize::from(self.core.apply_feed_message(message, self.now).is_err());
     }
 
     /// An update of the feed with incarnation 2, from another control node.
@@ -82,11 +82,11 @@
 
 #[gtest]
 fn given_an_older_configuration_then_the_newer_one_is_kept_and_the_feed_continues() {
-    let mut node = Node::new(vec![conf(10, "ten")]);
+    let mut node = Node::new(vec![configuration(10, "ten")]);
     node.feed(Message::Snapshot {
         incarnation: 2,
         position: 3,
-        updates: vec![conf(8, "eight"), instance("d1", 1, false, false)],
+        updates: vec![configuration(8, "eight"), instance("d1", 1, false, false)],
     });
     expect_that!(node.core.held_configuration_version(), eq(10));
     // Deltas up to the current version are ignored without requesting a snapshot.
@@ -101,8 +101,8 @@
 
 #[gtest]
 fn given_deltas_of_an_unknown_base_then_one_snapshot_is_requested_and_the_feed_continues_from_it() {
-    let mut node = Node::new(vec![conf(10, "ten")]);
-    node.feed(Message::Snapshot { incarnation: 2, position: 3, updates: vec![conf(8, "eight")] });
+    let mut node = Node::new(vec![configuration(10, "ten")]);
+    node.feed(Message::Snapshot { incarnation: 2, position: 3, updates: vec![configuration(8, "eight")] });
     // Versions 9 and 11 are unknown here: one snapshot is requested, however many deltas follow.
     node.change(4, delta((9, "nine"), (12, "twelve")));
     node.change(5, delta((12, "twelve"), (13, "thirteen")));
@@ -111,7 +111,7 @@
     node.feed(Message::Snapshot {
         incarnation: 2,
         position: 6,
-        updates: vec![conf(13, "thirteen"), instance("d1", 1, false, false)],
+        updates: vec![configuration(13, "thirteen"), instance("d1", 1, false, false)],
     });
     node.change(7, delta((13, "thirteen"), (14, "fourteen")));
     expect_that!((node.snapshot_requests, node.core.held_configuration_version()), eq((1, 14)));
@@ -124,7 +124,8 @@
 
 #[gtest]
 fn given_older_instance_records_then_the_latest_ones_are_kept() {
-    let mut node = Node::new(vec![conf(1, "p"), instance("d1", 5, true, false), instance("d2", 5, false, false)]);
+    let mut node =
+        Node::new(vec![configuration(1, "p"), instance("d1", 5, true, false), instance("d2", 5, false, false)]);
     node.advance(10 * S);
     node.feed(Message::Snapshot {
         incarnation: 2,
@@ -148,7 +149,7 @@
 
 #[gtest]
 fn given_a_snapshot_without_an_instance_then_it_is_removed_unless_it_was_announced_recently() {
-    let mut node = Node::new(vec![conf(1, "p"), instance("d1", 5, false, false)]);
+    let mut node = Node::new(vec![configuration(1, "p"), instance("d1", 5, false, false)]);
     node.advance(10 * S);
     node.change(8, instance("d2", 1, false, false));
     node.feed(Message::Snapshot { incarnation: 2, position: 1, updates: vec![] });
@@ -164,7 +165,7 @@
 #[gtest]
 fn given_a_leader_of_an_older_term_then_it_is_ignored_while_a_newer_one_leads() {
     let dbs = vec![instance("d1", 1, false, false), instance("d2", 1, false, false)];
-    let first = dbs.iter().cloned().chain([conf(1, "p"), leader("d2", 5)]).collect();
+    let first = dbs.iter().cloned().chain([configuration(1, "p"), leader("d2", 5)]).collect();
     let mut node = Node::new(first);
     expect_that!(node.route_state("d2"), eq("writer"));
     node.feed(Message::Snapshot {
@@ -192,7 +193,7 @@
         FeedUpdate::Owner(Owner { service, node, forwarding_address, epoch: number })
     };
     let map = |number| FeedUpdate::Slots(SlotMap { shard: "s".to_owned(), version: number, ..SlotMap::default() });
-    let mut node = Node::new(vec![conf(1, "p"), owner("a2", 4), map(9)]);
+    let mut node = Node::new(vec![configuration(1, "p"), owner("a2", 4), map(9)]);
     node.feed(Message::Snapshot { incarnation: 2, position: 1, updates: vec![owner("a1", 3), map(8)] });
     node.change(2, owner("a1", 3));
     expect_that!(node.core.shard_owners(), elements_are![eq(&("s".to_owned(), "a2".to_owned(), 4))]);
@@ -201,7 +202,7 @@
 #[gtest]
 fn given_a_draining_primary_past_its_bound_then_a_leader_of_an_older_term_does_not_replace_it() {
     let mut node = Node::new(vec![
-        conf(1, "a"),
+        configuration(1, "a"),
         instance("d1", 1, false, false),
         instance("d2", 1, false, false),
         leader("d1", 5),
--- a/crates/wv-change-feed/src/feed.rs
+++ b/crates/wv-change-feed/src/feed.rs
@@ -153,8 +153,8 @@
 
 impl Follower {
     /// Accepts a feed message and returns the updates to apply. Updates already seen are ignored.
-    pub fn receive(&mut self, msg: Message) -> Result<Vec<FeedUpdate>, Gap> {
-        match msg {
+    pub fn receive(&mut self, message: Message) -> Result<Vec<FeedUpdate>, Gap> {
+        match message {
             Message::Snapshot { incarnation, position, updates } => {
                 (self.incarnation, self.position, self.snapshot_requested_us) = (incarnation, position, None);
                 Ok(updates)
--- a/crates/wv-change-feed/src/instance_table.rs
+++ b/crates/wv-change-feed/src/instance_table.rs
@@ -31,14 +31,14 @@
     /// The instances of one service.
     pub fn service_instances<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Instance> + 'a {
         let ids = self.services.get(service).into_iter().flatten();
-        ids.filter_map(|id| self.instances.get(id)).filter(move |inst| inst.service == service)
+        ids.filter_map(|id| self.instances.get(id)).filter(move |instance| instance.service == service)
     }
 
-    fn insert(&mut self, inst: Instance) {
-        if !self.services.get(&inst.service).is_some_and(|ids| ids.contains(&inst.id)) {
-            self.services.entry(inst.service.clone()).or_default().insert(inst.id.clone());
+    fn insert(&mut self, instance: Instance) {
+        if !self.services.get(&instance.service).is_some_and(|ids| ids.contains(&instance.id)) {
+            self.services.entry(instance.service.clone()).or_default().insert(instance.id.clone());
         }
-        self.instances.insert(inst.id.clone(), inst);
+        self.instances.insert(instance.id.clone(), instance);
     }
 
     pub fn get(&self, id: &str) -> Option<&Instance> {
@@ -47,52 +47,52 @@
 
     /// Merges an instance received by heartbeat or from a peer. Returns the entries that changed in more than their
     /// sequence and relative times.
-    pub fn merge(&mut self, inst: Instance) -> Vec<Instance> {
-        let is_new = !self.instances.contains_key(&inst.id);
+    pub fn merge(&mut self, instance: Instance) -> Vec<Instance> {
+        let is_new = !self.instances.contains_key(&instance.id);
         if is_new && self.instances.len() >= MAX_INSTANCES {
             return Vec::new();
         }
-        let changed = match self.instances.get(&inst.id) {
+        let changed = match self.instances.get(&instance.id) {
             // A departed instance stays departed: a late heartbeat must not restore it.
             Some(known) if known.gone => return Vec::new(),
-            Some(known) if inst.gone => {
+            Some(known) if instance.gone => {
                 let mut departed = known.clone();
                 departed.gone = true;
-                departed.sequence = departed.sequence.max(inst.sequence);
+                departed.sequence = departed.sequence.max(instance.sequence);
                 Some(departed)
             }
-            Some(known) if inst.sequence <= known.sequence => None,
+            Some(known) if instance.sequence <= known.sequence => None,
             Some(known) => {
-                let mut aligned = inst.clone();
+                let mut aligned = instance.clone();
                 (aligned.sequence, aligned.cold_left_us, aligned.leaving_age_us) =
                     (known.sequence, known.cold_left_us, known.leaving_age_us);
                 let is_same = aligned == *known;
-                self.insert(inst.clone());
+                self.insert(instance.clone());
                 if is_same {
                     return Vec::new();
                 }
-                Some(inst)
+                Some(instance)
             }
             // Remembered although it was unknown, so that an older message from another node does not add it.
-            None if inst.gone => {
-                self.insert(inst);
+            None if instance.gone => {
+                self.insert(instance);
                 return Vec::new();
             }
-            None => Some(inst),
+            None => Some(instance),
         };
-        let Some(inst) = changed else { return Vec::new() };
+        let Some(instance) = changed else { return Vec::new() };
         let mut updates = Vec::new();
         // An address belongs to one instance at a time: a new instance replaces the previous one.
-        if is_new && !inst.gone {
+        if is_new && !instance.gone {
             for other in self.instances.values_mut() {
-                if other.address == inst.address && other.id != inst.id && !other.gone {
+                if other.address == instance.address && other.id != instance.id && !other.gone {
                     other.gone = true;
                     updates.push(other.clone());
                 }
             }
         }
-        self.insert(inst.clone());
-        updates.push(inst);
+        self.insert(instance.clone());
+        updates.push(instance);
         updates
     }
 
@@ -101,26 +101,27 @@
         let mut digests = vec![0u64; DIGEST_RANGES];
         // Departed instances are excluded because nodes prune them at different times. A node that missed a departure
         // still has a different digest.
-        for inst in self.instances.values().filter(|inst| !inst.gone) {
-            let text = format!("{}|{}|{}|{}", inst.id, inst.address, inst.draining, inst.primary);
-            digests[digest_range(&inst.id)] ^= fnv1a(text.as_bytes());
+        for instance in self.instances.values().filter(|instance| !instance.gone) {
+            let text = format!("{}|{}|{}|{}", instance.id, instance.address, instance.draining, instance.primary);
+            digests[digest_range(&instance.id)] ^= fnv1a(text.as_bytes());
         }
         digests
     }
 
     pub fn range_instances(&self, range: usize) -> Vec<Instance> {
-        self.instances.values().filter(|inst| digest_range(&inst.id) == range).cloned().collect()
+        self.instances.values().filter(|instance| digest_range(&instance.id) == range).cloned().collect()
     }
 
     /// Removes the instances that had already left at the previous call, except those in `retained`.
     pub fn prune_departed(&mut self, retained: &std::collections::BTreeSet<String>) {
         let departed = std::mem::take(&mut self.departed);
-        self.instances.retain(|id, inst| !(inst.gone && departed.contains(id)) || retained.contains(id));
+        self.instances.retain(|id, instance| !(instance.gone && departed.contains(id)) || retained.contains(id));
         let instances = &self.instances;
         self.services.retain(|_, ids| {
             ids.retain(|id| instances.contains_key(id));
             !ids.is_empty()
         });
-        self.departed = self.instances.values().filter(|inst| inst.gone).map(|inst| inst.id.clone()).collect();
+        self.departed =
+            self.instances.values().filter(|instance| instance.gone).map(|instance| instance.id.clone()).collect();
     }
 }
--- a/crates/wv-control/src/admission.rs
+++ b/crates/wv-control/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of proposed configurations. Checks against existing state use values read from a majority, never only this
 //! node's view.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::proposal::{accept, digest, Proposal};
 use crate::types::Operation;
@@ -26,7 +26,12 @@
 
 impl Core {
     /// Proposes a valid configuration, after reading the slot maps of shards whose plan it removes.
-    pub(crate) fn admit_configuration(&mut self, token: u64, conf: &wv_configuration::Configuration, body: &[u8]) {
+    pub(crate) fn admit_configuration(
+        &mut self,
+        token: u64,
+        configuration: &wv_configuration::Configuration,
+        body: &[u8],
+    ) {
         if self.pending_proposals.len() >= PENDING_MAX {
             return self.respond(token, 503, NO_MAJORITY_REPLY);
         }
@@ -35,9 +40,9 @@
         if !self.is_caught_up() {
             return self.pending_proposals.push(pending(None));
         }
-        let dropped = self.dropped_plans(conf);
+        let dropped = self.dropped_plans(configuration);
         if dropped.is_empty() {
-            return self.propose(token, conf.version, body);
+            return self.propose(token, configuration.version, body);
         }
         self.pending_proposals.push(pending(Some(dropped.clone())));
         for shard in dropped {
@@ -49,11 +54,11 @@
     }
 
     /// Shards with a plan or moved slots that the configuration has no plan for.
-    fn dropped_plans(&self, conf: &wv_configuration::Configuration) -> BTreeSet<String> {
-        let is_kept = |shard: &&String| conf.shard_plans.iter().any(|plan| plan.shard == **shard);
-        let planned = self.conf.iter().flat_map(|held| held.shard_plans.iter().map(|plan| &plan.shard));
+    fn dropped_plans(&self, configuration: &wv_configuration::Configuration) -> BTreeSet<String> {
+        let is_kept = |shard: &&String| configuration.shard_plans.iter().any(|plan| plan.shard == **shard);
+        let planned = self.configuration.iter().flat_map(|held| held.shard_plans.iter().map(|plan| &plan.shard));
         let moved = self.feed.slots().values().filter(|map| !map.moved.is_empty()).map(|map| &map.shard);
-        let is_newer = conf.version > self.committed_version;
+        let is_newer = configuration.version > self.committed_version;
         planned.chain(moved).filter(|shard| is_newer && !is_kept(shard)).cloned().collect()
     }
 
@@ -80,7 +85,7 @@
         if left.is_empty() {
             let pending = self.pending_proposals.swap_remove(at);
             match self.parse_configuration(&pending.body) {
-                Ok(conf) => self.propose(token, conf.version, &pending.body),
+                Ok(configuration) => self.propose(token, configuration.version, &pending.body),
                 Err(error) => self.respond(token, 400, error_body(&error.to_string())),
             }
         }
@@ -99,7 +104,7 @@
         self.operations.insert(token, Operation::Propose(proposal));
         self.proposer.start(
             token,
-            crate::core::CONF_KEY,
+            crate::core::CONFIGURATION_KEY,
             Some(accept(proposal, self.compressor.compress(body))),
             self.now,
         );
--- a/crates/wv-control/src/committed.rs
+++ b/crates/wv-control/src/committed.rs
@@ -11,7 +11,7 @@
         &self,
         body: &[u8],
     ) -> Result<wv_configuration::Configuration, wv_configuration::ConfigurationError> {
-        self.conf
+        self.configuration
             .as_ref()
             .map_or_else(|| wv_configuration::Configuration::parse(body), |held| held.parse_incremental(body))
     }
@@ -20,24 +20,25 @@
     pub(crate) fn apply_configuration(&mut self, version: u64, packed: Vec<u8>, body: &[u8]) {
         (self.committed_version, self.committed_digest) = (version, crate::proposal::digest(body));
         log::info!("in force {version}");
-        self.conf = self.parse_configuration(body).ok();
-        let body = self.conf.as_ref().map_or_else(|| body.into(), |conf| conf.body().clone());
+        self.configuration = self.parse_configuration(body).ok();
+        let body =
+            self.configuration.as_ref().map_or_else(|| body.into(), |configuration| configuration.body().clone());
         self.compressor.set_reference(body, packed);
         self.sync_slots();
-        self.is_conf_unpublished = true;
+        self.is_configuration_unpublished = true;
         self.publish_configuration();
     }
 
     /// Publishes the newest configuration if it is unpublished and the interval has passed.
     pub(crate) fn publish_configuration(&mut self) {
-        if !self.is_conf_unpublished || self.now < self.conf_published_at + PUBLISH_INTERVAL_US {
+        if !self.is_configuration_unpublished || self.now < self.configuration_published_at + PUBLISH_INTERVAL_US {
             return;
         }
-        (self.conf_published_at, self.is_conf_unpublished, self.conf_delta_base) =
+        (self.configuration_published_at, self.is_configuration_unpublished, self.configuration_delta_base) =
             (self.now, false, self.feed.configuration_version());
         let (body, packed) = self.compressor.reference();
-        let msg = self.feed.publish_configuration(self.committed_version, packed, body);
-        self.send_to_subscribers(&msg);
+        let message = self.feed.publish_configuration(self.committed_version, packed, body);
+        self.send_to_subscribers(&message);
         if std::mem::take(&mut self.is_relay_due) {
             self.notify_non_voters();
         }
@@ -49,7 +50,7 @@
         for addr in voters {
             self.send_peer(&addr, Message::Committed { key: key.to_owned(), accepted });
         }
-        self.is_relay_due = self.is_conf_unpublished;
+        self.is_relay_due = self.is_configuration_unpublished;
         if !self.is_relay_due {
             self.notify_non_voters();
         }
@@ -58,7 +59,7 @@
     fn notify_non_voters(&mut self) {
         let is_other = |addr: &&String| !self.proposer.voters().contains(addr);
         let others: Vec<String> = self.peers.keys().filter(is_other).cloned().collect();
-        let updates = self.feed.configuration_updates_since(self.conf_delta_base);
+        let updates = self.feed.configuration_updates_since(self.configuration_delta_base);
         for addr in others {
             self.send_peer(&addr, Message::CommittedConfigurations(updates.clone()));
         }
--- a/crates/wv-control/src/conf.rs
+++ b/crates/wv-control/src/configuration.rs
@@ -1,5 +1,5 @@
 //! HTTP calls of operators and databases. A configuration is stored by a majority before it is published.
-use crate::core::{Core, CONF_KEY};
+use crate::core::{Core, CONFIGURATION_KEY};
 use crate::proposal::{DecidedConfiguration, Proposal, ProposalStatus};
 use crate::types::Operation;
 use wv_consensus::{Completion, OperationOutcome};
@@ -11,8 +11,8 @@
             return self.respond(token, status, body);
         }
         // Without a majority the outcome of a proposal would be unknown, so the call is refused before it is started.
-        let is_conf = path.split('?').next().is_some_and(|path| path.trim_matches('/') == "configuration");
-        if is_conf && matches!(method, "PUT" | "GET") && !self.has_majority() && !self.is_starting() {
+        let is_configuration = path.split('?').next().is_some_and(|path| path.trim_matches('/') == "configuration");
+        if is_configuration && matches!(method, "PUT" | "GET") && !self.has_majority() && !self.is_starting() {
             return self.respond(token, 503, "{\"cause\":\"no majority of the voters is in contact\"}");
         }
         let segments: Vec<&str> = path.split('?').next().unwrap_or(path).trim_matches('/').split('/').collect();
@@ -20,7 +20,7 @@
             ("PUT", ["configuration"]) => self.put_configuration(token, body),
             ("GET", ["configuration"]) => {
                 self.operations.insert(token, Operation::ReadConfiguration);
-                self.proposer.start(token, CONF_KEY, None, self.now);
+                self.proposer.start(token, CONFIGURATION_KEY, None, self.now);
                 self.run_proposer();
             }
             ("PUT", ["instances", id]) if !id.is_empty() => self.put_instance(token, id, body),
@@ -45,11 +45,11 @@
             return self.respond(token, 413, "{\"cause\":\"the configuration body is too large\"}");
         };
         // An invalid configuration is rejected even if its version is old.
-        let conf = match self.parse_configuration(body) {
-            Ok(conf) => conf,
+        let configuration = match self.parse_configuration(body) {
+            Ok(configuration) => configuration,
             Err(error) => return self.respond(token, 400, error_body(&error.to_string())),
         };
-        self.admit_configuration(token, &conf, body);
+        self.admit_configuration(token, &configuration, body);
     }
 
     pub(crate) fn quorum_done(&mut self, done: Completion) {
@@ -66,14 +66,14 @@
             Operation::ShardRegister(shard, op) => return self.register_op_done(shard, op, done.outcome),
             operation => operation,
         };
-        if done.key == CONF_KEY {
+        if done.key == CONFIGURATION_KEY {
             if let OperationOutcome::Read(cell) | OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell) =
                 &done.outcome
             {
                 let is_new = cell.version > self.committed_version;
                 self.apply_committed(cell);
                 if is_new && matches!(operation, Operation::Propose(_)) {
-                    self.notify_committed(CONF_KEY, done.ballot);
+                    self.notify_committed(CONFIGURATION_KEY, done.ballot);
                 }
             }
         }
@@ -93,7 +93,7 @@
                 }
             }
             (Operation::SyncConfiguration(period), outcome) => {
-                self.on_conf_read(period, matches!(outcome, OperationOutcome::Read(_)))
+                self.on_configuration_read(period, matches!(outcome, OperationOutcome::Read(_)))
             }
             (_, _) => self.respond(done.token, 503, "{\"cause\":\"no majority of the voters replied\"}"),
         }
@@ -115,10 +115,11 @@
 
     /// A configuration was committed under this ballot: apply it if it is stored here, else read the register.
     pub(crate) fn handle_committed(&mut self, accepted: wv_internal_protocol::Ballot) {
-        let held = self.store.get(CONF_KEY).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
+        let held =
+            self.store.get(CONFIGURATION_KEY).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
         match held {
             Some(cell) => self.apply_committed(&cell),
-            None => self.read_newest_conf(),
+            None => self.read_newest_configuration(),
         }
     }
 
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -21,8 +21,8 @@
     /// When contact was last established.
     pub established_at: u64,
     /// Whether a read of the configuration register is in progress, and whether one completed in this generation.
-    is_reading_conf: bool,
-    has_conf: bool,
+    is_reading_configuration: bool,
+    has_configuration: bool,
     /// The resync request of this generation, and the voters that have answered it in full.
     resync_request: u64,
     resynced_voters: BTreeSet<String>,
@@ -106,7 +106,7 @@
         log::warn!("lost contact with the majority of the voters");
         self.contact.is_established = false;
         self.contact.generation += 1;
-        (self.contact.is_reading_conf, self.contact.has_conf) = (false, false);
+        (self.contact.is_reading_configuration, self.contact.has_configuration) = (false, false);
         self.contact.resynced_voters.clear();
         (self.contact.resync_targets, self.contact.resync_sent_at) = Default::default();
         (self.contact.synced_shards, self.contact.syncing_shards) = Default::default();
@@ -130,8 +130,8 @@
     /// Retries the reads that failed.
     pub(crate) fn continue_catch_up(&mut self) {
         if self.contact.is_established && !self.is_caught_up {
-            if !self.is_diskless() && !self.contact.has_conf {
-                self.read_newest_conf();
+            if !self.is_diskless() && !self.contact.has_configuration {
+                self.read_newest_configuration();
             }
             self.request_resync();
             self.check_caught_up();
@@ -172,8 +172,8 @@
     pub(crate) fn answer_resync(&mut self, link: u64, (requester, request): (u64, u64), ranges: &[u64]) {
         self.send_differing_ranges(link, ranges);
         self.send_leaves(link);
-        let leads: Vec<Message> = self.feed.leaders().cloned().map(Message::Leader).collect();
-        leads.into_iter().for_each(|lead| self.send(link, lead));
+        let leaders: Vec<Message> = self.feed.leaders().cloned().map(Message::Leader).collect();
+        leaders.into_iter().for_each(|leader| self.send(link, leader));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
         self.send(link, Message::ResyncDone { requester, request });
@@ -192,30 +192,32 @@
     }
 
     /// Reads the configuration in force from its register.
-    pub(crate) fn read_newest_conf(&mut self) {
-        if !std::mem::replace(&mut self.contact.is_reading_conf, true) {
+    pub(crate) fn read_newest_configuration(&mut self) {
+        if !std::mem::replace(&mut self.contact.is_reading_configuration, true) {
             let token = self.allocate_id();
             self.operations.insert(token, crate::types::Operation::SyncConfiguration(self.contact.generation));
-            self.proposer.start(token, crate::core::CONF_KEY, None, self.now);
+            self.proposer.start(token, crate::core::CONFIGURATION_KEY, None, self.now);
             self.run_proposer();
         }
     }
 
     /// Handles the end of a configuration read. One that started before contact was lost is ignored.
-    pub(crate) fn on_conf_read(&mut self, generation: u64, is_read: bool) {
+    pub(crate) fn on_configuration_read(&mut self, generation: u64, is_read: bool) {
         if generation == self.contact.generation {
-            self.contact.is_reading_conf = false;
-            self.contact.has_conf |= is_read && self.contact.is_established;
+            self.contact.is_reading_configuration = false;
+            self.contact.has_configuration |= is_read && self.contact.is_established;
             self.check_caught_up();
         }
     }
 
     /// Marks this node as caught up once every read since contact was established has completed.
     pub(crate) fn check_caught_up(&mut self) {
-        let has_conf = if self.is_diskless() { self.has_newest_conf() } else { self.contact.has_conf };
+        let has_configuration =
+            if self.is_diskless() { self.has_newest_configuration() } else { self.contact.has_configuration };
         let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced_shards.contains(&plan.shard);
-        let has_slots = self.conf.as_ref().is_none_or(|conf| conf.shard_plans.iter().all(is_synced));
-        let is_whole = has_conf && has_slots && self.is_resynced();
+        let has_slots =
+            self.configuration.as_ref().is_none_or(|configuration| configuration.shard_plans.iter().all(is_synced));
+        let is_whole = has_configuration && has_slots && self.is_resynced();
         if is_whole && self.contact.is_established && self.has_majority() && !self.is_caught_up {
             self.is_caught_up = true;
             self.resume_pending();
@@ -224,12 +226,12 @@
     }
 
     /// Whether a majority of the voters, pinged in this generation, holds no newer configuration.
-    fn has_newest_conf(&self) -> bool {
+    fn has_newest_configuration(&self) -> bool {
         let voters = self.proposer.voters();
         let is_heard = |peer: &&crate::types::Peer| {
             let is_asked =
                 peer.last_contact >= self.contact.established_at && peer.last_contact + CONTACT_TTL_US > self.now;
-            is_asked && peer.voter_set == voters.number && peer.conf_version <= self.committed_version
+            is_asked && peer.voter_set == voters.number && peer.configuration_version <= self.committed_version
         };
         let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
         !voters.members.is_empty() && heard.count() >= self.proposer.majority()
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -6,7 +6,7 @@
 use wv_internal_protocol::{FeedUpdate, Message};
 use wv_membership::Membership;
 
-pub const CONF_KEY: &str = "conf";
+pub const CONFIGURATION_KEY: &str = "conf";
 pub use wv_consensus::LOCAL_KEY_PREFIX;
 /// Maximum length of a configuration body.
 pub const BODY_MAX_BYTES: usize = wv_configuration::MAX_BODY_BYTES;
@@ -62,15 +62,15 @@
     /// Its body, plain and compressed.
     pub(crate) compressor: wv_compression::ChunkedCompressor,
     /// When a configuration was last published, the version published before it, and whether a newer one is waiting.
-    pub(crate) conf_published_at: u64,
-    pub(crate) conf_delta_base: u64,
-    pub(crate) is_conf_unpublished: bool,
+    pub(crate) configuration_published_at: u64,
+    pub(crate) configuration_delta_base: u64,
+    pub(crate) is_configuration_unpublished: bool,
     /// This node forwards the waiting configuration to the control nodes without a vote.
     pub(crate) is_relay_due: bool,
     /// Number of redirected calls, to rotate through the voters.
     pub(crate) redirects: usize,
     /// When this node last requested a newer configuration.
-    pub(crate) conf_requested_at: u64,
+    pub(crate) configuration_requested_at: u64,
     pub(crate) is_caught_up: bool,
     pub(crate) contact: crate::contact::Contact,
     /// Proposals that wait for a register to be read.
@@ -81,7 +81,7 @@
     pub(crate) node_count_low_since: u64,
     /// The number of access nodes stored by the previous process.
     pub(crate) stored_node_count: u32,
-    pub(crate) conf: Option<wv_configuration::Configuration>,
+    pub(crate) configuration: Option<wv_configuration::Configuration>,
     pub(crate) duties: BTreeMap<String, wv_promotion::PromotionCoordinator>,
     pub(crate) fences: BTreeMap<String, u64>,
     pub(crate) platform_calls: crate::platform_calls::PlatformCalls,
@@ -161,12 +161,12 @@
             committed_digest: 0,
             next_wake: 0,
             compressor: Default::default(),
-            conf_published_at: 0,
-            conf_delta_base: 0,
-            is_conf_unpublished: false,
+            configuration_published_at: 0,
+            configuration_delta_base: 0,
+            is_configuration_unpublished: false,
             is_relay_due: false,
             redirects: 0,
-            conf_requested_at: 0,
+            configuration_requested_at: 0,
             is_caught_up: false,
             contact: Default::default(),
             pending_proposals: Vec::new(),
@@ -174,7 +174,7 @@
             published_node_count: 0,
             node_count_low_since: 0,
             stored_node_count: 0,
-            conf: None,
+            configuration: None,
             duties: BTreeMap::new(),
             fences: BTreeMap::new(),
             platform_calls: Default::default(),
@@ -218,30 +218,30 @@
         self.next_id
     }
 
-    pub(crate) fn send(&mut self, link: u64, mut msg: Message) {
-        self.leave_ages.stamp_ages(&mut msg, self.now);
-        self.effects.push(Effect::Send { link, msg });
+    pub(crate) fn send(&mut self, link: u64, mut message: Message) {
+        self.leave_ages.stamp_ages(&mut message, self.now);
+        self.effects.push(Effect::Send { link, message });
     }
 
-    pub(crate) fn send_peer(&mut self, addr: &str, msg: Message) -> bool {
+    pub(crate) fn send_peer(&mut self, addr: &str, message: Message) -> bool {
         let link = self.peers.get(addr).filter(|peer| peer.is_up).and_then(|peer| peer.link);
-        link.into_iter().for_each(|link| self.send(link, msg.clone()));
+        link.into_iter().for_each(|link| self.send(link, message.clone()));
         link.is_some()
     }
 
-    pub(crate) fn send_peers(&mut self, msg: &Message) -> usize {
+    pub(crate) fn send_peers(&mut self, message: &Message) -> usize {
         let addrs: Vec<String> = self.peers.keys().cloned().collect();
-        addrs.iter().filter(|addr| self.send_peer(addr, msg.clone())).count()
+        addrs.iter().filter(|addr| self.send_peer(addr, message.clone())).count()
     }
 
     pub(crate) fn publish(&mut self, update: FeedUpdate) {
-        let msg = self.feed.publish(update);
-        self.send_to_subscribers(&msg);
+        let message = self.feed.publish(update);
+        self.send_to_subscribers(&message);
     }
 
-    pub(crate) fn send_to_subscribers(&mut self, msg: &Message) {
+    pub(crate) fn send_to_subscribers(&mut self, message: &Message) {
         let links: Vec<u64> = self.links.iter().filter(|(_, link)| link.is_subscriber).map(|(id, _)| *id).collect();
-        links.into_iter().for_each(|link| self.send(link, msg.clone()));
+        links.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 
     pub(crate) fn respond(&mut self, token: u64, status: u16, body: impl Into<Vec<u8>>) {
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -30,11 +30,15 @@
 
 impl Core {
     /// The view of a departed database given to the promotion state machine. Its replacement started after it ended.
-    pub(crate) fn departure_status(&self, inst: &Instance) -> DepartedDatabase {
-        let is_heir = |new: &&Instance| new.address == inst.address && new.id != inst.id;
-        let heir =
-            self.table.service_instances(&inst.service).filter(|new| !new.gone).find(is_heir).map(|new| new.id.clone());
-        let departure = self.departures.get(&inst.id);
+    pub(crate) fn departure_status(&self, instance: &Instance) -> DepartedDatabase {
+        let is_heir = |new: &&Instance| new.address == instance.address && new.id != instance.id;
+        let heir = self
+            .table
+            .service_instances(&instance.service)
+            .filter(|new| !new.gone)
+            .find(is_heir)
+            .map(|new| new.id.clone());
+        let departure = self.departures.get(&instance.id);
         let unreachable = departure
             .and_then(|departure| departure.unreachable_since)
             .map(|unreachable| unreachable + UNREACHABLE_TIMEOUT_US)
@@ -48,7 +52,7 @@
     pub(crate) fn poll_departed(&mut self) {
         let now = self.now;
         let is_due = |(id, departure): &(&String, &Departure)| {
-            let service = self.table.get(id).map(|inst| inst.service.as_str());
+            let service = self.table.get(id).map(|instance| instance.service.as_str());
             let is_counted = service.is_some_and(|service| {
                 let is_later = self.leader_changed_at.get(service).is_none_or(|led| departure.left_at >= *led);
                 is_later && self.membership.is_duty_holder(service)
@@ -58,7 +62,7 @@
         };
         let due: Vec<String> = self.departures.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
-            let Some(service) = self.table.get(&id).map(|inst| inst.service.clone()) else { continue };
+            let Some(service) = self.table.get(&id).map(|instance| instance.service.clone()) else { continue };
             self.departures.entry(id.clone()).or_default().polled_at = now;
             self.send_db_request(&service, id, "ENQUIRY".to_owned(), 0);
         }
@@ -71,15 +75,15 @@
         let mut last: BTreeMap<&str, (u64, &str)> = BTreeMap::new();
         let mut needed = BTreeSet::new();
         for (id, departure) in &self.departures {
-            let Some(inst) = self.table.get(id).filter(|inst| inst.gone) else { continue };
-            if self.leader_changed_at.get(&inst.service).is_some_and(|led| departure.left_at < *led) {
+            let Some(instance) = self.table.get(id).filter(|instance| instance.gone) else { continue };
+            if self.leader_changed_at.get(&instance.service).is_some_and(|led| departure.left_at < *led) {
                 continue;
             }
-            match self.departure_status(inst).stopped_for_us {
+            match self.departure_status(instance).stopped_for_us {
                 None => drop(needed.insert(id.clone())),
                 Some(ago) => {
                     let ended = self.now.saturating_sub(ago);
-                    let kept = last.entry(&inst.service).or_insert((ended, id));
+                    let kept = last.entry(&instance.service).or_insert((ended, id));
                     *kept = (*kept).max((ended, id));
                 }
             }
@@ -90,8 +94,10 @@
 
     /// Records what a status reply says about whether a departed database has ended.
     pub(crate) fn record_departure_reply(&mut self, id: &str, reply: StatusReply) {
-        let is_replaced =
-            self.table.get(id).is_some_and(|inst| inst.gone && self.departure_status(inst).successor.is_some());
+        let is_replaced = self
+            .table
+            .get(id)
+            .is_some_and(|instance| instance.gone && self.departure_status(instance).successor.is_some());
         let now = self.now;
         let Some(departure) = self.departures.get_mut(id) else { return };
         match reply {
--- a/crates/wv-control/src/diskless.rs
+++ b/crates/wv-control/src/diskless.rs
@@ -14,11 +14,11 @@
 
     /// A peer reported the configuration version that it has stored.
     pub(crate) fn handle_peer_version(&mut self, addr: &str, version: u64) {
-        self.peers.get_mut(addr).into_iter().for_each(|peer| peer.conf_version = version);
+        self.peers.get_mut(addr).into_iter().for_each(|peer| peer.configuration_version = version);
         if !self.is_diskless() {
             // After startup, or if a peer has a newer version: a register read completes and learns it.
             if (!self.is_caught_up || version > self.committed_version) && self.has_majority() {
-                self.read_newest_conf();
+                self.read_newest_configuration();
             }
             return;
         }
@@ -30,14 +30,14 @@
     }
 
     /// The version of the configuration applied here, 0 for none.
-    pub fn conf_version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.committed_version
     }
 
     /// Requests configurations newer than `version`, unless a reply may still be on its way.
     fn request_configuration(&mut self, addr: &str, version: u64) {
-        if self.conf_requested_at == 0 || self.conf_requested_at + REQUEST_RETRY_US <= self.now {
-            self.conf_requested_at = self.now;
+        if self.configuration_requested_at == 0 || self.configuration_requested_at + REQUEST_RETRY_US <= self.now {
+            self.configuration_requested_at = self.now;
             self.send_peer(addr, Message::ConfigurationRequest { version });
         }
     }
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -59,8 +59,9 @@
 
     fn execute(&self, effect: Effect) {
         match effect {
-            Effect::Send { link, msg } => {
-                let is_queue_full = self.links.borrow().get(&link).is_some_and(|queue| queue.try_send(msg).is_err());
+            Effect::Send { link, message } => {
+                let is_queue_full =
+                    self.links.borrow().get(&link).is_some_and(|queue| queue.try_send(message).is_err());
                 if is_queue_full {
                     self.links.borrow_mut().remove(&link);
                 }
@@ -137,7 +138,7 @@
     /// Serves one link until either side closes it or nothing is received for `IDLE_TIMEOUT`.
     async fn serve_link(&self, link: u64, stream: tokio::net::TcpStream, receiver: mpsc::Receiver<Message>) {
         wv_http::tune(&stream, IDLE_TIMEOUT);
-        let on_message = |msg| self.with_core(|core, now| core.handle_message(link, msg, now));
+        let on_message = |message| self.with_core(|core, now| core.handle_message(link, message, now));
         wv_process::carry(stream, receiver, IDLE_TIMEOUT, Some(IDLE_TIMEOUT), on_message).await;
         self.links.borrow_mut().remove(&link);
     }
@@ -164,7 +165,7 @@
 
 fn metrics(page: Result<Vec<u8>, wv_metrics::MetricsError>) -> wv_http::Return {
     page.map_or_else(
-        |error| wv_http::Return::new(500, crate::conf::error_body(&error.to_string())),
+        |error| wv_http::Return::new(500, crate::configuration::error_body(&error.to_string())),
         |text| wv_http::Return::text(200, text),
     )
 }
--- a/crates/wv-control/src/health_reports.rs
+++ b/crates/wv-control/src/health_reports.rs
@@ -27,7 +27,7 @@
     fn forward_reports(&mut self, node: &str, reports: &[HealthReport]) {
         let mut parts: BTreeMap<String, Vec<HealthReport>> = BTreeMap::new();
         for report in reports {
-            let Some(service) = self.table.get(&report.id).map(|inst| inst.service.as_str()) else { continue };
+            let Some(service) = self.table.get(&report.id).map(|instance| instance.service.as_str()) else { continue };
             let holder = self.membership.duty_holder(service);
             if holder != self.address {
                 parts.entry(holder.to_owned()).or_default().push(report.clone());
@@ -107,12 +107,12 @@
 
     /// The highest known term of the service.
     pub(crate) fn known_term(&self, service: &str) -> u64 {
-        let ids = self.table.service_instances(service).map(|inst| inst.id.as_str());
+        let ids = self.table.service_instances(service).map(|instance| instance.id.as_str());
         let seen = ids
             .flat_map(|id| self.reports(id))
             .filter_map(|(report, _)| LogPosition::parse(report.fenced_position.as_bytes()));
-        let told = self.feed.leader(service).map_or(0, |lead| lead.term);
-        seen.map(|pos| pos.term).max().unwrap_or(0).max(told)
+        let told = self.feed.leader(service).map_or(0, |leader| leader.term);
+        seen.map(|position| position.term).max().unwrap_or(0).max(told)
     }
 
     /// Whether a split requires a new term of this service, as its source or target.
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -1,5 +1,5 @@
 //! Heartbeats of databases: ordered by their sequence, replicated to the other control nodes and published.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::leave_ages::ReportSource;
 use wv_internal_protocol::{FeedUpdate, Instance, Leader, Message};
@@ -22,7 +22,7 @@
 fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, String> {
     let value: serde_json::Value = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let reader = wv_configuration::Reader::new(&value);
-    let inst = || -> Result<Instance, wv_configuration::PathError> {
+    let instance = || -> Result<Instance, wv_configuration::PathError> {
         Ok(Instance {
             id: id.to_owned(),
             service: reader.string("destination")?.to_owned(),
@@ -37,9 +37,9 @@
             leaving_age_us: 0,
         })
     };
-    let inst = inst().map_err(|error| error.to_string())?;
-    let is_address = inst.address.parse::<std::net::SocketAddr>().is_ok();
-    is_address.then_some(inst).ok_or_else(|| "address is not IP:PORT".to_owned())
+    let instance = instance().map_err(|error| error.to_string())?;
+    let is_address = instance.address.parse::<std::net::SocketAddr>().is_ok();
+    is_address.then_some(instance).ok_or_else(|| "address is not IP:PORT".to_owned())
 }
 
 impl Core {
@@ -48,9 +48,9 @@
             return self.respond(token, 413, "{\"cause\":\"the heartbeat body is too large\"}");
         };
         match parse_heartbeat(id, body) {
-            Ok(inst) => {
-                let is_leave = inst.draining && !self.leave_acks.is_acknowledged(id);
-                self.apply_heartbeat(token, inst, is_leave);
+            Ok(instance) => {
+                let is_leave = instance.draining && !self.leave_acks.is_acknowledged(id);
+                self.apply_heartbeat(token, instance, is_leave);
             }
             Err(text) => self.respond(token, 400, error_body(&text)),
         }
@@ -64,53 +64,53 @@
 
     /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at at once if the
     /// database stays, and after enough other nodes stored it if the database leaves.
-    fn apply_heartbeat(&mut self, token: u64, inst: Instance, is_leave: bool) {
-        let changed = self.table.merge(inst.clone());
-        self.record_leave_time(&inst, ReportSource::Database);
+    fn apply_heartbeat(&mut self, token: u64, instance: Instance, is_leave: bool) {
+        let changed = self.table.merge(instance.clone());
+        self.record_leave_time(&instance, ReportSource::Database);
         self.publish_instances(&changed, true);
         // An unchanged heartbeat also names the leader if none is known.
-        self.update_leader(&inst, false);
+        self.update_leader(&instance, false);
         if !is_leave && !changed.is_empty() {
             self.broadcast_instances(&changed);
         }
         // During startup no node has contact, so sending the database to another one would not help.
         if !self.has_majority() && (is_leave || !self.is_starting()) {
             if is_leave {
-                self.broadcast_instances(&[inst]);
+                self.broadcast_instances(&[instance]);
             }
             return self.respond(token, 503, NO_MAJORITY);
         }
         if !is_leave {
             return self.respond(token, 200, "{}");
         }
-        let (requester, request, id) = (self.proposer.incarnation(), self.proposer.next_request(), inst.id.clone());
-        self.send_peers(&Message::Instance { requester, request, instance: inst });
+        let (requester, request, id) = (self.proposer.incarnation(), self.proposer.next_request(), instance.id.clone());
+        self.send_peers(&Message::Instance { requester, request, instance });
         self.leave_acks.add(token, request, id, self.now);
         self.acknowledge_leaves();
     }
 
-    fn broadcast_instances(&mut self, insts: &[Instance]) {
-        for inst in insts {
-            self.send_peers(&Message::Instance { requester: 0, request: 0, instance: inst.clone() });
+    fn broadcast_instances(&mut self, instances: &[Instance]) {
+        for instance in instances {
+            self.send_peers(&Message::Instance { requester: 0, request: 0, instance: instance.clone() });
         }
     }
 
     /// Publishes changed instances and derives the leader from them. Only direct reports can show that a replica became
     /// primary.
-    pub(crate) fn publish_instances(&mut self, insts: &[Instance], is_direct: bool) {
-        self.is_table_unsaved |= !insts.is_empty();
-        for inst in insts {
-            if inst.gone {
-                self.departures.insert(inst.id.clone(), crate::departed::Departure::new(self.now));
+    pub(crate) fn publish_instances(&mut self, instances: &[Instance], is_direct: bool) {
+        self.is_table_unsaved |= !instances.is_empty();
+        for instance in instances {
+            if instance.gone {
+                self.departures.insert(instance.id.clone(), crate::departed::Departure::new(self.now));
             }
-            let was_replica = self.leadership.replicas.remove(&inst.id);
-            if !inst.primary && !inst.gone {
-                self.leadership.replicas.insert(inst.id.clone());
+            let was_replica = self.leadership.replicas.remove(&instance.id);
+            if !instance.primary && !instance.gone {
+                self.leadership.replicas.insert(instance.id.clone());
             }
-            self.publish(FeedUpdate::Instance(inst.clone()));
-            self.update_leader(inst, is_direct && was_replica);
+            self.publish(FeedUpdate::Instance(instance.clone()));
+            self.update_leader(instance, is_direct && was_replica);
         }
-        self.track_restarts(insts);
+        self.track_restarts(instances);
     }
 
     /// Derives the leader of a service from a heartbeat that reports the primary role.
@@ -120,21 +120,23 @@
     /// time.
     fn update_leader(&mut self, reported: &Instance, is_new_primary: bool) {
         // Use the table entry, since the heartbeat may be out of order.
-        let Some(inst) = self.table.get(&reported.id).filter(|inst| inst.primary && !inst.gone) else { return };
-        let lead = self.feed.leader(&inst.service);
-        let is_replaceable = lead.is_none_or(|lead| {
-            let held = self.table.get(&lead.id);
-            let promoted = self.leadership.promoted.get(&inst.service).filter(|held| held.term == lead.term);
-            let led = self.leader_changed_at.get(&inst.service).map_or(0, |at| at + LEADER_REPORT_US);
+        let Some(instance) = self.table.get(&reported.id).filter(|instance| instance.primary && !instance.gone) else {
+            return;
+        };
+        let leader = self.feed.leader(&instance.service);
+        let is_replaceable = leader.is_none_or(|leader| {
+            let held = self.table.get(&leader.id);
+            let promoted = self.leadership.promoted.get(&instance.service).filter(|held| held.term == leader.term);
+            let led = self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_US);
             held.is_some_and(|held| held.gone)
-                || (held.is_none_or(|held| !held.primary) && (lead.term == 0 || led <= self.now))
-                || promoted.is_some_and(|held| held.id == inst.id)
+                || (held.is_none_or(|held| !held.primary) && (leader.term == 0 || led <= self.now))
+                || promoted.is_some_and(|held| held.id == instance.id)
         });
-        if lead.is_none_or(|lead| lead.id != inst.id) && (is_new_primary || is_replaceable) {
-            let term = lead.map_or(0, |lead| lead.term);
-            let lead = Leader { service: inst.service.clone(), id: inst.id.clone(), term };
-            self.record_lead_change(&lead);
-            self.publish(FeedUpdate::Leader(lead));
+        if leader.is_none_or(|leader| leader.id != instance.id) && (is_new_primary || is_replaceable) {
+            let term = leader.map_or(0, |leader| leader.term);
+            let leader = Leader { service: instance.service.clone(), id: instance.id.clone(), term };
+            self.record_leader_change(&leader);
+            self.publish(FeedUpdate::Leader(leader));
             self.is_table_unsaved = true;
         }
     }
@@ -144,9 +146,9 @@
         self.feed.leader(service)
     }
 
-    pub(crate) fn merge_peer_instance(&mut self, inst: Instance) {
-        let changed = self.table.merge(inst.clone());
-        self.record_leave_time(&inst, ReportSource::Peer);
+    pub(crate) fn merge_peer_instance(&mut self, instance: Instance) {
+        let changed = self.table.merge(instance.clone());
+        self.record_leave_time(&instance, ReportSource::Peer);
         self.publish_instances(&changed, true);
     }
 
@@ -154,12 +156,12 @@
         let list: Vec<serde_json::Value> = self
             .table
             .iter()
-            .filter(|inst| !inst.gone)
-            .map(|inst| {
+            .filter(|instance| !instance.gone)
+            .map(|instance| {
                 serde_json::json!({
-                    "id": inst.id, "destination": inst.service, "address": inst.address, "zone": inst.zone,
-                    "state": if inst.draining { "draining" } else { "in_service" },
-                    "dbRole": if inst.primary { "primary" } else { "replica" }, "sequence": inst.sequence,
+                    "id": instance.id, "destination": instance.service, "address": instance.address, "zone": instance.zone,
+                    "state": if instance.draining { "draining" } else { "in_service" },
+                    "dbRole": if instance.primary { "primary" } else { "replica" }, "sequence": instance.sequence,
                 })
             })
             .collect();
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -70,25 +70,25 @@
         is_older
     }
 
-    fn age_us(&self, inst: &Instance, now: u64) -> u64 {
-        match self.since.get(&inst.id).filter(|_| inst.draining) {
+    fn age_us(&self, instance: &Instance, now: u64) -> u64 {
+        match self.since.get(&instance.id).filter(|_| instance.draining) {
             Some(since) => since.age_us(now),
-            None if !inst.draining && self.in_service.contains(&inst.id) => 0,
+            None if !instance.draining && self.in_service.contains(&instance.id) => 0,
             None => UNKNOWN_AGE_US,
         }
     }
 
     /// Sets the current leave ages in a message that is about to be sent.
-    pub(crate) fn stamp_ages(&self, msg: &mut Message, now: u64) {
-        let stamp = |inst: &mut Instance| inst.leaving_age_us = self.age_us(inst, now);
-        match msg {
-            Message::Instance { instance: inst, .. } | Message::Update { update: FeedUpdate::Instance(inst), .. } => {
-                stamp(inst)
+    pub(crate) fn stamp_ages(&self, message: &mut Message, now: u64) {
+        let stamp = |instance: &mut Instance| instance.leaving_age_us = self.age_us(instance, now);
+        match message {
+            Message::Instance { instance, .. } | Message::Update { update: FeedUpdate::Instance(instance), .. } => {
+                stamp(instance)
             }
-            Message::InstanceRange { instances: insts, .. } => insts.iter_mut().for_each(stamp),
+            Message::InstanceRange { instances, .. } => instances.iter_mut().for_each(stamp),
             Message::Snapshot { updates, .. } => updates.iter_mut().for_each(|update| {
-                if let FeedUpdate::Instance(inst) = update {
-                    stamp(inst);
+                if let FeedUpdate::Instance(instance) = update {
+                    stamp(instance);
                 }
             }),
             _ => {}
@@ -96,8 +96,8 @@
     }
 
     /// Whether access nodes have stopped assigning new work to this database.
-    fn is_past_drain(&self, inst: &Instance, now: u64) -> bool {
-        inst.gone || (inst.draining && self.age_us(inst, now) >= self.new_work_us + IN_FLIGHT_US)
+    fn is_past_drain(&self, instance: &Instance, now: u64) -> bool {
+        instance.gone || (instance.draining && self.age_us(instance, now) >= self.new_work_us + IN_FLIGHT_US)
     }
 
     pub(crate) fn retain_known(&mut self, is_known: impl Fn(&str) -> bool) {
@@ -116,21 +116,22 @@
     pub(crate) fn record_leave_time(&mut self, report: &Instance, source: ReportSource) {
         let Some(held) = self.table.get(&report.id).filter(|held| !held.gone) else { return };
         if self.leave_ages.record(report, held, source, (self.now, self.contact.stalls.lag_us(self.now))) {
-            let inst = held.clone();
-            self.publish(FeedUpdate::Instance(inst));
+            let instance = held.clone();
+            self.publish(FeedUpdate::Instance(instance));
         }
     }
 
     /// Sends all leaving databases in full, because digests do not cover leave ages and may compare equal.
     pub(crate) fn send_leaves(&mut self, link: u64) {
-        let leaving: Vec<Instance> = self.table.iter().filter(|inst| inst.draining && !inst.gone).cloned().collect();
+        let leaving: Vec<Instance> =
+            self.table.iter().filter(|instance| instance.draining && !instance.gone).cloned().collect();
         leaving
             .into_iter()
-            .for_each(|inst| self.send(link, Message::Instance { requester: 0, request: 0, instance: inst }));
+            .for_each(|instance| self.send(link, Message::Instance { requester: 0, request: 0, instance }));
     }
 
     /// Whether no access node in contact assigns new work to this database, because it is leaving or gone.
     pub(crate) fn is_past_drain(&self, id: &str) -> bool {
-        self.table.get(id).is_some_and(|inst| self.leave_ages.is_past_drain(inst, self.now))
+        self.table.get(id).is_some_and(|instance| self.leave_ages.is_past_drain(instance, self.now))
     }
 }
--- a/crates/wv-control/src/lib.rs
+++ b/crates/wv-control/src/lib.rs
@@ -3,7 +3,7 @@
 //! `Core` is free of I/O; `run` executes the effects that it requests.
 mod admission;
 mod committed;
-mod conf;
+mod configuration;
 mod contact;
 mod core;
 mod database_calls;
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -60,12 +60,13 @@
         page.figures(calls, &["service"], of(|held| held.calls))?;
         let stalls = ("windvalve_promotion_stalls", "Attempts at a promotion that led nowhere");
         page.figures(stalls, &["service"], of(|held| held.stalls))?;
-        let leaving = self.table.iter().filter(|inst| inst.draining && !inst.gone);
-        let role = |inst: &wv_internal_protocol::Instance| if inst.primary { "primary" } else { "replica" }.to_owned();
+        let leaving = self.table.iter().filter(|instance| instance.draining && !instance.gone);
+        let role =
+            |instance: &wv_internal_protocol::Instance| if instance.primary { "primary" } else { "replica" }.to_owned();
         page.figures(
             ("windvalve_database_leaving", "Databases that said that they leave and are not gone"),
             &["id", "service", "role"],
-            leaving.map(|inst| (vec![inst.id.clone(), inst.service.clone(), role(inst)], 1)),
+            leaving.map(|instance| (vec![instance.id.clone(), instance.service.clone(), role(instance)], 1)),
         )?;
         page.text()
     }
--- a/crates/wv-control/src/outages.rs
+++ b/crates/wv-control/src/outages.rs
@@ -37,13 +37,14 @@
     /// A restarted database may reappear under a new id at its old address: this counts as the same recovery.
     pub(crate) fn track_restarts(&mut self, changed: &[wv_internal_protocol::Instance]) {
         let now = self.now;
-        for inst in changed.iter().filter(|inst| !inst.gone) {
-            let is_known = self.outages.contains_key(&inst.id);
-            let old = self.table.iter().find(|old| old.gone && old.address == inst.address && old.id != inst.id);
+        for instance in changed.iter().filter(|instance| !instance.gone) {
+            let is_known = self.outages.contains_key(&instance.id);
+            let old =
+                self.table.iter().find(|old| old.gone && old.address == instance.address && old.id != instance.id);
             let Some(old) = old.filter(|_| !is_known).map(|old| old.id.clone()) else { continue };
             let falls = self.outages.remove(&old).map_or(1, |fall| fall.count);
-            self.outages.insert(inst.id.clone(), Outages { count: falls, last_at: now, is_down: false });
-            self.publish(FeedUpdate::SlowStart { id: inst.id.clone(), outages: falls });
+            self.outages.insert(instance.id.clone(), Outages { count: falls, last_at: now, is_down: false });
+            self.publish(FeedUpdate::SlowStart { id: instance.id.clone(), outages: falls });
         }
     }
 
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -1,5 +1,5 @@
 //! Links and their messages, from access nodes and from other control nodes.
-use crate::core::Core;
+use crate::core::{Core, CONFIGURATION_KEY};
 use crate::types::Link;
 use wv_internal_protocol::{Instance, Message};
 
@@ -14,7 +14,7 @@
     /// An outgoing link is established.
     pub fn link_up(&mut self, link: u64, now: u64) {
         self.advance_clock(now);
-        let Some(addr) = self.links.get(&link).and_then(|held| held.peer.clone()) else { return };
+        let Some(addr) = self.links.get(&link).and_then(|link| link.peer.clone()) else { return };
         self.peers.get_mut(&addr).into_iter().for_each(|peer| peer.is_up = true);
         self.send(
             link,
@@ -26,7 +26,7 @@
                 incarnation: self.incarnation,
             },
         );
-        self.send(link, self.peers_msg());
+        self.send(link, self.peers_message());
         if self.is_leaving_announced {
             self.send(link, Message::Leaving);
         }
@@ -39,8 +39,9 @@
         }
         self.send(link, Message::Sessions { sessions: self.membership.sessions(self.now) });
         // A peer that was disconnected may have missed promotions and changes of shard owners.
-        let leads: Vec<_> = self.feed.leaders().filter(|lead| lead.term > 0).cloned().map(Message::Leader).collect();
-        leads.into_iter().for_each(|lead| self.send(link, lead));
+        let leaders: Vec<_> =
+            self.feed.leaders().filter(|leader| leader.term > 0).cloned().map(Message::Leader).collect();
+        leaders.into_iter().for_each(|leader| self.send(link, leader));
         let owners: Vec<Message> = self.feed.owners().values().cloned().map(Message::Owner).collect();
         owners.into_iter().for_each(|owner| self.send(link, owner));
         let maps: Vec<Message> = self.feed.slots().values().cloned().map(Message::Slots).collect();
@@ -50,30 +51,30 @@
 
     pub fn link_down(&mut self, link: u64, now: u64) {
         self.advance_clock(now);
-        let Some(held) = self.links.remove(&link) else { return };
-        if let Some(peer) = held.peer.and_then(|addr| self.peers.get_mut(&addr)).filter(|peer| peer.link == Some(link))
+        let Some(lost) = self.links.remove(&link) else { return };
+        if let Some(peer) = lost.peer.and_then(|addr| self.peers.get_mut(&addr)).filter(|peer| peer.link == Some(link))
         {
             (peer.link, peer.is_up) = (None, false);
         }
         let is_elsewhere = |node: &str| self.links.values().any(|link| link.node.as_deref() == Some(node));
-        if let Some(node) = held.node.filter(|node| !is_elsewhere(node)) {
+        if let Some(node) = lost.node.filter(|node| !is_elsewhere(node)) {
             self.membership.end_session(&node);
         }
     }
 
-    pub fn handle_message(&mut self, link: u64, msg: Message, now: u64) {
+    pub fn handle_message(&mut self, link: u64, message: Message, now: u64) {
         self.advance_clock(now);
-        let Some(held) = self.links.get(&link) else { return };
-        let (peer, node) = (held.peer.clone(), held.node.clone());
+        let Some(sender) = self.links.get(&link) else { return };
+        let (peer, node) = (sender.peer.clone(), sender.node.clone());
         if let Some(addr) = &peer {
             self.membership.record_peer(addr, self.now);
         }
-        match (msg, peer, node) {
+        match (message, peer, node) {
             (Message::Hello { node, control_address, zone, forwarding_address, .. }, _, _) => {
                 self.handle_hello(link, node, (control_address, zone), &forwarding_address)
             }
-            (msg, Some(addr), _) => self.handle_peer_message(link, &addr, msg),
-            (msg, None, Some(node)) => self.handle_node_message(link, &node, msg),
+            (message, Some(addr), _) => self.handle_peer_message(link, &addr, message),
+            (message, None, Some(node)) => self.handle_node_message(link, &node, message),
             (_, None, None) => self.effects.push(crate::Effect::Close { link }),
         }
         self.run_proposer();
@@ -93,7 +94,7 @@
             self.membership.start_session(&node, forwarding_address, self.now);
             self.links.insert(link, Link { peer: None, node: Some(node), is_subscriber: false, resume_from: None });
         }
-        self.send(link, self.peers_msg());
+        self.send(link, self.peers_message());
     }
 
     pub(crate) fn add_peer(&mut self, addr: String) {
@@ -103,12 +104,12 @@
         }
     }
 
-    fn handle_node_message(&mut self, link: u64, node: &str, msg: Message) {
-        match msg {
+    fn handle_node_message(&mut self, link: u64, node: &str, message: Message) {
+        match message {
             Message::AccessHeartbeat { leaving } => self.membership.heartbeat(node, leaving, self.now),
             Message::Subscribe { incarnation, position } => {
-                if let Some(held) = self.links.get_mut(&link) {
-                    (held.is_subscriber, held.resume_from) = (false, Some((incarnation, position)));
+                if let Some(subscriber) = self.links.get_mut(&link) {
+                    (subscriber.is_subscriber, subscriber.resume_from) = (false, Some((incarnation, position)));
                 }
                 self.serve_subscriptions();
             }
@@ -133,27 +134,26 @@
                 self.send(link, Message::ControlHeartbeat { has_majority: false });
                 continue;
             }
-            self.links.get_mut(&link).into_iter().for_each(|held| held.is_subscriber = true);
-            let msgs = self.feed.messages_since(incarnation, position, &self.table);
-            msgs.into_iter().for_each(|msg| self.send(link, msg));
+            self.links.get_mut(&link).into_iter().for_each(|link| link.is_subscriber = true);
+            let messages = self.feed.messages_since(incarnation, position, &self.table);
+            messages.into_iter().for_each(|message| self.send(link, message));
         }
     }
 
-    fn handle_peer_message(&mut self, link: u64, addr: &str, msg: Message) {
-        match msg {
+    fn handle_peer_message(&mut self, link: u64, addr: &str, message: Message) {
+        match message {
             Message::Peers { addresses, voters, previous_voters, .. } => {
                 addresses.into_iter().for_each(|addr| self.add_peer(addr));
                 self.learn_voters(&voters, &previous_voters);
                 if voters.number < self.voter_state.voters.number {
-                    let msg = self.peers_msg();
-                    self.send(link, msg);
+                    self.send(link, self.peers_message());
                 }
             }
             Message::Sessions { sessions } => {
                 self.membership.set_peer_sessions(addr, sessions, self.now);
             }
             Message::Ping { requester, request } => {
-                let version = self.store.get(crate::core::CONF_KEY).map_or(0, |held| held.value.version);
+                let version = self.store.get(CONFIGURATION_KEY).map_or(0, |register| register.value.version);
                 let disk = self.has_disk.then_some(self.voter_state.disk);
                 let voter_set = self.voter_state.voting_set(&self.address);
                 let ready = self.is_ready_to_vote();
@@ -182,15 +182,17 @@
             Message::RegisterReply { requester, request, key, vote } => {
                 self.proposer.on_reply(addr, (requester, request), &key, vote, self.now);
             }
-            Message::CatchUp(msg) => self.on_catch_up(link, addr, msg),
+            Message::CatchUp(message) => self.on_catch_up(link, addr, message),
             Message::Leaving => self.on_peer_leaving(addr),
-            Message::Handover(msg) => self.on_handover(link, addr, msg),
-            msg @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
-                let reply = self.answer_change(msg);
+            Message::Handover(message) => self.on_handover(link, addr, message),
+            message @ (Message::PrepareSuccessor { .. } | Message::AcceptSuccessor { .. }) => {
+                let reply = self.answer_change(message);
                 reply.into_iter().for_each(|reply| self.send(link, reply));
             }
-            msg @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => self.on_successor(addr, msg),
-            Message::Committed { key, accepted } if key == crate::core::CONF_KEY => self.handle_committed(accepted),
+            message @ (Message::SuccessorVote { .. } | Message::SuccessorAccepted { .. }) => {
+                self.on_successor(addr, message)
+            }
+            Message::Committed { key, accepted } if key == CONFIGURATION_KEY => self.handle_committed(accepted),
             Message::ConfigurationRequest { version } => self.handle_configuration_request(link, version),
             Message::CommittedConfigurations(updates) => self.handle_committed_configurations(addr, updates),
             Message::Instance { requester, request, instance } => {
@@ -205,7 +207,7 @@
                 self.age_reports(&mut reports);
                 self.record_health_reports(&node, reports)
             }
-            Message::Leader(lead) => self.on_leader(lead),
+            Message::Leader(leader) => self.on_leader(leader),
             Message::Owner(owner) => self.on_owner(owner),
             Message::Slots(map) => self.publish_slots(map),
             Message::PeerDirtyKeys { node, dirty_keys } => self.on_dirty_keys(&node, dirty_keys),
@@ -215,7 +217,7 @@
             }
             Message::DirtyKeysAck { ref node, .. } | Message::ShardReportAck { ref node, .. } => {
                 let node = node.clone();
-                self.forward_to_access_node(&node, &msg);
+                self.forward_to_access_node(&node, &message);
             }
             Message::Promoting { service, id, max_wait_us } => {
                 self.publish(wv_internal_protocol::FeedUpdate::Promoting { service, id, max_wait_us });
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -58,7 +58,7 @@
     }
 
     pub(crate) fn request_promotion(&mut self, service: &str, id: String, fence: u64) {
-        if self.feed.leader(service).is_none_or(|lead| lead.id != id) {
+        if self.feed.leader(service).is_none_or(|leader| leader.id != id) {
             let (service, id, us) = (service.to_owned(), id.clone(), PROMOTION_WAIT_US);
             self.send_peers(&Message::Promoting { service: service.clone(), id: id.clone(), max_wait_us: us });
             self.publish(FeedUpdate::Promoting { service, id, max_wait_us: us });
--- a/crates/wv-control/src/redirect.rs
+++ b/crates/wv-control/src/redirect.rs
@@ -9,8 +9,8 @@
     pub fn handle_head(&mut self, method: &str, path: &str, now: u64) -> Option<(u16, String)> {
         self.advance_clock(now);
         let path = path.split('?').next().unwrap_or(path).trim_matches('/');
-        let is_conf = path == "configuration" && matches!(method, "PUT" | "GET");
-        (is_conf && self.is_diskless()).then(|| match self.voter_address() {
+        let is_configuration = path == "configuration" && matches!(method, "PUT" | "GET");
+        (is_configuration && self.is_diskless()).then(|| match self.voter_address() {
             Some(address) => (307, format!("http://{address}/configuration")),
             None => (503, "{\"cause\":\"no voter is in contact with this node\"}".to_owned()),
         })
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -53,12 +53,12 @@
             if out.is_empty() {
                 break;
             }
-            for (voter, msg) in out {
+            for (voter, message) in out {
                 if voter != self.address {
-                    self.send_peer(&voter, msg);
+                    self.send_peer(&voter, message);
                     continue;
                 }
-                let Message::RegisterRequest { requester, request, voter_set: set, key, step } = msg else {
+                let Message::RegisterRequest { requester, request, voter_set: set, key, step } = message else {
                     continue;
                 };
                 let vote = self.answer_register_step(set, &key, &step);
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -17,7 +17,11 @@
 impl Core {
     /// Assigns shards to their target owners, for those whose assignment duty is held here.
     pub(crate) fn assign_shards(&mut self) {
-        let Some(conf) = self.conf.as_ref().filter(|conf| !conf.partners.is_empty()) else { return };
+        let Some(configuration) =
+            self.configuration.as_ref().filter(|configuration| !configuration.partners.is_empty())
+        else {
+            return;
+        };
         if !self.is_stable_for(STABLE_CONTACT_US) || self.is_leaving {
             return;
         }
@@ -31,7 +35,7 @@
                 && (!session.is_new || owned.contains(session.node.as_str()))
         };
         let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
-        let wanted = wv_shard_assignment::assign(&conf.partners, &nodes, &conf.shards, &owners);
+        let wanted = wv_shard_assignment::assign(&configuration.partners, &nodes, &configuration.shards, &owners);
         let is_due = |(service, node): &(String, String)| {
             let owner = owners.get(service);
             let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|session| session.is_leaving));
@@ -119,16 +123,16 @@
 
     /// `GET /shards`: owners with their epochs, and the portions of the partners.
     pub(crate) fn list_shards(&mut self, token: u64) {
-        let Some(conf) = self.conf.as_ref() else {
+        let Some(configuration) = self.configuration.as_ref() else {
             return self.respond_no_configuration(token);
         };
         let members = self.membership.access_nodes(self.now);
         let nodes: BTreeSet<&str> = members.keys().map(String::as_str).collect();
-        let seats = wv_shard_assignment::seats(&conf.partners, &nodes);
-        let quotas = wv_shard_assignment::quotas(&conf.partners, &seats, conf.shards.len());
-        let partner_of = |node: &str| seats.iter().position(|seat| seat.contains(&node));
+        let seats = wv_shard_assignment::seats(&configuration.partners, &nodes);
+        let quotas = wv_shard_assignment::quotas(&configuration.partners, &seats, configuration.shards.len());
+        let partner_of = |node: &str| seats.iter().position(|index| index.contains(&node));
         let owner = |service: &String| self.feed.owners().get(service);
-        let shards: Vec<serde_json::Value> = conf
+        let shards: Vec<serde_json::Value> = configuration
             .shards
             .iter()
             .map(|service| {
@@ -137,16 +141,16 @@
                     "shard": service, "owner": held.map(|held| held.node.as_str()),
                     "place": held.map(|held| held.forwarding_address.as_str()),
                     "number": held.map_or(0, |held| held.epoch), "moving": self.owner_writes.contains(service),
-                    "partner": held.and_then(|held| partner_of(&held.node)).map(|at| conf.partners[at].label.as_str()),
+                    "partner": held.and_then(|held| partner_of(&held.node)).map(|at| configuration.partners[at].label.as_str()),
                     "live": held.is_some_and(|held| nodes.contains(held.node.as_str())),
                 })
             })
             .collect();
         let held = |at: usize| {
             let its = |service: &&String| owner(service).and_then(|held| partner_of(&held.node)) == Some(at);
-            conf.shards.iter().filter(its).count()
+            configuration.shards.iter().filter(its).count()
         };
-        let partners: Vec<serde_json::Value> = conf
+        let partners: Vec<serde_json::Value> = configuration
             .partners
             .iter()
             .enumerate()
--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -65,11 +65,11 @@
 
     /// Reads the slot maps that are not known here yet; subscriptions wait for them.
     pub(crate) fn sync_slots(&mut self) {
-        let Some(conf) = self.conf.as_ref().filter(|_| self.contact.is_established) else { return };
+        let Some(configuration) = self.configuration.as_ref().filter(|_| self.contact.is_established) else { return };
         let is_new = |shard: &String| {
             !self.contact.synced_shards.contains(shard) && !self.contact.syncing_shards.contains(shard)
         };
-        let new: Vec<String> = conf.shard_plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
+        let new: Vec<String> = configuration.shard_plans.iter().map(|plan| plan.shard.clone()).filter(is_new).collect();
         for shard in new {
             self.contact.syncing_shards.insert(shard.clone());
             self.start_register_op(&shard, "slots", ShardRegisterOp::SyncSlots(self.contact.generation), None);
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -1,5 +1,5 @@
 //! Operator requests on planned shards: splits, key names and usage histories.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::shard_usage::{ShardUsage, SPLIT_REQUEST_US};
 use wv_shard_forecast::History;
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -1,5 +1,5 @@
 //! Status of planned shards, and routing of operator calls on them.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use wv_shard_forecast::{Crossing, Forecast, Outlook};
@@ -71,7 +71,7 @@
 
     /// `GET /forecast` and `GET /splits`: all planned shards, as last reported by their holders.
     pub(crate) fn list_shard_status(&mut self, token: u64) {
-        let Some(conf) = self.conf.as_ref() else {
+        let Some(configuration) = self.configuration.as_ref() else {
             return self.respond_no_configuration(token);
         };
         let reported = |plan: &wv_configuration::ShardPlan| {
@@ -79,8 +79,11 @@
             serde_json::from_str::<serde_json::Value>(text).ok()
         };
         let unknown = |shard: &str| serde_json::json!({ "shard": shard, "forecast": forecast_json(None) });
-        let list: Vec<serde_json::Value> =
-            conf.shard_plans.iter().map(|plan| reported(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
+        let list: Vec<serde_json::Value> = configuration
+            .shard_plans
+            .iter()
+            .map(|plan| reported(plan).unwrap_or_else(|| unknown(&plan.shard)))
+            .collect();
         self.respond(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
     }
 
@@ -88,7 +91,7 @@
     pub(crate) fn handle_shard_call(&mut self, token: u64, method: &str, path: (&str, &str), body: Option<&[u8]>) {
         let (part, shard) = path;
         // Only a node that knows the newest configuration may answer that a plan does not exist.
-        if self.conf.is_none() || !self.is_caught_up() {
+        if self.configuration.is_none() || !self.is_caught_up() {
             return self.respond(token, 503, error_body("no majority of the voters is in contact, call again"));
         }
         if self.shard_plan(shard).is_none() {
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -1,5 +1,5 @@
 //! Usage of planned shards, their forecasts, and operator calls that wait for stored state.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use nanoserde::{DeBin, SerBin};
@@ -214,9 +214,9 @@
     }
 
     /// Acknowledges a report by incarnation and serial: another incarnation may use the same serial.
-    fn send_report_ack(&mut self, shard: &str, (node, life, serial): (String, u64, u64)) {
-        let msg = Message::ShardReportAck { node: node.clone(), shard: shard.to_owned(), incarnation: life, serial };
-        self.send_to_access_node(&node, msg);
+    fn send_report_ack(&mut self, shard: &str, (node, incarnation, serial): (String, u64, u64)) {
+        let message = Message::ShardReportAck { node: node.clone(), shard: shard.to_owned(), incarnation, serial };
+        self.send_to_access_node(&node, message);
     }
 
     /// Handles an access node's report: forwards it to the shard's holder, or merges it if held here.
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_configuration::ShardPlan> {
-        self.conf.as_ref()?.shard_plans.iter().find(|plan| plan.shard == shard)
+        self.configuration.as_ref()?.shard_plans.iter().find(|plan| plan.shard == shard)
     }
 
     /// The slots that the shard started with: all of them, or those moved to it by the split of another shard.
@@ -76,8 +76,8 @@
     /// Drives all shards whose split duty is held here.
     pub(crate) fn run_shards(&mut self) {
         self.sync_slots();
-        let Some(conf) = &self.conf else { return };
-        let planned = conf.shard_plans.iter().map(|plan| plan.shard.clone());
+        let Some(configuration) = &self.configuration else { return };
+        let planned = configuration.shard_plans.iter().map(|plan| plan.shard.clone());
         let names: std::collections::BTreeSet<String> = planned.chain(self.shards.keys().cloned()).collect();
         for shard in names {
             let is_known = self.shards.contains_key(&shard);
@@ -100,9 +100,9 @@
             pace: plan.max_rows_per_s,
             seal_us: plan.seal_timeout_us,
         });
-        let lead = |service: &str| self.feed.leader(service).map(|lead| (lead.id.clone(), lead.term));
-        let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
-        let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |inst| inst.capacity);
+        let leader = |service: &str| self.feed.leader(service).map(|leader| (leader.id.clone(), leader.term));
+        let (source, target) = (leader(shard), plan.as_ref().and_then(|plan| leader(&plan.target)));
+        let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |instance| instance.capacity);
         let first = self.initial_slots(shard);
         let is_holder = self.is_shard_holder(shard) && self.is_stable_for(STABLE_CONTACT_US) && !self.is_leaving;
         let view = View {
@@ -141,7 +141,7 @@
                     Side::Source => shard.to_owned(),
                     Side::Target => plan.map(|plan| plan.upper.clone()).unwrap_or_default(),
                 };
-                let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
+                let Some(addr) = self.table.get(&id).map(|instance| instance.address.clone()) else {
                     return self.on_split_event(shard, Event::Ran { token, replies: None });
                 };
                 let run = self.allocate_id();
@@ -180,7 +180,7 @@
             self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys });
             return;
         }
-        let (shard, attempt, life, serial) =
+        let (shard, attempt, incarnation, serial) =
             (dirty_keys.shard.clone(), dirty_keys.attempt, dirty_keys.incarnation, dirty_keys.serial);
         // Without the ballot the report cannot be attributed to an attempt; the access node resends it.
         if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
@@ -189,24 +189,24 @@
         self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks: dirty_keys });
         self.send_to_access_node(
             node,
-            Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
+            Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation, serial },
         );
     }
 
     /// Sends a message to an access node over its session here, or through the control node that has its session.
-    pub(crate) fn send_to_access_node(&mut self, node: &str, msg: Message) {
+    pub(crate) fn send_to_access_node(&mut self, node: &str, message: Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         if own.is_empty() {
-            self.send_peers(&msg);
+            self.send_peers(&message);
         }
-        own.into_iter().for_each(|link| self.send(link, msg.clone()));
+        own.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 
     /// Delivers a message for an access node that another control node forwarded.
-    pub(crate) fn forward_to_access_node(&mut self, node: &str, msg: &Message) {
+    pub(crate) fn forward_to_access_node(&mut self, node: &str, message: &Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
-        own.into_iter().for_each(|link| self.send(link, msg.clone()));
+        own.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 }
--- a/crates/wv-control/src/statements.rs
+++ b/crates/wv-control/src/statements.rs
@@ -24,8 +24,8 @@
                     reply.code = Some(code);
                     false
                 }
-                DatabaseLine::Idle(_, pos) => {
-                    reply.pos = pos;
+                DatabaseLine::Idle(_, position) => {
+                    reply.pos = position;
                     true
                 }
                 DatabaseLine::Unknown => return None,
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -21,18 +21,18 @@
 }
 
 impl From<&Instance> for StoredInstance {
-    fn from(inst: &Instance) -> StoredInstance {
+    fn from(instance: &Instance) -> StoredInstance {
         StoredInstance {
-            id: inst.id.clone(),
-            service: inst.service.clone(),
-            addr: inst.address.clone(),
-            zone: inst.zone.clone(),
-            capacity: inst.capacity,
-            draining: inst.draining,
-            cold_us: inst.cold_left_us,
-            primary: inst.primary,
-            sequence: inst.sequence,
-            gone: inst.gone,
+            id: instance.id.clone(),
+            service: instance.service.clone(),
+            addr: instance.address.clone(),
+            zone: instance.zone.clone(),
+            capacity: instance.capacity,
+            draining: instance.draining,
+            cold_us: instance.cold_left_us,
+            primary: instance.primary,
+            sequence: instance.sequence,
+            gone: instance.gone,
         }
     }
 }
@@ -77,7 +77,7 @@
             instances: self
                 .table
                 .iter()
-                .filter(|inst| !inst.gone || needed.contains(&inst.id))
+                .filter(|instance| !instance.gone || needed.contains(&instance.id))
                 .map(StoredInstance::from)
                 .collect(),
             leaders: self.feed.leaders().cloned().collect(),
@@ -102,19 +102,19 @@
         self.stored_node_count = stored.nodes;
         // A departed database may have held records that no other one has, so departures are restored as well.
         let (gone, here): (Vec<Instance>, Vec<Instance>) =
-            stored.instances.into_iter().map(Instance::from).partition(|inst: &Instance| inst.gone);
-        for inst in gone {
-            self.departures.insert(inst.id.clone(), Default::default());
-            self.table.merge(Instance { gone: false, ..inst.clone() });
-            self.table.merge(inst);
+            stored.instances.into_iter().map(Instance::from).partition(|instance: &Instance| instance.gone);
+        for instance in gone {
+            self.departures.insert(instance.id.clone(), Default::default());
+            self.table.merge(Instance { gone: false, ..instance.clone() });
+            self.table.merge(instance);
         }
-        for inst in here {
-            if !inst.primary {
-                self.leadership.replicas.insert(inst.id.clone());
+        for instance in here {
+            if !instance.primary {
+                self.leadership.replicas.insert(instance.id.clone());
             }
-            let changed = self.table.merge(inst);
-            changed.into_iter().for_each(|inst| self.publish(FeedUpdate::Instance(inst)));
+            let changed = self.table.merge(instance);
+            changed.into_iter().for_each(|instance| self.publish(FeedUpdate::Instance(instance)));
         }
-        stored.leaders.into_iter().for_each(|lead| self.publish(FeedUpdate::Leader(lead)));
+        stored.leaders.into_iter().for_each(|leader| self.publish(FeedUpdate::Leader(leader)));
     }
 }
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -37,13 +37,13 @@
             return;
         }
         self.last_sweep = self.now;
-        let Some(conf) = self.conf.as_ref() else { return };
+        let Some(configuration) = self.configuration.as_ref() else { return };
         let is_named = |is_plan: bool, name: &str| {
-            let is_plan_named = || conf.shard_plans.iter().any(|plan| plan.shard == name);
+            let is_plan_named = || configuration.shard_plans.iter().any(|plan| plan.shard == name);
             if is_plan {
                 is_plan_named()
             } else {
-                conf.services.contains_key(name)
+                configuration.services.contains_key(name)
             }
         };
         let is_gone = |(key, held): &(&str, &AcceptorState)| {
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -73,8 +73,8 @@
 
     pub(crate) fn ping(&mut self) {
         self.last_ping = self.now;
-        let msg = self.new_ping();
-        self.send_peers(&msg);
+        let message = self.new_ping();
+        self.send_peers(&message);
     }
 
     fn dial(&mut self) {
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -6,7 +6,7 @@
 pub enum Effect {
     Send {
         link: u64,
-        msg: Message,
+        message: Message,
     },
     Close {
         link: u64,
@@ -99,7 +99,7 @@
     pub known_since: u64,
     pub zone: String,
     /// The configuration version that it last reported.
-    pub conf_version: u64,
+    pub configuration_version: u64,
 }
 
 /// A request of a duty to a database or the platform, and the duty's step that waits for it (0 for none).
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -106,15 +106,15 @@
     }
 
     /// Handles both sides of a comparison.
-    pub(crate) fn on_catch_up(&mut self, link: u64, addr: &str, msg: CatchUp) {
-        match msg {
+    pub(crate) fn on_catch_up(&mut self, link: u64, addr: &str, message: CatchUp) {
+        match message {
             CatchUp::Compare { request, voters, previous: before, digest } => {
                 // Learning of the new set ends voting in the previous one: only then are the registers sent from here
                 // final.
                 self.learn_voters(&voters, &before);
                 if self.voter_state.voters.number > voters.number {
-                    let msg = self.peers_msg();
-                    return self.send(link, msg);
+                    let message = self.peers_message();
+                    return self.send(link, message);
                 }
                 let set = self.voter_state.source_set(&self.address);
                 if set > 0 {
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -9,20 +9,20 @@
 
 impl Core {
     /// Sends a step of a change. This node's own part comes last, because it may already trigger the next step.
-    pub(crate) fn send_change_step(&mut self, msgs: Vec<(String, Message)>) {
+    pub(crate) fn send_change_step(&mut self, messages: Vec<(String, Message)>) {
         let digests = anti_entropy::range_digests(&self.store);
         let me = self.address.clone();
-        let (own, others): (Vec<_>, Vec<_>) = msgs.into_iter().partition(|(voter, _)| *voter == me);
-        for (voter, mut msg) in others {
-            match &mut msg {
+        let (own, others): (Vec<_>, Vec<_>) = messages.into_iter().partition(|(voter, _)| *voter == me);
+        for (voter, mut message) in others {
+            match &mut message {
                 Message::Handover(Handover::Seal { digest, .. }) => *digest = anti_entropy::combined_digest(&digests),
                 Message::Handover(Handover::Fetch { digests: told, .. }) => *told = digests.clone(),
                 _ => {}
             }
-            self.send_peer(&voter, msg);
+            self.send_peer(&voter, message);
         }
-        for (_, msg) in own {
-            match msg {
+        for (_, message) in own {
+            match message {
                 // This node holds its own registers already, so there is nothing to compare or fetch.
                 Message::Handover(Handover::Seal { request, set, fence, .. }) => {
                     let sealed = self.seal_voter(set, fence);
@@ -33,8 +33,8 @@
                         self.on_fetched(&me, request);
                     }
                 }
-                msg => {
-                    let reply = self.answer_change(msg);
+                message => {
+                    let reply = self.answer_change(message);
                     reply.into_iter().for_each(|reply| self.on_successor(&me, reply));
                 }
             }
@@ -42,8 +42,8 @@
     }
 
     /// A voter's reply to the node that drives the change.
-    pub(crate) fn answer_change(&mut self, msg: Message) -> Option<Message> {
-        match msg {
+    pub(crate) fn answer_change(&mut self, message: Message) -> Option<Message> {
+        match message {
             Message::PrepareSuccessor { request, voter_set: set, fence } => {
                 let claimed = self
                     .voter_state
@@ -77,8 +77,8 @@
         self.voter_state.mark_complete(&mut self.store, set).map_err(log_not_stored).unwrap_or(false)
     }
 
-    pub(crate) fn on_handover(&mut self, link: u64, addr: &str, msg: Handover) {
-        match msg {
+    pub(crate) fn on_handover(&mut self, link: u64, addr: &str, message: Handover) {
+        match message {
             Handover::Seal { request, set, fence, digest } => {
                 let Some(ok) = self.seal_voter(set, fence) else { return };
                 let digests = anti_entropy::range_digests(&self.store);
@@ -179,8 +179,8 @@
         self.advance_change(None);
     }
 
-    pub(crate) fn on_successor(&mut self, voter: &str, msg: Message) {
-        let end = self.change.as_mut().and_then(|change| match msg {
+    pub(crate) fn on_successor(&mut self, voter: &str, message: Message) {
+        let end = self.change.as_mut().and_then(|change| match message {
             Message::SuccessorVote { request, ok, fence, successor: next } => {
                 change.handle_prepared(voter, request, ok, fence, next)
             }
@@ -196,7 +196,7 @@
             // Sends the next step at once instead of at the next tick.
             None => {
                 let due = self.change.as_mut().map(|change| change.tick(self.now));
-                due.into_iter().flatten().for_each(|msgs| self.send_change_step(msgs));
+                due.into_iter().flatten().for_each(|messages| self.send_change_step(messages));
             }
         }
     }
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -16,7 +16,7 @@
 const PEER_RETENTION_US: u64 = 60_000_000;
 
 impl Core {
-    pub(crate) fn peers_msg(&self) -> Message {
+    pub(crate) fn peers_message(&self) -> Message {
         let is_worth =
             |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_seed_or_voter(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
@@ -65,8 +65,8 @@
         self.change = None;
         self.voters_changed_at = self.now;
         self.catch_up.reset();
-        let msg = self.peers_msg();
-        self.send_peers(&msg);
+        let message = self.peers_message();
+        self.send_peers(&message);
         self.run_catch_up();
         self.ping();
     }
@@ -75,12 +75,12 @@
     pub(crate) fn run_voter_change(&mut self) {
         // Announces the set that this disk failed to store, so that peers with the newer set send it again.
         if std::mem::take(&mut self.is_voter_update_unsaved) {
-            let msg = self.peers_msg();
-            self.send_peers(&msg);
+            let message = self.peers_message();
+            self.send_peers(&message);
         }
         let due = self.change.as_mut().map(|change| change.tick(self.now));
         match due {
-            Some(Ok(msgs)) => self.send_change_step(msgs),
+            Some(Ok(messages)) => self.send_change_step(messages),
             Some(Err(end)) => self.end_change(end),
             None => self.start_planned_change(),
         }
--- a/crates/wv-control/tests/common/mod.rs
+++ b/crates/wv-control/tests/common/mod.rs
@@ -41,17 +41,17 @@
     }
 
     /// Delivers a message of `from` and returns the messages sent in response.
-    pub fn receive(&mut self, from: &str, msg: Message) -> Vec<(u64, Message)> {
+    pub fn receive(&mut self, from: &str, message: Message) -> Vec<(u64, Message)> {
         self.now += 1_000;
         let link = self.links[&format!("{from}:80")];
-        self.core.handle_message(link, msg, self.now);
+        self.core.handle_message(link, message, self.now);
         self.take_sent()
     }
 
     pub fn take_sent(&mut self) -> Vec<(u64, Message)> {
         let effects = self.core.take_effects().into_iter();
         effects
-            .filter_map(|effect| if let Effect::Send { link, msg } = effect { Some((link, msg)) } else { None })
+            .filter_map(|effect| if let Effect::Send { link, message } = effect { Some((link, message)) } else { None })
             .collect()
     }
 
--- a/crates/wv-control/tests/contact.rs
+++ b/crates/wv-control/tests/contact.rs
@@ -18,8 +18,8 @@
     let late = node.take_sent(is_ping);
     assert_that!(late.len(), ge(2));
     node.now += 20 * S;
-    for (from, msg) in &late {
-        node.receive(from, reply(msg).expect("a pong"));
+    for (from, message) in &late {
+        node.receive(from, reply(message).expect("a pong"));
     }
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((false, false)));
     expect_that!(node.call("PUT", "/configuration", "{\"issue\":7,\"routing\":[],\"services\":[]}"), some(eq(503)));
@@ -30,13 +30,13 @@
 fn given_a_delayed_pong_then_contact_is_timed_from_when_the_ping_was_sent() {
     let mut node = Node::new();
     node.run_answering(2 * S);
-    let (asked, late) = node.next_pings();
+    let (sent_at, late) = node.next_pings();
     node.run(600 * MS);
-    for (from, msg) in &late {
-        node.receive(from, reply(msg).expect("a pong"));
+    for (from, message) in &late {
+        node.receive(from, reply(message).expect("a pong"));
     }
     expect_that!(node.core.has_majority(), eq(true));
-    node.now = asked + 1300 * MS - 1;
+    node.now = sent_at + 1300 * MS - 1;
     node.core.wake(node.now);
     expect_that!(node.core.has_majority(), eq(true));
     node.now += 1;
@@ -48,23 +48,13 @@
 fn given_pongs_for_another_incarnation_with_the_same_request_numbers_then_they_do_not_establish_contact() {
     let mut node = Node::new();
     node.run(500 * MS);
-    for (from, msg) in node.take_sent(is_ping) {
-        let Some(Message::Pong { request, version: conf, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
-            reply(&msg)
-        else {
+    for (from, message) in node.take_sent(is_ping) {
+        let Some(Message::Pong { request, version, disk, voter_set, sealed_set, ready, .. }) = reply(&message) else {
             continue;
         };
         node.receive(
             &from,
-            Message::Pong {
-                requester: REQUESTER_ID + 1,
-                request,
-                version: conf,
-                disk,
-                voter_set: set,
-                sealed_set: sealed,
-                ready,
-            },
+            Message::Pong { requester: REQUESTER_ID + 1, request, version, disk, voter_set, sealed_set, ready },
         );
     }
     expect_that!(node.core.has_majority(), eq(false));
@@ -77,22 +67,18 @@
     let mut node = Node::new();
     node.run_answering(2 * S);
     // One voter answers at once, the other just before contact expires, reporting a newer configuration.
-    let (asked, mut pings) = node.next_pings();
+    let (sent_at, mut pings) = node.next_pings();
     let late = pings.pop().expect("two voters");
     node.receive(&pings[0].0, reply(&pings[0].1).expect("a pong"));
-    node.run(asked + 1200 * MS - node.now);
-    let Some(Message::Pong { requester, request, disk, voter_set: set, sealed_set: sealed, ready, .. }) =
-        reply(&late.1)
-    else {
+    node.run(sent_at + 1200 * MS - node.now);
+    let Some(Message::Pong { requester, request, disk, voter_set, sealed_set, ready, .. }) = reply(&late.1) else {
         return;
     };
-    node.receive(
-        &late.0,
-        Message::Pong { requester, request, version: 9, disk, voter_set: set, sealed_set: sealed, ready },
-    );
+    node.receive(&late.0, Message::Pong { requester, request, version: 9, disk, voter_set, sealed_set, ready });
     expect_that!(node.core.is_caught_up(), eq(true));
-    let is_conf_read = |msg: &Message| matches!(msg, Message::RegisterRequest { key, .. } if key == "conf");
-    let reads = node.take_sent(is_conf_read);
+    let is_configuration_read =
+        |message: &Message| matches!(message, Message::RegisterRequest { key, .. } if key == "conf");
+    let reads = node.take_sent(is_configuration_read);
     assert_that!(reads.len(), ge(1));
     node.run(100 * MS);
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((false, false)));
@@ -100,9 +86,9 @@
     let (_, pings) = node.next_pings();
     node.receive(&pings[0].0, reply(&pings[0].1).expect("a pong"));
     expect_that!(node.core.has_majority(), eq(true));
-    node.answer(|msg| matches!(msg, Message::Resync { .. }));
-    for (from, msg) in &reads {
-        node.receive(from, reply(msg).expect("a vote"));
+    node.answer(|message| matches!(message, Message::Resync { .. }));
+    for (from, message) in &reads {
+        node.receive(from, reply(message).expect("a vote"));
     }
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     node.run_answering(300 * MS);
@@ -114,11 +100,11 @@
     let mut node = Node::new();
     for _ in 0..20 {
         node.run(100 * MS);
-        (0..6).for_each(|_| node.answer(|msg| !matches!(msg, Message::Resync { .. })));
+        (0..6).for_each(|_| node.answer(|message| !matches!(message, Message::Resync { .. })));
     }
     expect_that!((node.core.has_majority(), node.core.is_caught_up()), eq((true, false)));
     // Replies to another request or another incarnation are ignored.
-    let resync = node.take_sent(|msg| matches!(msg, Message::Resync { .. })).pop();
+    let resync = node.take_sent(|message| matches!(message, Message::Resync { .. })).pop();
     let Some((from, Message::Resync { requester, request, .. })) = resync else {
         return expect_that!(true, eq(false));
     };
@@ -137,7 +123,7 @@
     // No peer acknowledges the leave before the call times out, neither at first nor when the database retries.
     for _ in 0..2 {
         expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-        node.take_sent(|msg| matches!(msg, Message::Instance { .. }));
+        node.take_sent(|message| matches!(message, Message::Instance { .. }));
         (0..9).for_each(|_| {
             node.run(100 * MS);
             node.answer(is_ping);
@@ -148,7 +134,7 @@
     // One other node holds it: a majority together with this node, and as many others as may fail.
     let returns_before = node.responses.len();
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let sent = node.take_sent(|msg| matches!(msg, Message::Instance { .. }));
+    let sent = node.take_sent(|message| matches!(message, Message::Instance { .. }));
     node.receive(&sent[0].0, reply(&sent[0].1).expect("held"));
     expect_that!(node.responses.len(), eq(returns_before + 1));
     expect_that!(node.responses.values().last(), some(eq(&200)));
@@ -157,7 +143,9 @@
     // A leave of an unknown database is forwarded, since other nodes may know it.
     expect_that!(node.call("DELETE", "/instances/i-2", ""), none());
     expect_that!(
-        node.take_sent(|msg| matches!(msg, Message::Instance { instance: inst, .. } if inst.gone && inst.id == "i-2")),
+        node.take_sent(
+            |message| matches!(message, Message::Instance { instance, .. } if instance.gone && instance.id == "i-2")
+        ),
         not(is_empty())
     );
 }
@@ -167,7 +155,7 @@
     let mut node = Node::with_tolerance(2);
     node.run_answering(2 * S);
     expect_that!(node.call("PUT", "/instances/i-1", DRAIN), none());
-    let sent = node.take_sent(|msg| matches!(msg, Message::Instance { .. }));
+    let sent = node.take_sent(|message| matches!(message, Message::Instance { .. }));
     node.receive(&sent[0].0, reply(&sent[0].1).expect("held"));
     expect_that!(node.responses.values().collect::<Vec<_>>(), is_empty());
     node.receive(&sent[1].0, reply(&sent[1].1).expect("held"));
@@ -183,22 +171,31 @@
         let (sent, rest) = std::mem::take(&mut node.sent).into_iter().partition(|(to, _)| to == "a0");
         node.sent = rest;
         let sent: Vec<(String, Message)> = sent;
-        sent.into_iter().map(|(_, msg)| msg).collect()
+        sent.into_iter().map(|(_, message)| message).collect()
     };
-    expect_that!(sent_to_follower(&mut node).iter().any(|msg| matches!(msg, Message::Snapshot { .. })), eq(true));
-    let (asked, pings) = node.next_pings();
-    for (from, msg) in &pings {
-        node.receive(from, reply(msg).expect("a pong"));
+    expect_that!(
+        sent_to_follower(&mut node).iter().any(|message| matches!(message, Message::Snapshot { .. })),
+        eq(true)
+    );
+    let (sent_at, pings) = node.next_pings();
+    for (from, message) in &pings {
+        node.receive(from, reply(message).expect("a pong"));
     }
-    node.run(asked + 1200 * MS - node.now);
+    node.run(sent_at + 1200 * MS - node.now);
     let before = sent_to_follower(&mut node);
-    expect_that!(before.iter().any(|msg| matches!(msg, Message::ControlHeartbeat { has_majority: false })), eq(false));
+    expect_that!(
+        before.iter().any(|message| matches!(message, Message::ControlHeartbeat { has_majority: false })),
+        eq(false)
+    );
     node.run(100 * MS);
     expect_that!(sent_to_follower(&mut node), contains(eq(&Message::ControlHeartbeat { has_majority: false })));
     // Heartbeats of databases are still recorded, but not published to followers.
     node.call("PUT", "/instances/i-7", BEAT);
     let after = sent_to_follower(&mut node);
-    expect_that!(after.iter().any(|msg| matches!(msg, Message::Update { .. } | Message::Snapshot { .. })), eq(false));
+    expect_that!(
+        after.iter().any(|message| matches!(message, Message::Update { .. } | Message::Snapshot { .. })),
+        eq(false)
+    );
 }
 
 #[gtest]
@@ -208,13 +205,13 @@
         node.run_answering(2 * S);
         for _ in 0..30 {
             node.run(100 * MS);
-            for (from, msg) in node.take_sent(is_ping) {
-                let Some(Message::Pong { requester, request, version: conf, disk, ready, .. }) = reply(&msg) else {
+            for (from, message) in node.take_sent(is_ping) {
+                let Some(Message::Pong { requester, request, version, disk, ready, .. }) = reply(&message) else {
                     continue;
                 };
                 node.receive(
                     &from,
-                    Message::Pong { requester, request, version: conf, disk, voter_set: 0, sealed_set: sealed, ready },
+                    Message::Pong { requester, request, version, disk, voter_set: 0, sealed_set: sealed, ready },
                 );
             }
         }
--- a/crates/wv-control/tests/leaders.rs
+++ b/crates/wv-control/tests/leaders.rs
@@ -26,7 +26,7 @@
 }
 
 fn leader(node: &Node) -> (String, u64) {
-    node.core.leader("s").map(|lead| (lead.id.clone(), lead.term)).unwrap_or_default()
+    node.core.leader("s").map(|leader| (leader.id.clone(), leader.term)).unwrap_or_default()
 }
 
 /// A node that knows a primary and a replica and is told that the replica was promoted.
--- a/crates/wv-control/tests/leave_acks.rs
+++ b/crates/wv-control/tests/leave_acks.rs
@@ -20,7 +20,7 @@
     node.run_answering(single_node::S);
     node.sent.clear();
     expect_that!(heartbeat(&mut node, "draining", 2), none());
-    let sent = node.take_sent(|msg| matches!(msg, Message::Instance { request, .. } if *request > 0));
+    let sent = node.take_sent(|message| matches!(message, Message::Instance { request, .. } if *request > 0));
     expect_that!(sent.len(), eq(2));
     let Message::Instance { requester, request, .. } = sent[0].1.clone() else { return };
     let ack = |requester, request, id: &str| Message::InstanceAck { requester, request, id: id.to_owned() };
--- a/crates/wv-control/tests/leave_ages.rs
+++ b/crates/wv-control/tests/leave_ages.rs
@@ -25,7 +25,7 @@
 }
 
 fn report(draining: bool, sequence: u64, leaving_us: u64) -> Message {
-    let inst = Instance {
+    let instance = Instance {
         id: "d1".to_owned(),
         service: "s".to_owned(),
         address: "10.9.0.1:80".to_owned(),
@@ -35,24 +35,24 @@
         leaving_age_us: leaving_us,
         ..Instance::default()
     };
-    Message::Instance { requester: 0, request: 0, instance: inst }
+    Message::Instance { requester: 0, request: 0, instance }
 }
 
 /// The ages in all messages on the database that were sent since the last call.
 fn ages(node: &mut Node) -> Vec<u64> {
     let sent = std::mem::take(&mut node.sent);
     let in_update = |update: &FeedUpdate| match update {
-        FeedUpdate::Instance(inst) => Some(inst.leaving_age_us),
+        FeedUpdate::Instance(instance) => Some(instance.leaving_age_us),
         _ => None,
     };
-    let age = |msg: &Message| match msg {
-        Message::Instance { instance: inst, .. } => Some(inst.leaving_age_us),
+    let age = |message: &Message| match message {
+        Message::Instance { instance, .. } => Some(instance.leaving_age_us),
         Message::Update { update, .. } => in_update(update),
         Message::Snapshot { updates, .. } => updates.iter().find_map(in_update),
-        Message::InstanceRange { instances: insts, .. } => insts.first().map(|inst| inst.leaving_age_us),
+        Message::InstanceRange { instances, .. } => instances.first().map(|instance| instance.leaving_age_us),
         _ => None,
     };
-    sent.iter().filter_map(|(_, msg)| age(msg)).collect()
+    sent.iter().filter_map(|(_, message)| age(message)).collect()
 }
 
 /// The age in the snapshot for an access node that subscribes now.
@@ -142,10 +142,11 @@
     let link = node.links[PEER];
     node.core.link_down(link, node.now);
     node.run(S);
-    let sent = node.take_sent(|msg| matches!(msg, Message::Instance { .. }));
+    let sent = node.take_sent(|message| matches!(message, Message::Instance { .. }));
     expect_that!(sent.len(), ge(1));
-    let is_old = |msg: &Message| matches!(msg, Message::Instance { instance: inst, .. } if inst.leaving_age_us >= S);
-    expect_that!(sent.iter().all(|(_, msg)| is_old(msg)), eq(true));
+    let is_old =
+        |message: &Message| matches!(message, Message::Instance { instance, .. } if instance.leaving_age_us >= S);
+    expect_that!(sent.iter().all(|(_, message)| is_old(message)), eq(true));
 }
 
 #[gtest]
@@ -156,7 +157,7 @@
     node.sent.clear();
     // Equal digests show that the peer knows of the leave, but not of its age.
     node.run(2 * S);
-    let sent = node.take_sent(|msg| matches!(msg, Message::InstanceDigests { .. }));
+    let sent = node.take_sent(|message| matches!(message, Message::InstanceDigests { .. }));
     let Some((_, Message::InstanceDigests { digests })) = sent.first().cloned() else { return };
     node.sent.clear();
     node.receive(PEER, Message::Resync { requester: 5, request: 1, digests });
