--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -7,7 +7,7 @@
 
 const ADDRESS: &str = "10.0.0.1:80";
 const MS: u64 = 1_000;
-const CONF: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
+const CONFIGURATION: &str = r#"{"issue":1,"routing":[{"label":"p","host":"shop","category":"primary","expiryMs":1000,
   "targetMs":200,"destination":"s"}],"services":[{"label":"s","syncReplicas":1}]}"#;
 
 /// A control node that is the only voter, or whose other voters never reply.
@@ -110,7 +110,7 @@
 fn start_queries() -> (Node, Vec<(u64, String, String)>) {
     let mut node = Node::new(&[ADDRESS]);
     node.run(1_000 * MS);
-    node.call("PUT", "/configuration", CONF);
+    node.call("PUT", "/configuration", CONFIGURATION);
     for id in ["d1", "d2", "d3"] {
         node.heartbeat(id, "in_service", 1);
     }
--- a/crates/wv-control/tests/single_node/mod.rs
+++ b/crates/wv-control/tests/single_node/mod.rs
@@ -57,9 +57,9 @@
                     self.core.link_up(link, self.now);
                     self.apply_actions();
                 }
-                Effect::Send { link, msg } => {
+                Effect::Send { link, message } => {
                     let to = self.links.iter().find(|(_, its)| **its == link).map(|(addr, _)| addr.clone());
-                    to.into_iter().for_each(|to| self.sent.push((to, msg.clone())));
+                    to.into_iter().for_each(|to| self.sent.push((to, message.clone())));
                 }
                 Effect::Respond { token, status, .. } => {
                     self.responses.insert(token, status);
@@ -70,8 +70,8 @@
         }
     }
 
-    pub fn receive(&mut self, from: &str, msg: Message) {
-        self.core.handle_message(self.links[from], msg, self.now);
+    pub fn receive(&mut self, from: &str, message: Message) {
+        self.core.handle_message(self.links[from], message, self.now);
         self.apply_actions();
     }
 
@@ -105,15 +105,15 @@
 
     /// Removes and returns the sent messages that match.
     pub fn take_sent(&mut self, is_match: impl Fn(&Message) -> bool) -> Vec<(String, Message)> {
-        let (matching, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, msg)| is_match(msg));
+        let (matching, rest) = std::mem::take(&mut self.sent).into_iter().partition(|(_, message)| is_match(message));
         self.sent = rest;
         matching
     }
 
     /// Answers the sent messages that match, as voters without data.
     pub fn answer(&mut self, is_match: impl Fn(&Message) -> bool) {
-        for (from, msg) in self.take_sent(is_match) {
-            reply(&msg).into_iter().for_each(|answer| self.receive(&from, answer));
+        for (from, message) in self.take_sent(is_match) {
+            reply(&message).into_iter().for_each(|answer| self.receive(&from, answer));
         }
     }
 
@@ -129,7 +129,7 @@
     /// Runs until the next pings are sent; returns their time and the pings.
     pub fn next_pings(&mut self) -> (u64, Vec<(String, Message)>) {
         self.sent.clear();
-        while !self.sent.iter().any(|(_, msg)| is_ping(msg)) {
+        while !self.sent.iter().any(|(_, message)| is_ping(message)) {
             self.run(100 * MS);
         }
         (self.now, self.take_sent(is_ping))
@@ -143,8 +143,8 @@
     }
 }
 
-pub fn reply(msg: &Message) -> Option<Message> {
-    match msg.clone() {
+pub fn reply(message: &Message) -> Option<Message> {
+    match message.clone() {
         Message::Ping { requester, request } => Some(Message::Pong {
             requester,
             request,
@@ -172,13 +172,13 @@
             })
         }
         Message::Resync { requester, request, .. } => Some(Message::ResyncDone { requester, request }),
-        Message::Instance { requester, request, instance: inst } if request > 0 => {
-            Some(Message::InstanceAck { requester, request, id: inst.id })
+        Message::Instance { requester, request, instance } if request > 0 => {
+            Some(Message::InstanceAck { requester, request, id: instance.id })
         }
         _ => None,
     }
 }
 
-pub fn is_ping(msg: &Message) -> bool {
-    matches!(msg, Message::Ping { .. })
+pub fn is_ping(message: &Message) -> bool {
+    matches!(message, Message::Ping { .. })
 }
--- a/crates/wv-control/tests/voter_catch_up.rs
+++ b/crates/wv-control/tests/voter_catch_up.rs
@@ -15,7 +15,7 @@
 fn reported_set(node: &mut Node) -> u64 {
     let sent = node.receive("b", Message::Ping { requester: 7, request: 1 });
     sent.into_iter()
-        .find_map(|(_, msg)| if let Message::Pong { voter_set: set, .. } = msg { Some(set) } else { None })
+        .find_map(|(_, message)| if let Message::Pong { voter_set: set, .. } = message { Some(set) } else { None })
         .unwrap_or(0)
 }
 
@@ -24,12 +24,12 @@
     let step = RegisterRequest::Read { known: Ballot::default() };
     let sent = node
         .receive("b", Message::RegisterRequest { requester: 7, request: 1, voter_set: set, key: "k".to_owned(), step });
-    sent.iter().any(|(_, msg)| matches!(msg, Message::RegisterReply { .. }))
+    sent.iter().any(|(_, message)| matches!(message, Message::RegisterReply { .. }))
 }
 
 /// The target and request number of its comparison request, if it sent one.
 fn comparison_request(node: &Node, sent: &[(u64, Message)]) -> Option<(String, u64)> {
-    sent.iter().find_map(|(link, msg)| match msg {
+    sent.iter().find_map(|(link, message)| match message {
         Message::CatchUp(CatchUp::Compare { request, .. }) => {
             let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
             Some((addr[..1].to_owned(), *request))
@@ -49,7 +49,7 @@
     let (voters, before) = (set(2, "abd"), set(1, "abc"));
     let sent =
         node.receive("b", Message::CatchUp(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
-    let told = sent.iter().find_map(|(_, msg)| match msg {
+    let told = sent.iter().find_map(|(_, message)| match message {
         Message::CatchUp(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
@@ -65,13 +65,13 @@
     // The digests of the first source differ; it sends one register in an incomplete reply.
     let mut digests = vec![0; anti_entropy::RANGE_COUNT];
     let sent = node.receive(&first, Message::CatchUp(CatchUp::Digests { request, set: 1, digests: digests.clone() }));
-    let is_range_request = |msg: &Message| matches!(msg, Message::CatchUp(CatchUp::CompareRanges { .. }));
-    expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true));
+    let is_range_request = |message: &Message| matches!(message, Message::CatchUp(CatchUp::CompareRanges { .. }));
+    expect_that!(sent.iter().any(|(_, message)| is_range_request(message)), eq(true));
     let ballot = Ballot { round: (1 << 40) + 1, proposer: 3 };
     let copy = AcceptorState { promised: ballot, accepted: ballot, value: register_value(4, vec![4]) };
     let part = CatchUp::NewerRegisters { request, registers: vec![("k".to_owned(), copy)], is_complete: false };
     let sent = node.receive(&first, Message::CatchUp(part));
-    expect_that!(sent.iter().any(|(_, msg)| is_range_request(msg)), eq(true), "the reply was incomplete");
+    expect_that!(sent.iter().any(|(_, message)| is_range_request(message)), eq(true), "the reply was incomplete");
     expect_that!(reported_set(&mut node), eq(0));
     let sent = node.receive(
         &first,
--- a/crates/wv-internal-protocol/src/frame.rs
+++ b/crates/wv-internal-protocol/src/frame.rs
@@ -13,8 +13,8 @@
 }
 
 /// Appends `msg` to `out` as one frame.
-pub fn encode_frame<T: SerBin>(out: &mut Vec<u8>, msg: &T) {
-    let body = msg.serialize_bin();
+pub fn encode_frame<T: SerBin>(out: &mut Vec<u8>, message: &T) {
+    let body = message.serialize_bin();
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&body);
 }
@@ -28,6 +28,6 @@
         return Err(FrameError::TooLarge(len));
     }
     buf.get(4..4 + len)
-        .map(|body| DeBin::deserialize_bin(body).map(|msg| (msg, 4 + len)).map_err(|_| FrameError::Malformed))
+        .map(|body| DeBin::deserialize_bin(body).map(|message| (message, 4 + len)).map_err(|_| FrameError::Malformed))
         .transpose()
 }
--- a/crates/wv-route/src/lib.rs
+++ b/crates/wv-route/src/lib.rs
@@ -33,8 +33,8 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RouteDecision {
-    /// Forward to `spot`, with `MINPOS` if `min_position` is set; `wrap_in_txn` wraps a single read in a transaction.
-    Forward { spot: DatabaseKey, min_position: Option<LogPosition>, wrap_in_txn: bool },
+    /// Forward to `key`, with `MINPOS` if `min_position` is set; `wrap_in_txn` wraps a single read in a transaction.
+    Forward { key: DatabaseKey, min_position: Option<LogPosition>, wrap_in_txn: bool },
     /// No database can accept the request now; retry when the routing state changes.
     Wait,
     /// The request cannot be served; nothing was executed.
@@ -56,10 +56,10 @@
         if let Category::BoundedStaleness { max_staleness_us } = request.category {
             let since = request.first_byte_at.saturating_sub(max_staleness_us);
             // A replica read needs a minimum position from a sufficiently recent fenced observation.
-            if let Some(pos) = checker.fenced_positions.covering(since) {
-                if let Some(seat) = select_replica(checker, request, availability) {
-                    let spot = DatabaseKey { service: request.service, index: seat };
-                    return RouteDecision::Forward { spot, min_position: Some(pos), wrap_in_txn: false };
+            if let Some(position) = checker.fenced_positions.covering(since) {
+                if let Some(index) = select_replica(checker, request, availability) {
+                    let key = DatabaseKey { service: request.service, index };
+                    return RouteDecision::Forward { key, min_position: Some(position), wrap_in_txn: false };
                 }
             }
         }
@@ -68,9 +68,9 @@
     let wrap_in_txn = request.is_read_only && !request.is_txn;
     checker
         .writer(request.now)
-        .map(|seat| DatabaseKey { service: request.service, index: seat })
-        .filter(|spot| !request.refused_by.contains(spot))
-        .map_or(RouteDecision::Wait, |spot| RouteDecision::Forward { spot, min_position: None, wrap_in_txn })
+        .map(|index| DatabaseKey { service: request.service, index })
+        .filter(|key| !request.refused_by.contains(key))
+        .map_or(RouteDecision::Wait, |key| RouteDecision::Forward { key, min_position: None, wrap_in_txn })
 }
 
 /// Selects the database with the lowest load relative to capacity; zone, role and cold pools add to the cost.
@@ -81,30 +81,30 @@
 ) -> Option<u16> {
     checker
         .databases()
-        .filter(|(seat, member)| {
-            matches!(checker.state(*seat, request.now), State::Online | State::Writer)
+        .filter(|(index, member)| {
+            matches!(checker.state(*index, request.now), State::Online | State::Writer)
                 && !member.instance.draining
                 && !member.is_suspect()
         })
-        .filter_map(|(seat, member)| {
-            let spot = DatabaseKey { service: request.service, index: seat };
-            let pool = availability(spot);
-            let is_eligible = pool.can_accept && !request.refused_by.contains(&spot);
+        .filter_map(|(index, member)| {
+            let key = DatabaseKey { service: request.service, index };
+            let pool = availability(key);
+            let is_eligible = pool.can_accept && !request.refused_by.contains(&key);
             is_eligible.then(|| {
                 let zone = if member.instance.zone == request.zone { 0.0 } else { REMOTE_ZONE_COST };
                 // Keeps primary capacity for writes unless the primary is closer.
-                let primary = if checker.leader() == Some(seat) { REMOTE_ZONE_COST / 2.0 } else { 0.0 };
+                let primary = if checker.leader() == Some(index) { REMOTE_ZONE_COST / 2.0 } else { 0.0 };
                 let cold = if pool.is_warm { 0.0 } else { COLD_POOL_COST };
                 let cost =
                     f64::from(pool.outstanding) / f64::from(member.instance.capacity.max(1)) + zone + primary + cold;
                 let tie_break = if request.tie_break_salt == 0 {
-                    seat
+                    index
                 } else {
-                    (seat ^ request.tie_break_salt).wrapping_mul(0x9e37)
+                    (index ^ request.tie_break_salt).wrapping_mul(0x9e37)
                 };
-                (cost, tie_break, seat)
+                (cost, tie_break, index)
             })
         })
         .min_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)))
-        .map(|(.., seat)| seat)
+        .map(|(.., index)| index)
 }
--- a/crates/wv-simulation/src/controls.rs
+++ b/crates/wv-simulation/src/controls.rs
@@ -59,7 +59,7 @@
 
     fn control_act(&mut self, at: usize, act: ControlEffect) {
         match act {
-            ControlEffect::Send { link, msg } => {
+            ControlEffect::Send { link, message: msg } => {
                 self.note_owner(&msg);
                 if let Some(to) = self.controls[at].far.get(&link).copied() {
                     self.put(HOP, Ev::Link { to, msg });
--- a/crates/wv-simulation/tests/change.rs
+++ b/crates/wv-simulation/tests/change.rs
@@ -43,7 +43,7 @@
 }
 
 fn version(world: &World, at: usize) -> u64 {
-    world.controls[at].core.as_ref().map_or(0, |core| core.conf_version())
+    world.controls[at].core.as_ref().map_or(0, |core| core.configuration_version())
 }
 
 #[gtest]
--- a/crates/wv-simulation/tests/cutoff.rs
+++ b/crates/wv-simulation/tests/cutoff.rs
@@ -94,14 +94,14 @@
             let token = world.call(at, what.0, what.1, body);
             expect_that!(world.returns.get(&token).map(|ret| ret.0), some(eq(503)), "{what:?} at {at}, {step}");
         }
-        expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(1)));
+        expect_that!(world.controls[at].core.as_ref().map(|core| core.configuration_version()), some(eq(1)));
         let end = world.now + 2 * S;
         while !is_caught_up(&world, at) && world.now < end {
             world.run(MS);
             expect_that!(world.followed(), not(contains(some(eq(&at)))), "before it has caught up");
         }
         expect_that!(is_caught_up(&world, at), eq(true), "{at} {step}");
-        expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(8)));
+        expect_that!(world.controls[at].core.as_ref().map(|core| core.configuration_version()), some(eq(8)));
         expect_that!(text(&mut world, at, "/instances").1, not(contains_substring("i-x")), "{at} {step}");
         expect_that!(call(&mut world, at, CONF, &renamed(9, "d")).0, eq(200), "{at} {step}");
         world.run(2 * S);
@@ -153,7 +153,7 @@
             expect_that!(world.followed(), not(contains(some(eq(&3)))), "{way:?}");
         }
         expect_that!(is_caught_up(&world, 3), eq(true), "{way:?}");
-        expect_that!(world.controls[3].core.as_ref().map(|core| core.conf_version()), some(eq(8)), "{way:?}");
+        expect_that!(world.controls[3].core.as_ref().map(|core| core.configuration_version()), some(eq(8)), "{way:?}");
         expect_that!(call(&mut world, 3, ("PUT", "/instances/i-x"), &beat("10.9.0.1:1", "draining", 3)).0, eq(200));
     }
 }
