--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -56,8 +56,8 @@
         let Some(client) = self.clients.get(&id) else { return RouteDecision::Refuse(ErrorCode::Congested) };
         let request = &client.request;
         let Some(route) = request.route.as_ref() else { return RouteDecision::Refuse(ErrorCode::Congested) };
-        let place = self.service_for_request(id);
-        let Some(service) = place.and_then(|place| self.health.service_index(&place)) else {
+        let service = self.service_for_request(id);
+        let Some(service) = service.and_then(|service| self.health.service_index(&service)) else {
             return RouteDecision::Wait;
         };
         let route_request = RouteRequest {
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -101,8 +101,8 @@
             Effect::CloseDb(id) => {
                 self.dbs.borrow_mut().remove(&id).into_iter().for_each(|sock| sock.close());
             }
-            Effect::DialPeer { link, address: place } => {
-                tokio::task::spawn_local(self.clone().connect_peer_link(link, place));
+            Effect::DialPeer { link, address } => {
+                tokio::task::spawn_local(self.clone().connect_peer_link(link, address));
             }
             Effect::SendToPeer { link, message } => self.send_forward_message(link, message),
             Effect::OpenDb { db, addr } => {
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -155,8 +155,9 @@
     /// Closes one idle connection that exceeds the maximum age, so that state on either side stays bounded.
     pub fn recycle_connection(&mut self, now: u64) {
         self.now = self.now.max(now);
-        let is_old =
-            |db: &&u64| self.dbs.get(*db).is_some_and(|held| held.opened_at + MAX_CONNECTION_AGE_US < self.now);
+        let is_old = |db: &&u64| {
+            self.dbs.get(*db).is_some_and(|connection| connection.opened_at + MAX_CONNECTION_AGE_US < self.now)
+        };
         let old = self.pools.values().flat_map(|pool| pool.idle.iter()).find(is_old).copied();
         old.into_iter().for_each(|db| self.close_db(db));
     }
--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -62,7 +62,7 @@
 
     pub(crate) fn set_owner(&mut self, owner: Owner) {
         let service = self.health.intern_service(&owner.service);
-        let is_newer = self.forwarding.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
+        let is_newer = self.forwarding.owners.get(&service).is_none_or(|known| known.epoch < owner.epoch);
         if is_newer {
             self.forwarding.owners.insert(service, owner);
         }
@@ -120,8 +120,8 @@
             self.schedule_wait_limit(id);
             return true;
         }
-        let held = self.clients.get(&id).and_then(|client| client.forwarded_session);
-        let session = match held
+        let existing = self.clients.get(&id).and_then(|client| client.forwarded_session);
+        let session = match existing
             .filter(|session| self.forwarding.outbound.get(session).is_some_and(|outbound| outbound.link == link))
         {
             Some(session) => session,
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -31,7 +31,7 @@
         let (now, pools) = (self.now, &self.pools);
         let leader_count =
             self.health.iter().filter(|(_, checker)| checker.fenced_positions.newest().is_some()).count() as u64;
-        let turns = leader_count.div_ceil(LEADERS_PER_ROUND).max(1);
+        let round_count = leader_count.div_ceil(LEADERS_PER_ROUND).max(1);
         let mut reports = Vec::new();
         for (service, checker) in self.health.iter() {
             // A removed leader receives no more writes, so its newest position needs no time to settle.
@@ -57,7 +57,7 @@
                 let is_leader = checker.leader_or_departed() == Some(index);
                 // Leaders take turns in periodic reports; other nodes report the same ones.
                 let is_turn = scope != ReportScope::Periodic
-                    || (u64::from(service) + self.maintenance_round).is_multiple_of(turns);
+                    || (u64::from(service) + self.maintenance_round).is_multiple_of(round_count);
                 let expires = match health {
                     // The last fenced position of a removed leader still decides which replica may be promoted.
                     Health::Unknown => is_leader && fenced.is_some() && member.instance.gone,
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -25,9 +25,9 @@
         version: u64,
         body: Result<Vec<u8>, wv_compression::CompressionError>,
     ) {
-        let held = self.configuration.clone();
+        let current = self.configuration.clone();
         // The configuration version never decreases within a process.
-        if held.as_ref().is_some_and(|held| held.version > version) {
+        if current.as_ref().is_some_and(|current| current.version > version) {
             return;
         }
         let Ok(body) = body else { return };
@@ -39,21 +39,21 @@
             }
             return;
         }
-        let read = held
+        let read = current
             .as_ref()
-            .map_or_else(|| wv_configuration::Configuration::parse(&body), |held| held.parse_incremental(&body));
+            .map_or_else(|| wv_configuration::Configuration::parse(&body), |current| current.parse_incremental(&body));
         // The control plane validates configurations; one that this node cannot parse is ignored.
         let Ok(configuration) = read else {
             self.configuration_body = (version, body.into());
             return;
         };
         self.configuration_body = (version, configuration.body().clone());
-        if held.as_ref().is_none_or(|held| !Rc::ptr_eq(&held.services, &configuration.services)) {
+        if current.as_ref().is_none_or(|current| !Rc::ptr_eq(&current.services, &configuration.services)) {
             configuration.services.keys().for_each(|name| {
                 self.health.intern_service(name);
             });
         }
-        self.set_tenants(&configuration, held.as_deref());
+        self.set_tenants(&configuration, current.as_deref());
         self.set_shard_plans(&configuration);
         self.configuration = Some(Rc::new(configuration));
         self.complete_pending_setups();
@@ -125,11 +125,12 @@
     /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool for ever.
     fn close_unanswered(&mut self) {
         let is_internal = |expect: &Pending| !matches!(expect.kind, Reply::Request { .. } | Reply::Begin { .. });
-        let is_overdue = |held: &DbConnection| {
-            held.pending.front().is_some_and(|expect| expect.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
-                && held.pending.iter().all(is_internal)
+        let is_overdue = |connection: &DbConnection| {
+            connection.pending.front().is_some_and(|expect| expect.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
+                && connection.pending.iter().all(is_internal)
         };
-        let overdue: Vec<u64> = self.dbs.iter().filter(|(_, held)| is_overdue(held)).map(|(db, _)| *db).collect();
+        let overdue: Vec<u64> =
+            self.dbs.iter().filter(|(_, connection)| is_overdue(connection)).map(|(db, _)| *db).collect();
         overdue.into_iter().for_each(|db| self.fail_db(db));
     }
 
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -27,7 +27,7 @@
         page.figure(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
         page.figure(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
         let members =
-            || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |held| (checker, held)));
+            || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |database| (checker, database)));
         let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (index, member))| {
             let state = format!("{:?}", checker.state(index, self.now)).to_lowercase();
             (vec![member.instance.id.clone(), checker.service.clone(), state], 1)
--- a/crates/wv-access/src/recorder.rs
+++ b/crates/wv-access/src/recorder.rs
@@ -70,7 +70,7 @@
         let route = self.configuration.as_ref().and_then(|configuration| configuration.route(&host).cloned());
         let Some(route) = route else { return };
         let row = (host, route.category != wv_configuration::Category::Primary, route.service.clone());
-        let known = self.recorder.hosts.iter().position(|held| *held == row);
+        let known = self.recorder.hosts.iter().position(|host| *host == row);
         let at = known.unwrap_or(self.recorder.hosts.len());
         if known.is_none() && at < usize::from(u16::MAX) {
             self.recorder.hosts.push(row);
@@ -91,11 +91,13 @@
         let now = self.now;
         let Some(client) = self.clients.get_mut(&id) else { return };
         let verb = client.request.verb();
-        let (is_txn, held) = (client.txn.is_some(), client.txn.as_ref().and_then(|txn| txn.recording_index));
+        let (is_txn, recorded) = (client.txn.is_some(), client.txn.as_ref().and_then(|txn| txn.recording_index));
         let writes = verb == Verb::Write;
-        match held.and_then(|at| self.recorder.events.get_mut(at)) {
-            Some(Event { kind: EventKind::Request { statements, writes: held, .. }, .. }) if verb != Verb::Commit => {
-                (*statements, *held) = (statements.saturating_add(1).min(100), *held || writes);
+        match recorded.and_then(|at| self.recorder.events.get_mut(at)) {
+            Some(Event { kind: EventKind::Request { statements, writes: has_writes, .. }, .. })
+                if verb != Verb::Commit =>
+            {
+                (*statements, *has_writes) = (statements.saturating_add(1).min(100), *has_writes || writes);
             }
             Some(_) => {}
             None if verb == Verb::Commit => {}
--- a/crates/wv-access/src/run.rs
+++ b/crates/wv-access/src/run.rs
@@ -14,7 +14,7 @@
 
 struct AccessNode {
     node: Node,
-    place: SharedSettings,
+    session_settings: SharedSettings,
     settings_file: SettingsFile,
     rounds: u32,
     calendar: wv_calendar::Calendar,
@@ -23,8 +23,8 @@
 impl AccessNode {
     fn reload_settings(&mut self) {
         if let Some(settings) = self.settings_file.reread() {
-            let mut place = self.place.borrow_mut();
-            (place.seeds, place.internal_port) = (settings.seeds, settings.internal_port);
+            let mut session_settings = self.session_settings.borrow_mut();
+            (session_settings.seeds, session_settings.internal_port) = (settings.seeds, settings.internal_port);
             let mut core = self.node.core.borrow_mut();
             core.set_shutdown_grace(settings.grace_period_us);
             core.set_drain_timeouts(settings.drain_timeout_us, settings.contact_timeout_us);
@@ -98,7 +98,7 @@
     let readiness = settings.readiness_addr.ok_or(AccessError::NoAddress("readiness"))?;
     // Nodes start at different control nodes, which spreads their sessions.
     let spread = settings.node_name.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
-    let life = wv_process::life().wrapping_add(spread);
+    let incarnation = wv_process::life().wrapping_add(spread);
     let system = System::new();
     system.block_on(async {
         let front_listener = wv_http::listen(front).map_err(|error| AccessError::Listen(front, error))?;
@@ -117,14 +117,14 @@
         );
         let node = Node::new(core);
         let forwarding_addr = settings.forwarding_addr();
-        let place = ControlSessionSettings {
+        let session_settings = ControlSessionSettings {
             node_name: settings.node_name.clone(),
             zone: settings.zone.clone(),
             seeds: settings.seeds.clone(),
             internal_port: settings.internal_port,
             forwarding_address: forwarding_addr.map(|addr| addr.to_string()).unwrap_or_default(),
         };
-        let place: SharedSettings = std::rc::Rc::new(std::cell::RefCell::new(place));
+        let session_settings: SharedSettings = std::rc::Rc::new(std::cell::RefCell::new(session_settings));
         let clients_max = settings.max_clients();
         let probed = node.clone();
         tokio::task::spawn_local(wv_http::serve(
@@ -149,10 +149,10 @@
             tokio::task::spawn_local(node.clone().accept_peer_links(listener));
         }
         tokio::task::spawn_local(node.clone().run_timers());
-        tokio::task::spawn_local(maintain_session(node.clone(), place.clone(), life));
+        tokio::task::spawn_local(maintain_session(node.clone(), session_settings.clone(), incarnation));
         let access = AccessNode {
             node,
-            place,
+            session_settings,
             settings_file: SettingsFile::new(settings_path),
             rounds: 0,
             calendar: options.calendar,
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -61,15 +61,15 @@
 
     /// The service that holds this slot of `service`: the shard itself, or the one that splits have moved it to.
     pub(crate) fn service_for_slot(&self, service: &str, slot: Option<u16>) -> Rc<str> {
-        let mut place = service;
+        let mut target = service;
         for _ in 0..MAX_SPLIT_HOPS {
-            let next = slot.and_then(|slot| self.slots.shards.get(place).map(|shard| shard.map.service_for(slot)));
-            match next.filter(|next| *next != place) {
-                Some(next) => place = next,
+            let next = slot.and_then(|slot| self.slots.shards.get(target).map(|shard| shard.map.service_for(slot)));
+            match next.filter(|next| *next != target) {
+                Some(next) => target = next,
                 None => break,
             }
         }
-        Rc::from(place)
+        Rc::from(target)
     }
 
     /// The service that the client's open request, or its transaction, belongs to.
@@ -157,12 +157,12 @@
 
     /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
-        let Some(held) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
-        let bound = self.required_term(held.key);
+        let Some(connection) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
+        let bound = self.required_term(connection.key);
         if bound == 0 {
             return std::cmp::Ordering::Equal;
         }
-        held.term.cmp(&bound)
+        connection.term.cmp(&bound)
     }
 
     /// Rechecks unused connections after the leader or slot map of a service changed: outdated ones are closed, and
@@ -185,14 +185,14 @@
         // A replica's term is not one that it leads in; term 0 matches no slot map.
         let primary = wv_wire_protocol::parse_status(row).filter(|status| status.is_primary);
         let term = primary.map_or(0, |status| status.term);
-        self.dbs.get_mut(&db).into_iter().for_each(|held| held.term = term);
+        self.dbs.get_mut(&db).into_iter().for_each(|connection| connection.term = term);
     }
 
     pub(crate) fn query_term(&mut self, db: u64) {
         let now = self.now;
-        let Some(held) = self.dbs.get_mut(&db) else { return };
-        wv_wire_protocol::write_query(&mut held.out, b"-", &[b"ENQUIRY"]);
-        held.pending.push_back(crate::types::Pending { kind: Reply::Probe, sent_at: now, is_fenced: false });
+        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        wv_wire_protocol::write_query(&mut connection.out, b"-", &[b"ENQUIRY"]);
+        connection.pending.push_back(crate::types::Pending { kind: Reply::Probe, sent_at: now, is_fenced: false });
         self.effects.push(crate::Effect::WriteDb(db));
     }
 
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -197,13 +197,13 @@
     /// The coordinator has taken a dirty-key report: writes to moving slots may proceed for that attempt.
     pub fn dirty_keys_acked(&mut self, shard: &str, attempt: u64, (incarnation, serial): (u64, u64), now: u64) {
         self.now = self.now.max(now);
-        let Some(held) = self.slots.shards.get_mut(shard) else { return };
+        let Some(shard) = self.slots.shards.get_mut(shard) else { return };
         let is_own = incarnation == self.slots.incarnation;
-        let in_flight = held.dirty_keys.in_flight.as_ref();
+        let in_flight = shard.dirty_keys.in_flight.as_ref();
         if is_own && in_flight.is_some_and(|(_, sent)| sent.serial == serial && sent.attempt == attempt) {
-            held.dirty_keys.in_flight = None;
-            held.acked_attempt = attempt;
-            self.slots.is_report_due |= held.dirty_keys.is_report_due;
+            shard.dirty_keys.in_flight = None;
+            shard.acked_attempt = attempt;
+            self.slots.is_report_due |= shard.dirty_keys.is_report_due;
         }
         self.dispatch_unplaced();
     }
@@ -214,7 +214,7 @@
         if incarnation != self.slots.incarnation {
             return;
         }
-        let Some(sampler) = self.slots.shards.get_mut(shard).map(|held| &mut held.key_sampler) else { return };
+        let Some(sampler) = self.slots.shards.get_mut(shard).map(|shard| &mut shard.key_sampler) else { return };
         let Some((_, sent)) = sampler.in_flight.take_if(|(_, sent)| sent.serial == serial) else { return };
         if sampler.acked_keys.len() >= MAX_ACKED_KEYS {
             sampler.acked_keys.clear();
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -39,9 +39,9 @@
     }
 
     /// New weights apply to requests that start from now on.
-    pub(crate) fn set_tenants(&mut self, configuration: &Configuration, before: Option<&Configuration>) {
+    pub(crate) fn set_tenants(&mut self, configuration: &Configuration, previous: Option<&Configuration>) {
         // Without tenants before and after, no session changes.
-        if configuration.tenants.is_empty() && before.is_some_and(|before| before.tenants.is_empty()) {
+        if configuration.tenants.is_empty() && previous.is_some_and(|previous| previous.tenants.is_empty()) {
             return;
         }
         self.tenant_shares.tenants = Tenants::new(&configuration.tenants, &self.tenant_shares.tenants);
@@ -160,17 +160,17 @@
         let weight = self.tenant_shares.tenants.weight(tenant);
         let Some(pool) = self.pools.get_mut(&key) else { return };
         let has_other_waiting =
-            pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|held| held.tenant != tenant));
+            pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|client| client.tenant != tenant));
         let expected_us = pool.fair_queue.start(tenant, weight);
         if let Some(tally) = self.tenant_shares.tallies.get_mut(tenant as usize) {
             tally.started += 1;
-            let held = pool.fair_queue.held_slots.get(tenant as usize).copied().unwrap_or(0);
-            let is_over =
-                |slots| held > pool.fair_queue.entitled_slots(&self.tenant_shares.tenants, tenant, slots, self.now);
-            tally.borrowed += u64::from(has_other_waiting || is_over(pool.total.max(1)));
+            let held_slots = pool.fair_queue.held_slots.get(tenant as usize).copied().unwrap_or(0);
+            let slots = pool.total.max(1);
+            let entitled = pool.fair_queue.entitled_slots(&self.tenant_shares.tenants, tenant, slots, self.now);
+            tally.borrowed += u64::from(has_other_waiting || held_slots > entitled);
         }
-        if let Some(held) = self.dbs.get_mut(&db) {
-            held.charge = Some(Charge { tenant, since: self.now, expected_us });
+        if let Some(connection) = self.dbs.get_mut(&db) {
+            connection.charge = Some(Charge { tenant, since: self.now, expected_us });
         }
     }
 
@@ -229,7 +229,7 @@
     pub fn tenants_json(&self) -> String {
         let waiting =
             |tenant: u16| -> usize { self.pools.values().map(|pool| self.queued_requests(pool, tenant)).sum() };
-        let held = |tenant: u16| -> u32 {
+        let held_slots = |tenant: u16| -> u32 {
             self.pools.values().filter_map(|pool| pool.fair_queue.held_slots.get(tenant as usize)).sum()
         };
         let all_us: u64 = self.tenant_shares.tallies.iter().map(|tally| tally.held_us).sum();
@@ -237,9 +237,9 @@
             .zip(&self.tenant_shares.tallies)
             .map(|(tenant, tally)| {
                 serde_json::json!({
-                    "label": self.tenant_shares.tenants.label(tenant), "weight": self.tenant_shares.tenants.weight(tenant),
-                    "sessions": tally.sessions, "open": self.tenant_shares.open_requests[tenant as usize],
-                    "held": held(tenant),
+                    "label": self.tenant_shares.tenants.label(tenant),
+                    "weight": self.tenant_shares.tenants.weight(tenant), "sessions": tally.sessions,
+                    "open": self.tenant_shares.open_requests[tenant as usize], "held": held_slots(tenant),
                     "waiting": waiting(tenant), "started": tally.started, "borrowed": tally.borrowed,
                     "refused": tally.refused, "usedShare": tally.held_us as f64 / all_us.max(1) as f64,
                 })
--- a/crates/wv-access/tests/common/mod.rs
+++ b/crates/wv-access/tests/common/mod.rs
@@ -130,8 +130,8 @@
                     } else if line.ends_with("ENQUIRY") {
                         let row = b"ROW primary 3 3.9 0 0 0 1\r\nCOMPLETE -\r\nIDLE I 3.9\r\n";
                         self.core.db_data(db, row, self.now);
-                    } else if let Some(held) = self.dbs.get_mut(&db) {
-                        held.push(line.to_owned());
+                    } else if let Some(lines) = self.dbs.get_mut(&db) {
+                        lines.push(line.to_owned());
                         self.sent_statements.push((db, line.to_owned()));
                     }
                 }
@@ -199,7 +199,7 @@
     /// The peer link, session and request of the last forwarded request.
     pub fn last_forwarded_request(&self) -> (u64, ForwardedSessionId, u64) {
         let last = self.peer_messages.iter().rev().find_map(|(link, message)| match message {
-            ForwardMessage::Request { session: hand, request: ask, .. } => Some((*link, *hand, *ask)),
+            ForwardMessage::Request { session, request, .. } => Some((*link, *session, *request)),
             _ => None,
         });
         last.expect("a request was forwarded")
--- a/crates/wv-access/tests/leader_terms.rs
+++ b/crates/wv-access/tests/leader_terms.rs
@@ -77,10 +77,10 @@
                 self.dbs.push((db, id));
                 self.core.db_opened(db, self.now);
             }
-            Effect::CloseDb(db) => self.dbs.retain(|held| held.0 != db),
+            Effect::CloseDb(db) => self.dbs.retain(|connection| connection.0 != db),
             Effect::WriteDb(db) => {
                 let out = self.core.db_output(db).map(std::mem::take).unwrap_or_default();
-                let Some((_, id)) = self.dbs.iter().find(|held| held.0 == db).cloned() else { return };
+                let Some((_, id)) = self.dbs.iter().find(|connection| connection.0 == db).cloned() else { return };
                 for line in String::from_utf8_lossy(&out).lines() {
                     let reply = match line {
                         line if line.starts_with("SETUP") => "IDLE I -\r\n".to_owned(),
@@ -118,7 +118,11 @@
     let client = node.core.client_opened(node.now);
     node.core.client_data(client, b"SETUP shop me\r\n", node.now);
     node.advance(300_000, before);
-    expect_that!(node.dbs.iter().any(|held| held.1 == "d2"), eq(true), "a connection to the candidate is open");
+    expect_that!(
+        node.dbs.iter().any(|connection| connection.1 == "d2"),
+        eq(true),
+        "a connection to the candidate is open"
+    );
     // The candidate now leads term 4; the slot map for that term has not arrived.
     let after = |id: &str| if id == "d2" { "primary 4 3.9 0 0 0 1" } else { "replica 4 3.9 0 0 0 1" };
     node.feed(leader("d2", 4));
--- a/crates/wv-access/tests/request_limits.rs
+++ b/crates/wv-access/tests/request_limits.rs
@@ -88,11 +88,11 @@
     let mut node = saturated_node();
     let client = node.connect_client("shop");
     node.send_line(client, "QUERY w1 WRITE k d");
-    let held = (0..200).find(|_| {
+    let waited_ms = (0..200).find(|_| {
         node.advance(MS);
         node.client_output.contains_key(&client)
     });
-    expect_that!(held, some(all![gt(30), lt(50)]));
+    expect_that!(waited_ms, some(all![gt(30), lt(50)]));
     expect_that!(node.take_output(client), starts_with("ERROR CONGESTED"));
     expect_that!(node.statement_count("QUERY w1"), eq(0));
 }
--- a/crates/wv-access/tests/stale_control_node.rs
+++ b/crates/wv-access/tests/stale_control_node.rs
@@ -7,7 +7,8 @@
 const S: u64 = 1_000_000;
 
 fn text(version: u64, host: &str) -> Vec<u8> {
-    let configuration = serde_json::json!({"issue": version, "services": [{"label": "s", "syncReplicas": 1}], "routing": [
+    let services = serde_json::json!([{"label": "s", "syncReplicas": 1}]);
+    let configuration = serde_json::json!({"issue": version, "services": services, "routing": [
         {"label": "p", "host": host, "category": "primary", "expiryMs": 1000, "targetMs": 200, "destination": "s"}]});
     configuration.to_string().into_bytes()
 }
--- a/crates/wv-control/src/admission.rs
+++ b/crates/wv-control/src/admission.rs
@@ -56,7 +56,7 @@
     /// Shards with a plan or moved slots that the configuration has no plan for.
     fn dropped_plans(&self, configuration: &wv_configuration::Configuration) -> BTreeSet<String> {
         let is_kept = |shard: &&String| configuration.shard_plans.iter().any(|plan| plan.shard == **shard);
-        let planned = self.configuration.iter().flat_map(|held| held.shard_plans.iter().map(|plan| &plan.shard));
+        let planned = self.configuration.iter().flat_map(|current| current.shard_plans.iter().map(|plan| &plan.shard));
         let moved = self.feed.slots().values().filter(|map| !map.moved.is_empty()).map(|map| &map.shard);
         let is_newer = configuration.version > self.committed_version;
         planned.chain(moved).filter(|shard| is_newer && !is_kept(shard)).cloned().collect()
--- a/crates/wv-control/src/committed.rs
+++ b/crates/wv-control/src/committed.rs
@@ -13,7 +13,7 @@
     ) -> Result<wv_configuration::Configuration, wv_configuration::ConfigurationError> {
         self.configuration
             .as_ref()
-            .map_or_else(|| wv_configuration::Configuration::parse(body), |held| held.parse_incremental(body))
+            .map_or_else(|| wv_configuration::Configuration::parse(body), |current| current.parse_incremental(body))
     }
 
     /// Applies a configuration that a majority has stored and publishes it when the interval allows.
--- a/crates/wv-control/src/configuration.rs
+++ b/crates/wv-control/src/configuration.rs
@@ -115,9 +115,12 @@
 
     /// A configuration was committed under this ballot: apply it if it is stored here, else read the register.
     pub(crate) fn handle_committed(&mut self, accepted: wv_internal_protocol::Ballot) {
-        let held =
-            self.store.get(CONFIGURATION_KEY).filter(|held| held.accepted == accepted).map(|held| held.value.clone());
-        match held {
+        let value = self
+            .store
+            .get(CONFIGURATION_KEY)
+            .filter(|register| register.accepted == accepted)
+            .map(|register| register.value.clone());
+        match value {
             Some(cell) => self.apply_committed(&cell),
             None => self.read_newest_configuration(),
         }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a majority of the voters, including this node if it votes, replied to pings sent within `CONTACT_TTL_US`.
+    /// Whether a majority of the voters, including this node if it votes, replied to pings within `CONTACT_TTL_US`.
     pub fn has_majority(&self) -> bool {
         self.now < self.contact.valid_until
     }
@@ -147,7 +147,7 @@
             return;
         }
         let (requester, request) = (self.proposer.incarnation(), self.contact.resync_request);
-        let times = |addr: &str| self.contact.resync_targets.iter().filter(|asked| *asked == addr).count();
+        let times = |addr: &str| self.contact.resync_targets.iter().filter(|target| *target == addr).count();
         let is_left = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
             *addr != self.address && is_up && !self.contact.resynced_voters.contains(*addr)
@@ -217,8 +217,8 @@
         let is_synced = |plan: &wv_configuration::ShardPlan| self.contact.synced_shards.contains(&plan.shard);
         let has_slots =
             self.configuration.as_ref().is_none_or(|configuration| configuration.shard_plans.iter().all(is_synced));
-        let is_whole = has_configuration && has_slots && self.is_resynced();
-        if is_whole && self.contact.is_established && self.has_majority() && !self.is_caught_up {
+        let is_complete = has_configuration && has_slots && self.is_resynced();
+        if is_complete && self.contact.is_established && self.has_majority() && !self.is_caught_up {
             self.is_caught_up = true;
             self.resume_pending();
         }
@@ -228,13 +228,13 @@
     /// Whether a majority of the voters, pinged in this generation, holds no newer configuration.
     fn has_newest_configuration(&self) -> bool {
         let voters = self.proposer.voters();
-        let is_heard = |peer: &&crate::types::Peer| {
-            let is_asked =
+        let is_current = |peer: &&crate::types::Peer| {
+            let is_pinged =
                 peer.last_contact >= self.contact.established_at && peer.last_contact + CONTACT_TTL_US > self.now;
-            is_asked && peer.voter_set == voters.number && peer.configuration_version <= self.committed_version
+            is_pinged && peer.voter_set == voters.number && peer.configuration_version <= self.committed_version
         };
-        let heard = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_heard);
-        !voters.members.is_empty() && heard.count() >= self.proposer.majority()
+        let reached = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_current);
+        !voters.members.is_empty() && reached.count() >= self.proposer.majority()
     }
 
     /// Whether this node has caught up and has been in contact for at least `us`, so that membership is known.
--- a/crates/wv-control/src/core.rs
+++ b/crates/wv-control/src/core.rs
@@ -126,7 +126,7 @@
             VoterState::open(&mut store, &start.address, &start.seeds, start.is_initial_start, start.disk_id)?;
         let mut proposer = Proposer::new(start.requester_id);
         proposer.set_voters(voter_state.voters.clone());
-        store.iter().for_each(|(_, held)| proposer.observe_ballot(held.promised.max(held.accepted)));
+        store.iter().for_each(|(_, state)| proposer.observe_ballot(state.promised.max(state.accepted)));
         let mut peers = BTreeMap::new();
         let known = voter_state.voters.addrs().chain(voter_state.previous.addrs());
         for addr in start.seeds.iter().map(String::as_str).chain(known).filter(|addr| *addr != start.address) {
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -83,8 +83,8 @@
                 None => drop(needed.insert(id.clone())),
                 Some(ago) => {
                     let ended = self.now.saturating_sub(ago);
-                    let kept = last.entry(&instance.service).or_insert((ended, id));
-                    *kept = (*kept).max((ended, id));
+                    let latest = last.entry(&instance.service).or_insert((ended, id));
+                    *latest = (*latest).max((ended, id));
                 }
             }
         }
--- a/crates/wv-control/src/diskless.rs
+++ b/crates/wv-control/src/diskless.rs
@@ -61,8 +61,8 @@
                     if base != self.committed_version {
                         return self.request_configuration(addr, self.committed_version);
                     }
-                    let (held, _) = self.compressor.reference();
-                    let made = wv_compression::apply_delta(&held, &delta, crate::core::BODY_MAX_BYTES);
+                    let (current, _) = self.compressor.reference();
+                    let made = wv_compression::apply_delta(&current, &delta, crate::core::BODY_MAX_BYTES);
                     made.map(|text| (version, self.compressor.compress(&text), text))
                 }
                 _ => continue,
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -2,7 +2,7 @@
 use crate::core::{Core, Effect};
 use crate::types::{Operation, PendingRequest};
 use wv_consensus::OperationOutcome;
-use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message};
+use wv_internal_protocol::{FeedUpdate, Health, HealthReport, Leader, Message, RegisterValue};
 use wv_promotion::{
     Database, Effect as PromotionEffect, Event, PromotionCoordinator, ServiceView, StatusError, StatusReply,
 };
@@ -81,8 +81,8 @@
     pub(crate) fn run_duties(&mut self) {
         let Some(configuration) = self.configuration.as_ref() else { return };
         let is_engaged = |service: &&String| self.duties.get(*service).is_some_and(PromotionCoordinator::is_active);
-        let is_meant = |service: &&String| self.membership.is_duty_holder(service) || is_engaged(service);
-        let services: Vec<String> = configuration.services.keys().filter(is_meant).cloned().collect();
+        let is_relevant = |service: &&String| self.membership.is_duty_holder(service) || is_engaged(service);
+        let services: Vec<String> = configuration.services.keys().filter(is_relevant).cloned().collect();
         self.duties.retain(|service, _| configuration.services.contains_key(service));
         // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
         self.platform_calls.requests.retain(|_, call| call.step == 0 || self.duties.contains_key(&call.service));
@@ -206,8 +206,7 @@
         self.proposer.start(token, &duty_key(service), edit, self.now);
     }
 
-    /// Claims the duty with a single register write: the next fence under this node's name. Fences are unique per
-    /// write.
+    /// Claims the duty with one register write: the next fence under this node's name. Fences are unique per write.
     fn claim_duty(&mut self, service: &str) {
         self.platform_calls.confirm_started.insert(service.to_owned(), self.now);
         let name = self.address.clone().into_bytes();
@@ -223,14 +222,14 @@
         service: String,
         step: u64,
         outcome: OperationOutcome,
-        before: &wv_internal_protocol::RegisterValue,
+        previous: &RegisterValue,
     ) {
-        let is_mine = |cell: &wv_internal_protocol::RegisterValue| cell.bytes == self.address.as_bytes();
+        let is_own = |cell: &RegisterValue| cell.bytes == self.address.as_bytes();
         let fence = match outcome {
-            OperationOutcome::Written(cell) if is_mine(&cell) => Some(cell.version),
+            OperationOutcome::Written(cell) if is_own(&cell) => Some(cell.version),
             _ => None,
         };
-        let is_succession = before.version > 0 && self.fences.get(&service) != Some(&before.version);
+        let is_succession = previous.version > 0 && self.fences.get(&service) != Some(&previous.version);
         if let Some(fence) = fence {
             self.fences.insert(service.clone(), fence);
         }
@@ -240,7 +239,8 @@
     /// Whether the duty register still names this node under its latest fence.
     pub(crate) fn holds_duty_register(&self, service: &str, outcome: &OperationOutcome) -> bool {
         let fence = self.fences.get(service).copied();
-        matches!(outcome, OperationOutcome::Read(cell) if Some(cell.version) == fence && cell.bytes == self.address.as_bytes())
+        let is_own = |cell: &RegisterValue| cell.bytes == self.address.as_bytes();
+        matches!(outcome, OperationOutcome::Read(cell) if Some(cell.version) == fence && is_own(cell))
     }
 
     pub(crate) fn on_duty_confirmed(&mut self, service: String, step: u64, outcome: OperationOutcome) {
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -15,7 +15,7 @@
 
 type Queues = HashMap<u64, mpsc::Sender<Message>>;
 
-/// Shared by all tasks. Lock order: `core`, then `links`, then `returns`; none is held over an await.
+/// Shared by all tasks. Lock order: `core`, then `links`, then `responses`; none is held over an await.
 #[derive(Clone)]
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
--- a/crates/wv-control/src/health_reports.rs
+++ b/crates/wv-control/src/health_reports.rs
@@ -45,7 +45,7 @@
             return;
         }
         self.duty_peers = live;
-        for node in self.membership.sessions(self.now).into_iter().map(|held| held.node) {
+        for node in self.membership.sessions(self.now).into_iter().map(|session| session.node) {
             let current = |reports: &BTreeMap<String, (u64, HealthReport)>| {
                 let (at, report) = reports.get(&node)?;
                 let age = self.now.saturating_sub(*at);
@@ -111,8 +111,8 @@
         let seen = ids
             .flat_map(|id| self.reports(id))
             .filter_map(|(report, _)| LogPosition::parse(report.fenced_position.as_bytes()));
-        let told = self.feed.leader(service).map_or(0, |leader| leader.term);
-        seen.map(|position| position.term).max().unwrap_or(0).max(told)
+        let known_term = self.feed.leader(service).map_or(0, |leader| leader.term);
+        seen.map(|position| position.term).max().unwrap_or(0).max(known_term)
     }
 
     /// Whether a split requires a new term of this service, as its source or target.
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -58,11 +58,12 @@
 
     /// An instance that is unknown here may be known elsewhere, so its departure is replicated as well.
     pub(crate) fn delete_instance(&mut self, token: u64, id: &str) {
-        let held = self.table.get(id).cloned().unwrap_or_else(|| Instance { id: id.to_owned(), ..Instance::default() });
-        self.apply_heartbeat(token, Instance { gone: true, ..held }, true);
+        let known =
+            self.table.get(id).cloned().unwrap_or_else(|| Instance { id: id.to_owned(), ..Instance::default() });
+        self.apply_heartbeat(token, Instance { gone: true, ..known }, true);
     }
 
-    /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at at once if the
+    /// Stores and replicates a heartbeat. It is acknowledged only while a majority is in contact: at once if the
     /// database stays, and after enough other nodes stored it if the database leaves.
     fn apply_heartbeat(&mut self, token: u64, instance: Instance, is_leave: bool) {
         let changed = self.table.merge(instance.clone());
@@ -125,12 +126,13 @@
         };
         let leader = self.feed.leader(&instance.service);
         let is_replaceable = leader.is_none_or(|leader| {
-            let held = self.table.get(&leader.id);
-            let promoted = self.leadership.promoted.get(&instance.service).filter(|held| held.term == leader.term);
+            let known = self.table.get(&leader.id);
+            let promoted =
+                self.leadership.promoted.get(&instance.service).filter(|promoted| promoted.term == leader.term);
             let led = self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_US);
-            held.is_some_and(|held| held.gone)
-                || (held.is_none_or(|held| !held.primary) && (leader.term == 0 || led <= self.now))
-                || promoted.is_some_and(|held| held.id == instance.id)
+            known.is_some_and(|known| known.gone)
+                || (known.is_none_or(|known| !known.primary) && (leader.term == 0 || led <= self.now))
+                || promoted.is_some_and(|promoted| promoted.id == instance.id)
         });
         if leader.is_none_or(|leader| leader.id != instance.id) && (is_new_primary || is_replaceable) {
             let term = leader.map_or(0, |leader| leader.term);
@@ -159,7 +161,8 @@
             .filter(|instance| !instance.gone)
             .map(|instance| {
                 serde_json::json!({
-                    "id": instance.id, "destination": instance.service, "address": instance.address, "zone": instance.zone,
+                    "id": instance.id, "destination": instance.service, "address": instance.address,
+                    "zone": instance.zone,
                     "state": if instance.draining { "draining" } else { "in_service" },
                     "dbRole": if instance.primary { "primary" } else { "replica" }, "sequence": instance.sequence,
                 })
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -44,27 +44,33 @@
 }
 
 impl LeaveAges {
-    /// Records a report on a database, stored in the table as `held`. The report may have been queued for `lag_us`.
+    /// Records a report on a database, stored in the table as `stored`. The report may have been queued for `lag_us`.
     /// Returns whether the leave is older than was known.
-    fn record(&mut self, report: &Instance, held: &Instance, source: ReportSource, (now, lag_us): (u64, u64)) -> bool {
-        if !held.draining {
-            self.since.remove(&held.id);
+    fn record(
+        &mut self,
+        report: &Instance,
+        stored: &Instance,
+        source: ReportSource,
+        (now, lag_us): (u64, u64),
+    ) -> bool {
+        if !stored.draining {
+            self.since.remove(&stored.id);
             if source == ReportSource::Database || report.leaving_age_us == 0 {
-                self.in_service.insert(held.id.clone());
+                self.in_service.insert(stored.id.clone());
             }
             return false;
         }
         if !report.draining {
             return false;
         }
-        let is_known = self.in_service.contains(&held.id) || self.since.contains_key(&held.id);
+        let is_known = self.in_service.contains(&stored.id) || self.since.contains_key(&stored.id);
         let age_us = match source {
             ReportSource::Database if is_known => 0,
             ReportSource::Database => UNKNOWN_AGE_US,
             ReportSource::Peer => report.leaving_age_us,
         };
         let since = LeaveTime::from_age(now, age_us.saturating_add(lag_us));
-        let known = self.since.entry(held.id.clone()).or_insert(since);
+        let known = self.since.entry(stored.id.clone()).or_insert(since);
         let is_older = since.age_us(now) > known.age_us(now) + REPUBLISH_THRESHOLD_US;
         *known = (*known).min(since);
         is_older
@@ -114,9 +120,9 @@
 
     /// Records the leave time of a database after the table was updated; followers are notified if the leave is older.
     pub(crate) fn record_leave_time(&mut self, report: &Instance, source: ReportSource) {
-        let Some(held) = self.table.get(&report.id).filter(|held| !held.gone) else { return };
-        if self.leave_ages.record(report, held, source, (self.now, self.contact.stalls.lag_us(self.now))) {
-            let instance = held.clone();
+        let Some(stored) = self.table.get(&report.id).filter(|stored| !stored.gone) else { return };
+        if self.leave_ages.record(report, stored, source, (self.now, self.contact.stalls.lag_us(self.now))) {
+            let instance = stored.clone();
             self.publish(FeedUpdate::Instance(instance));
         }
     }
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -54,12 +54,12 @@
             self.counters.leaves_acknowledged,
         )?;
         let of = |figure: fn(&Promotions) -> u64| {
-            self.counters.services.iter().map(move |(service, held)| (vec![service.clone()], figure(held)))
+            self.counters.services.iter().map(move |(service, counts)| (vec![service.clone()], figure(counts)))
         };
         let calls = ("windvalve_promotion_calls", "Calls to the platform to promote a database");
-        page.figures(calls, &["service"], of(|held| held.calls))?;
+        page.figures(calls, &["service"], of(|counts| counts.calls))?;
         let stalls = ("windvalve_promotion_stalls", "Attempts at a promotion that led nowhere");
-        page.figures(stalls, &["service"], of(|held| held.stalls))?;
+        page.figures(stalls, &["service"], of(|counts| counts.stalls))?;
         let leaving = self.table.iter().filter(|instance| instance.draining && !instance.gone);
         let role =
             |instance: &wv_internal_protocol::Instance| if instance.primary { "primary" } else { "replica" }.to_owned();
--- a/crates/wv-control/src/proposal.rs
+++ b/crates/wv-control/src/proposal.rs
@@ -76,11 +76,11 @@
 
 /// An edit that accepts a proposal unless its number or a higher one was accepted already.
 pub fn accept(proposal: Proposal, body: Vec<u8>) -> wv_consensus::UpdateFn {
-    Box::new(move |held| {
-        if held.version >= proposal.number {
+    Box::new(move |current| {
+        if current.version >= proposal.number {
             return None;
         }
-        let mut accepted = DecidedConfiguration::read(held).accepted;
+        let mut accepted = DecidedConfiguration::read(current).accepted;
         accepted.push(proposal);
         let over = accepted.len().saturating_sub(MAX_ACCEPTED);
         Some(
--- a/crates/wv-control/src/redirect.rs
+++ b/crates/wv-control/src/redirect.rs
@@ -20,11 +20,11 @@
     fn voter_address(&mut self) -> Option<String> {
         self.redirects = self.redirects.wrapping_add(1);
         let voters = self.proposer.voters();
-        let is_heard = |addr: &&str| {
+        let is_reachable = |addr: &&str| {
             let is_in_contact = |peer: &crate::types::Peer| peer.is_up && peer.last_contact + CONTACT_TTL_US > self.now;
             self.peers.get(*addr).is_some_and(|peer| is_in_contact(peer) && peer.voter_set == voters.number)
         };
-        let heard: Vec<&str> = voters.addrs().filter(is_heard).collect();
-        heard.get(self.redirects % heard.len().max(1)).map(|addr| (*addr).to_owned())
+        let reachable: Vec<&str> = voters.addrs().filter(is_reachable).collect();
+        reachable.get(self.redirects % reachable.len().max(1)).map(|addr| (*addr).to_owned())
     }
 }
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -34,13 +34,13 @@
     /// The current value, omitted if the requester has it. Under the lowest ballot it is always sent: copies that
     /// predate ballots may differ.
     fn current_value(&self, key: &str, known: Ballot) -> RegisterReply {
-        let held = self.store.get(key).cloned().unwrap_or_default();
-        let is_known = held.accepted == known && known != Ballot::default();
-        RegisterReply::Current { accepted: held.accepted, value: (!is_known).then_some(held.value) }
+        let state = self.store.get(key).cloned().unwrap_or_default();
+        let is_known = state.accepted == known && known != Ballot::default();
+        RegisterReply::Current { accepted: state.accepted, value: (!is_known).then_some(state.value) }
     }
 
     fn rejection(&self, key: &str) -> RegisterReply {
-        let promised = self.store.get(key).map_or(Ballot::default(), |held| held.promised.max(held.accepted));
+        let promised = self.store.get(key).map_or(Ballot::default(), |state| state.promised.max(state.accepted));
         RegisterReply::Rejected { promised }
     }
 
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -61,13 +61,13 @@
         let Some(forwarding_address) =
             self.membership.access_nodes(self.now).get(&node).map(|session| session.forwarding_address.clone())
         else {
-            return self.owner_writes.retain(|held| *held != service);
+            return self.owner_writes.retain(|other| *other != service);
         };
         let (token, key) = (self.allocate_id(), owner_key(&service));
         self.operations.insert(token, Operation::WriteOwner(service.clone()));
         let owner = Owner { service, node, forwarding_address, epoch: 0 };
-        let edit: wv_consensus::UpdateFn = Box::new(move |held| {
-            let number = held.version + 1;
+        let edit: wv_consensus::UpdateFn = Box::new(move |current| {
+            let number = current.version + 1;
             Some(wv_consensus::register_value(
                 number,
                 nanoserde::SerBin::serialize_bin(&Owner { epoch: number, ..owner.clone() }),
@@ -88,7 +88,7 @@
 
     /// Sends an owner to the peers only once it is stored on a majority.
     pub(crate) fn on_owner_written(&mut self, service: &str, outcome: OperationOutcome) {
-        self.owner_writes.retain(|held| held != service);
+        self.owner_writes.retain(|other| other != service);
         let (OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell)) = outcome else { return };
         let Ok(owner) = <Owner as nanoserde::DeBin>::deserialize_bin(&cell.bytes) else { return };
         self.send_peers(&Message::Owner(owner.clone()));
@@ -96,8 +96,8 @@
     }
 
     pub(crate) fn on_owner(&mut self, owner: Owner) {
-        let held = self.feed.owners().get(&owner.service).map_or(0, |held| held.epoch);
-        if owner.epoch > held {
+        let known_epoch = self.feed.owners().get(&owner.service).map_or(0, |known| known.epoch);
+        if owner.epoch > known_epoch {
             log::info!("shard {} goes to {} under {}", owner.service, owner.node, owner.epoch);
             self.publish(FeedUpdate::Owner(owner));
         }
@@ -106,11 +106,11 @@
     /// Loads owners from this disk as hints after a restart: a node that no longer owns a shard rejects requests for
     /// it.
     pub(crate) fn load_owners(&mut self) {
-        let is_own = |(key, held): &(&str, &wv_internal_protocol::AcceptorState)| {
-            key.starts_with("own/") && !held.value.bytes.is_empty()
+        let is_own = |(key, state): &(&str, &wv_internal_protocol::AcceptorState)| {
+            key.starts_with("own/") && !state.value.bytes.is_empty()
         };
-        let read = |(_, held): (&str, &wv_internal_protocol::AcceptorState)| {
-            <Owner as nanoserde::DeBin>::deserialize_bin(&held.value.bytes)
+        let read = |(_, state): (&str, &wv_internal_protocol::AcceptorState)| {
+            <Owner as nanoserde::DeBin>::deserialize_bin(&state.value.bytes)
         };
         let owners: Vec<Result<Owner, _>> = self.store.iter().filter(is_own).map(read).collect();
         for owner in owners {
@@ -128,26 +128,27 @@
         };
         let members = self.membership.access_nodes(self.now);
         let nodes: BTreeSet<&str> = members.keys().map(String::as_str).collect();
-        let seats = wv_shard_assignment::seats(&configuration.partners, &nodes);
-        let quotas = wv_shard_assignment::quotas(&configuration.partners, &seats, configuration.shards.len());
-        let partner_of = |node: &str| seats.iter().position(|index| index.contains(&node));
+        let partner_nodes = wv_shard_assignment::seats(&configuration.partners, &nodes);
+        let quotas = wv_shard_assignment::quotas(&configuration.partners, &partner_nodes, configuration.shards.len());
+        let partner_of = |node: &str| partner_nodes.iter().position(|nodes| nodes.contains(&node));
         let owner = |service: &String| self.feed.owners().get(service);
         let shards: Vec<serde_json::Value> = configuration
             .shards
             .iter()
             .map(|service| {
-                let held = owner(service);
+                let current = owner(service);
+                let partner = current.and_then(|current| partner_of(&current.node));
                 serde_json::json!({
-                    "shard": service, "owner": held.map(|held| held.node.as_str()),
-                    "place": held.map(|held| held.forwarding_address.as_str()),
-                    "number": held.map_or(0, |held| held.epoch), "moving": self.owner_writes.contains(service),
-                    "partner": held.and_then(|held| partner_of(&held.node)).map(|at| configuration.partners[at].label.as_str()),
-                    "live": held.is_some_and(|held| nodes.contains(held.node.as_str())),
+                    "shard": service, "owner": current.map(|current| current.node.as_str()),
+                    "place": current.map(|current| current.forwarding_address.as_str()),
+                    "number": current.map_or(0, |current| current.epoch), "moving": self.owner_writes.contains(service),
+                    "partner": partner.map(|at| configuration.partners[at].label.as_str()),
+                    "live": current.is_some_and(|current| nodes.contains(current.node.as_str())),
                 })
             })
             .collect();
-        let held = |at: usize| {
-            let its = |service: &&String| owner(service).and_then(|held| partner_of(&held.node)) == Some(at);
+        let shard_count = |at: usize| {
+            let its = |service: &&String| owner(service).and_then(|current| partner_of(&current.node)) == Some(at);
             configuration.shards.iter().filter(its).count()
         };
         let partners: Vec<serde_json::Value> = configuration
@@ -156,8 +157,8 @@
             .enumerate()
             .map(|(at, partner)| {
                 serde_json::json!({
-                    "label": partner.label, "portion": partner.portion, "wanted": quotas[at], "held": held(at),
-                    "nodes": seats[at],
+                    "label": partner.label, "portion": partner.portion, "wanted": quotas[at], "held": shard_count(at),
+                    "nodes": partner_nodes[at],
                 })
             })
             .collect();
--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -36,14 +36,14 @@
 
 /// Raises a register to the next ballot and keeps its value.
 fn raise_ballot() -> UpdateFn {
-    Box::new(|held| Some(RegisterValue { version: ((held.version >> 16) + 1) << 16, ..held.clone() }))
+    Box::new(|current| Some(RegisterValue { version: ((current.version >> 16) + 1) << 16, ..current.clone() }))
 }
 
 /// Raises a register to the given ballot and keeps its value, unless a higher ballot is present.
 fn raise_to(ballot: u64) -> UpdateFn {
-    Box::new(move |held| {
-        let raised = RegisterValue { version: held.version.max(ballot << 16), ..held.clone() };
-        (held.version >> 16 <= ballot).then_some(raised)
+    Box::new(move |current| {
+        let raised = RegisterValue { version: current.version.max(ballot << 16), ..current.clone() };
+        (current.version >> 16 <= ballot).then_some(raised)
     })
 }
 
@@ -141,7 +141,7 @@
             }
             (_, _) => {
                 // Another node holds a higher ballot, or no majority replied: outstanding reads are ignored.
-                self.shards.get_mut(&shard).into_iter().for_each(|held| held.pending_reads = 0);
+                self.shards.get_mut(&shard).into_iter().for_each(|state| state.pending_reads = 0);
                 self.on_split_event(&shard, wv_shard_split::Event::Claimed(None));
             }
         }
@@ -151,9 +151,9 @@
     fn slots_claimed(&mut self, shard: &str, cell: &RegisterValue) {
         let ballot = cell.version >> 16;
         let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
-        let held = self.shards.entry(shard.to_owned()).or_default();
-        (held.ballot, held.writes, held.pending_reads) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
-        held.registers = crate::shards::ShardRegisters { map, ..Default::default() };
+        let state = self.shards.entry(shard.to_owned()).or_default();
+        (state.ballot, state.writes, state.pending_reads) = (ballot, 0, 2 + wv_shard_split::CHUNKS);
+        state.registers = crate::shards::ShardRegisters { map, ..Default::default() };
         self.start_register_op(shard, "fill", ShardRegisterOp::ReadFill, Some(raise_to(ballot)));
         self.start_register_op(shard, "fresh", ShardRegisterOp::ReadNewKeys, Some(raise_to(ballot)));
         let parts = (0..wv_shard_split::CHUNKS).map(|at| format!("things-{at}"));
@@ -183,8 +183,8 @@
 
     /// Publishes a committed slot map if it is newer than the published one.
     pub(crate) fn publish_slots(&mut self, map: SlotMap) {
-        let held = self.feed.slots().get(&map.shard).map_or(0, |held| held.version);
-        if map.version > held {
+        let known_version = self.feed.slots().get(&map.shard).map_or(0, |known| known.version);
+        if map.version > known_version {
             log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.version);
             self.publish(FeedUpdate::Slots(map));
         }
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -51,13 +51,13 @@
         token: u64,
         change: impl FnOnce(&mut ShardUsage, &mut wv_shard_split::Split) -> Result<(), String>,
     ) {
-        let Some(held) = self.shards.get_mut(shard).filter(|held| held.split.has_ballot()) else {
+        let Some(state) = self.shards.get_mut(shard).filter(|state| state.split.has_ballot()) else {
             return self.respond(token, 503, error_body("the holder of this shard is not ready, call again"));
         };
-        match change(&mut held.usage, &mut held.split) {
+        match change(&mut state.usage, &mut state.split) {
             Ok(()) => {
-                held.usage.is_dirty = true;
-                held.usage.pending_calls.push(token);
+                state.usage.is_dirty = true;
+                state.usage.pending_calls.push(token);
             }
             Err(text) => self.respond(token, 400, error_body(&text)),
         }
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -26,7 +26,7 @@
 impl Core {
     /// Whether this node drives the splits of the shard.
     pub fn holds_shard(&self, shard: &str) -> bool {
-        self.shards.get(shard).is_some_and(|held| held.split.has_ballot())
+        self.shards.get(shard).is_some_and(|state| state.split.has_ballot())
     }
 
     /// The slot map of a shard as known to this node.
@@ -35,8 +35,8 @@
     }
 
     /// The usage, forecast and split progress of one planned shard.
-    pub(crate) fn shard_status_json(&self, shard: &str, held: &Shard) -> serde_json::Value {
-        let (rows, bytes) = self.shard_totals(shard, held);
+    pub(crate) fn shard_status_json(&self, shard: &str, state: &Shard) -> serde_json::Value {
+        let (rows, bytes) = self.shard_totals(shard, state);
         let plan = self.shard_plan(shard);
         let share = |found: u64, max: u64| (max > 0).then(|| (found as f64 / max as f64 * 1e4).round() / 1e4);
         let map = self.feed.slots().get(shard);
@@ -46,25 +46,25 @@
             .flat_map(|map| &map.moved)
             .map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target }))
             .collect();
-        let (copied, left, surges) = held.split.counts();
-        let advice = held.usage.advice.as_ref();
+        let (copied, left, surges) = state.split.counts();
+        let advice = state.usage.advice.as_ref();
         serde_json::json!({
-            "shard": shard, "rows": rows, "bytes": bytes, "error": (held.usage.sample.error() * 1e4).round() / 1e4,
+            "shard": shard, "rows": rows, "bytes": bytes, "error": (state.usage.sample.error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
-            "names": held.split.names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
+            "names": state.split.names.len(), "forecast": forecast_json(state.usage.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::text(advice.early_us), "likely": advice.likely_us.map(wv_calendar::text),
                 "splitFrom": wv_calendar::text(advice.from_us), "splitUntil": wv_calendar::text(advice.until_us),
                 "raised": wv_calendar::text(advice.raised_us),
             })),
             "split": {
-                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.step_name(),
+                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": state.split.step_name(),
                 "number": map.map_or(0, |map| map.version), "term": map.map_or(0, |map| map.term),
                 "moving": moving.map(|range| {
                     serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })
                 }),
-                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.why,
+                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": state.split.why,
             },
         })
     }
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -69,11 +69,11 @@
 
 impl Core {
     /// Estimated rows and bytes in the shard: the planned base values plus what was written since.
-    pub(crate) fn shard_totals(&self, shard: &str, held: &Shard) -> (u64, u64) {
+    pub(crate) fn shard_totals(&self, shard: &str, state: &Shard) -> (u64, u64) {
         let (from, until) = self.held_slots(shard);
         let first = self.initial_slots(shard);
         let part = f64::from(until - from) / f64::from((first.1 - first.0).max(1));
-        let (rows, bytes) = held.usage.sample.totals(|slot| (from..until).contains(&slot));
+        let (rows, bytes) = state.usage.sample.totals(|slot| (from..until).contains(&slot));
         let base = self.shard_plan(shard).map_or((0, 0), |plan| (plan.base_rows, plan.base_bytes));
         (rows + (base.0 as f64 * part) as u64, bytes + (base.1 as f64 * part) as u64)
     }
@@ -84,14 +84,14 @@
     }
 
     /// The deadline of the split that is currently requested or advised, if any.
-    pub(crate) fn split_deadline_us(&self, shard: &str, held: &Shard) -> Option<u64> {
+    pub(crate) fn split_deadline_us(&self, shard: &str, state: &Shard) -> Option<u64> {
         let plan = self.shard_plan(shard)?;
         let now = self.epoch_us();
         let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
-        if held.usage.requested_until_us > now {
-            return Some(held.usage.requested_until_us);
+        if state.usage.requested_until_us > now {
+            return Some(state.usage.requested_until_us);
         }
-        let advice = held.usage.advice.as_ref().filter(|_| plan.is_automatic)?;
+        let advice = state.usage.advice.as_ref().filter(|_| plan.is_automatic)?;
         let is_open = (advice.from_us..advice.until_us).contains(&now) && plan.quiet_windows.is_open(now);
         (is_open && advice.raised_us > moved_us).then_some(advice.until_us)
     }
@@ -99,12 +99,12 @@
     /// Updates measurements and the forecast of one shard, and writes what changed.
     pub(crate) fn run_shard_usage(&mut self, shard: &str) {
         let (now, epoch) = (self.now, self.epoch_us());
-        if !self.shards.get(shard).is_some_and(|held| held.split.has_ballot()) {
+        if !self.shards.get(shard).is_some_and(|state| state.split.has_ballot()) {
             return;
         }
-        let Some(mut held) = self.shards.remove(shard) else { return };
+        let Some(mut state) = self.shards.remove(shard) else { return };
         let moved_us = self.feed.slots().get(shard).map_or(0, |map| map.last_moved_us);
-        let usage = &mut held.usage;
+        let usage = &mut state.usage;
         // The requested split has completed or expired.
         if usage.requested_until_us > 0
             && (usage.requested_until_us <= epoch || moved_us + SPLIT_REQUEST_US > usage.requested_until_us)
@@ -117,39 +117,39 @@
             (usage.advice, usage.is_dirty) = (None, true);
         }
         if usage.measured_at + MEASURE_INTERVAL_US <= now || usage.measured_at == 0 {
-            held.usage.measured_at = now;
-            let (rows, bytes) = self.shard_totals(shard, &held);
-            held.usage.history.note(epoch, rows, bytes);
-            self.update_forecast(shard, &mut held);
-        }
-        self.write_next_part(shard, &mut held);
-        let is_kept = !held.usage.is_dirty && !held.usage.is_writing && held.split.names.is_kept();
-        let calls = if is_kept { std::mem::take(&mut held.usage.pending_calls) } else { Vec::new() };
+            state.usage.measured_at = now;
+            let (rows, bytes) = self.shard_totals(shard, &state);
+            state.usage.history.note(epoch, rows, bytes);
+            self.update_forecast(shard, &mut state);
+        }
+        self.write_next_part(shard, &mut state);
+        let is_kept = !state.usage.is_dirty && !state.usage.is_writing && state.split.names.is_kept();
+        let calls = if is_kept { std::mem::take(&mut state.usage.pending_calls) } else { Vec::new() };
         calls.into_iter().for_each(|token| self.respond(token, 200, "{}"));
         if is_kept {
             // Reports that named only stored keys can be acknowledged at once.
-            let acks = std::mem::take(&mut held.usage.pending_acks);
+            let acks = std::mem::take(&mut state.usage.pending_acks);
             acks.into_iter().for_each(|ack| self.send_report_ack(shard, ack));
         }
-        if held.usage.reported_at + REPORT_INTERVAL_US <= now {
-            held.usage.reported_at = now;
-            let text = self.shard_status_json(shard, &held).to_string();
+        if state.usage.reported_at + REPORT_INTERVAL_US <= now {
+            state.usage.reported_at = now;
+            let text = self.shard_status_json(shard, &state).to_string();
             if self.shard_status.get(shard) != Some(&text) {
                 self.send_peers(&Message::ShardStatus { shard: shard.to_owned(), text: text.clone() });
                 self.shard_status.insert(shard.to_owned(), text);
             }
         }
-        self.shards.insert(shard.to_owned(), held);
+        self.shards.insert(shard.to_owned(), state);
     }
 
-    fn update_forecast(&self, shard: &str, held: &mut Shard) {
+    fn update_forecast(&self, shard: &str, state: &mut Shard) {
         let Some(plan) = self.shard_plan(shard) else { return };
         let level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
-        let outlook = forecast(&held.usage.history, (level(plan.max_rows), level(plan.max_bytes)), METHOD);
-        let rows = held.usage.history.points().last().map_or(0, |point| point.rows);
+        let outlook = forecast(&state.usage.history, (level(plan.max_rows), level(plan.max_bytes)), METHOD);
+        let rows = state.usage.history.points().last().map_or(0, |point| point.rows);
         let move_us = MOVE_OVERHEAD_US + rows / 2 * 1_000_000 / u64::from(plan.max_rows_per_s);
         let need = Need { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
-        let (advice, is_news) = advise(&outlook, &need, held.usage.advice.as_ref());
+        let (advice, is_news) = advise(&outlook, &need, state.usage.advice.as_ref());
         if is_news {
             match &advice {
                 Some(advice) => log::warn!(
@@ -161,29 +161,29 @@
                 None => log::warn!("forecast: a split of shard {shard} is no longer needed"),
             }
         }
-        held.usage.is_dirty |= is_news || advice != held.usage.advice;
-        (held.usage.advice, held.usage.outlook) = (advice, Some(outlook));
+        state.usage.is_dirty |= is_news || advice != state.usage.advice;
+        (state.usage.advice, state.usage.outlook) = (advice, Some(outlook));
     }
 
     /// Starts at most one write at a time: new key names first, since requests wait for them, then usage, then name
     /// chunks.
-    fn write_next_part(&mut self, shard: &str, held: &mut Shard) {
-        if held.usage.is_writing {
+    fn write_next_part(&mut self, shard: &str, state: &mut Shard) {
+        if state.usage.is_writing {
             return;
         }
-        let is_usage_due = held.usage.is_dirty
-            && (held.usage.written_at + WRITE_INTERVAL_US <= self.now || !held.usage.pending_calls.is_empty());
-        held.usage.is_writing = true;
-        if let Some(text) = held.split.names.take_fresh() {
-            held.usage.in_flight_acks = std::mem::take(&mut held.usage.pending_acks);
-            self.write_new_keys(shard, held.next_version(), &text);
+        let is_usage_due = state.usage.is_dirty
+            && (state.usage.written_at + WRITE_INTERVAL_US <= self.now || !state.usage.pending_calls.is_empty());
+        state.usage.is_writing = true;
+        if let Some(text) = state.split.names.take_fresh() {
+            state.usage.in_flight_acks = std::mem::take(&mut state.usage.pending_acks);
+            self.write_new_keys(shard, state.next_version(), &text);
         } else if is_usage_due {
-            (held.usage.is_dirty, held.usage.written_at) = (false, self.now);
-            self.write_fill(shard, held.next_version(), SerBin::serialize_bin(&held.usage.to_stored()));
-        } else if let Some((at, text)) = held.split.names.take_dirty() {
-            self.write_keys(shard, held.next_version(), (at, &text));
+            (state.usage.is_dirty, state.usage.written_at) = (false, self.now);
+            self.write_fill(shard, state.next_version(), SerBin::serialize_bin(&state.usage.to_stored()));
+        } else if let Some((at, text)) = state.split.names.take_dirty() {
+            self.write_keys(shard, state.next_version(), (at, &text));
         } else {
-            held.usage.is_writing = false;
+            state.usage.is_writing = false;
         }
     }
 
@@ -194,19 +194,19 @@
         part: &crate::shard_registers::ShardRegisterOp,
         is_ours: bool,
     ) {
-        let Some(held) = self.shards.get_mut(shard) else { return };
-        held.usage.is_writing = false;
-        let acked = std::mem::take(&mut held.usage.in_flight_acks);
+        let Some(state) = self.shards.get_mut(shard) else { return };
+        state.usage.is_writing = false;
+        let acked = std::mem::take(&mut state.usage.in_flight_acks);
         match (part, is_ours) {
-            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => held.split.names.written(),
-            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => held.split.names.put_back(*at),
-            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => held.split.names.renew(),
-            (crate::shard_registers::ShardRegisterOp::WriteFill, false) => held.usage.is_dirty = true,
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => state.split.names.written(),
+            (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => state.split.names.put_back(*at),
+            (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => state.split.names.renew(),
+            (crate::shard_registers::ShardRegisterOp::WriteFill, false) => state.usage.is_dirty = true,
             _ => {}
         }
         if !is_ours {
             // Access nodes resend their reports; operators are told that the change was not stored.
-            let calls = std::mem::take(&mut held.usage.pending_calls);
+            let calls = std::mem::take(&mut state.usage.pending_calls);
             return calls.into_iter().for_each(|token| self.respond(token, 503, error_body("not kept, call again")));
         }
         acked.into_iter().for_each(|ack| self.send_report_ack(shard, ack));
@@ -226,15 +226,15 @@
             self.send_peer(&holder, Message::PeerShardReport { node: node.to_owned(), report });
             return;
         }
-        let Some(held) = self.shards.get_mut(&report.shard).filter(|held| held.split.has_ballot()) else { return };
-        held.usage.is_dirty |= held.usage.sample.merge(report.samples) > 0;
-        report.keys.iter().for_each(|name| held.split.names.add(name));
+        let Some(state) = self.shards.get_mut(&report.shard).filter(|state| state.split.has_ballot()) else { return };
+        state.usage.is_dirty |= state.usage.sample.merge(report.samples) > 0;
+        report.keys.iter().for_each(|name| state.split.names.add(name));
         let ack = (node.to_owned(), report.incarnation, report.serial);
-        if held.split.names.is_kept() && !held.usage.is_writing {
+        if state.split.names.is_kept() && !state.usage.is_writing {
             return self.send_report_ack(&report.shard, ack);
         }
-        if !held.usage.pending_acks.contains(&ack) {
-            held.usage.pending_acks.push(ack);
+        if !state.usage.pending_acks.contains(&ack) {
+            state.usage.pending_acks.push(ack);
         }
         self.run_shard_usage(&report.shard);
     }
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -93,7 +93,7 @@
     }
 
     fn with_shard(&mut self, shard: &str, run: impl FnOnce(&mut Split, &View<'_>)) {
-        let mut held = self.shards.remove(shard).unwrap_or_default();
+        let mut state = self.shards.remove(shard).unwrap_or_default();
         let plan = self.shard_plan(shard).map(|plan| Plan {
             shard: plan.shard.clone(),
             target: plan.upper.clone(),
@@ -113,17 +113,17 @@
             source: source.as_ref().map(|(id, term)| (id.as_str(), *term)),
             target: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
             capacity,
-            wanted_until_us: self.split_deadline_us(shard, &held),
+            wanted_until_us: self.split_deadline_us(shard, &state),
             first,
-            rows: self.shard_totals(shard, &held).0,
+            rows: self.shard_totals(shard, &state).0,
         };
-        run(&mut held.split, &view);
+        run(&mut state.split, &view);
         // A released or lost ballot must not be used for further writes.
-        if !held.split.has_ballot() && held.pending_reads == 0 && held.split.step_name() != "claiming" {
-            held.ballot = 0;
+        if !state.split.has_ballot() && state.pending_reads == 0 && state.split.step_name() != "claiming" {
+            state.ballot = 0;
         }
-        let orders = held.split.take_orders();
-        self.shards.insert(shard.to_owned(), held);
+        let orders = state.split.take_orders();
+        self.shards.insert(shard.to_owned(), state);
         orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
     }
 
@@ -154,7 +154,7 @@
     /// Handles the replies to statements run on a database.
     pub fn on_texts_run(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
         self.advance_clock(now);
-        let found = self.shards.iter_mut().find_map(|(shard, held)| Some((shard.clone(), held.runs.remove(&run)?)));
+        let found = self.shards.iter_mut().find_map(|(shard, state)| Some((shard.clone(), state.runs.remove(&run)?)));
         if let Some((shard, token)) = found {
             self.on_split_event(&shard, Event::Ran { token, replies });
         }
@@ -163,12 +163,12 @@
 
     /// Handles one of the register reads; after the last one the ballot is reported to the state machine as claimed.
     pub(crate) fn on_shard_register(&mut self, shard: &str, take: impl FnOnce(&mut ShardRegisters)) {
-        let Some(held) = self.shards.get_mut(shard).filter(|held| held.pending_reads > 0) else { return };
-        take(&mut held.registers);
-        held.pending_reads -= 1;
-        if held.pending_reads == 0 {
-            let read = std::mem::take(&mut held.registers);
-            held.usage.merge_stored(read.usage.unwrap_or_default());
+        let Some(state) = self.shards.get_mut(shard).filter(|state| state.pending_reads > 0) else { return };
+        take(&mut state.registers);
+        state.pending_reads -= 1;
+        if state.pending_reads == 0 {
+            let read = std::mem::take(&mut state.registers);
+            state.usage.merge_stored(read.usage.unwrap_or_default());
             self.on_split_event(shard, Event::Claimed(Some((read.map, read.names))));
         }
     }
@@ -183,7 +183,7 @@
         let (shard, attempt, incarnation, serial) =
             (dirty_keys.shard.clone(), dirty_keys.attempt, dirty_keys.incarnation, dirty_keys.serial);
         // Without the ballot the report cannot be attributed to an attempt; the access node resends it.
-        if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
+        if !self.shards.get(&shard).is_some_and(|state| state.split.has_ballot()) {
             return;
         }
         self.on_split_event(&shard, Event::Marks { node: node.to_owned(), marks: dirty_keys });
--- a/crates/wv-control/src/shutdown.rs
+++ b/crates/wv-control/src/shutdown.rs
@@ -6,8 +6,8 @@
 const PROMOTION_GAP_US: u64 = 1_500_000;
 
 impl Core {
-    /// Starts the shutdown on SIGTERM. Sessions, duties, splits and shards move to other nodes. A voter is replaced if a
-    /// candidate is ready and its set could not tolerate another failure. Calls are served until exit.
+    /// Starts the shutdown on SIGTERM. Sessions, duties, splits and shards move to other nodes. A voter is replaced if
+    /// a candidate is ready and its set could not tolerate another failure. Calls are served until exit.
     pub fn begin_shutdown(&mut self, now: u64) {
         self.advance_clock(now);
         self.is_leaving = true;
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -91,11 +91,13 @@
         }
     }
 
-    /// Loads hints only: each connection names the id it expects, and databases fence their own lead.
+    /// Loads hints only: each connection names the id it expects, and databases fence their own leadership.
     pub(crate) fn load_table(&mut self) {
         self.load_owners();
-        let stored: Option<StoredTable> =
-            self.store.get(&table_key()).and_then(|held| nanoserde::DeBin::deserialize_bin(&held.value.bytes).ok());
+        let stored: Option<StoredTable> = self
+            .store
+            .get(&table_key())
+            .and_then(|register| nanoserde::DeBin::deserialize_bin(&register.value.bytes).ok());
         let Some(stored) = stored else { return };
         // Until the other nodes have had time to return, connections are shared among as many nodes as before the
         // restart: shares computed over the few nodes already back would overload the databases once all return.
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -22,8 +22,8 @@
 }
 
 /// Moved slots can only be located through the slot map, so such a map is kept even without a plan.
-fn has_moved(key: &str, held: &AcceptorState) -> bool {
-    let map = <SlotMap as nanoserde::DeBin>::deserialize_bin(&held.value.bytes);
+fn has_moved(key: &str, state: &AcceptorState) -> bool {
+    let map = <SlotMap as nanoserde::DeBin>::deserialize_bin(&state.value.bytes);
     key.starts_with("slots/") && map.map_or(true, |map| !map.moved.is_empty())
 }
 
@@ -46,9 +46,9 @@
                 configuration.services.contains_key(name)
             }
         };
-        let is_gone = |(key, held): &(&str, &AcceptorState)| {
+        let is_gone = |(key, state): &(&str, &AcceptorState)| {
             let is_orphaned = register_owner(key).is_some_and(|(is_plan, name)| !is_named(is_plan, name));
-            is_orphaned && !held.value.bytes.is_empty() && !has_moved(key, held)
+            is_orphaned && !state.value.bytes.is_empty() && !has_moved(key, state)
         };
         let gone: std::collections::BTreeSet<String> =
             self.store.iter().filter(is_gone).map(|(key, _)| key.to_owned()).collect();
@@ -64,10 +64,10 @@
             self.orphaned_since.remove(&key);
             let token = self.allocate_id();
             // Starts a new ballot, so a concurrent claim gets a higher version in either order.
-            let edit: wv_consensus::UpdateFn = Box::new(|held| {
-                let version = ((held.version >> 16) + 1) << 16;
-                (!held.bytes.is_empty())
-                    .then(|| RegisterValue { version: version.max(held.version + 1), ..RegisterValue::default() })
+            let edit: wv_consensus::UpdateFn = Box::new(|current| {
+                let version = ((current.version >> 16) + 1) << 16;
+                (!current.bytes.is_empty())
+                    .then(|| RegisterValue { version: version.max(current.version + 1), ..RegisterValue::default() })
             });
             self.operations.insert(token, crate::types::Operation::SweepRegister);
             self.proposer.start(token, &key, Some(edit), self.now);
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -110,8 +110,8 @@
     pub(crate) fn send_heartbeats(&mut self) {
         let fresh = self.is_caught_up() && !self.is_leaving;
         // Nodes with a pending subscription receive no heartbeat yet.
-        let is_told = |link: &Link| link.node.is_some() && link.resume_from.is_none();
-        let subscribers: Vec<u64> = self.links.iter().filter(|(_, link)| is_told(link)).map(|(id, _)| *id).collect();
+        let is_served = |link: &Link| link.node.is_some() && link.resume_from.is_none();
+        let subscribers: Vec<u64> = self.links.iter().filter(|(_, link)| is_served(link)).map(|(id, _)| *id).collect();
         subscribers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
     }
 
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -1,4 +1,4 @@
-//! Actions that the core requests, and its state of links, peers and operations.
+//! Effects that the core requests, and its state of links, peers and operations.
 use wv_internal_protocol::Message;
 
 /// A side effect for the executor to perform.
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -31,7 +31,7 @@
     /// Members of the previous set that have left it and whose registers are all held here.
     complete_sources: BTreeSet<String>,
     /// Sources that timed out since any source last answered.
-    silent_sources: Vec<String>,
+    timed_out_sources: Vec<String>,
     /// When the last complete comparison started.
     up_to_date_at: Option<u64>,
     /// A learner starts no comparison before this time.
@@ -66,25 +66,25 @@
         if !is_urgent && !self.is_learner() {
             return;
         }
-        let span = SOURCE_TIMEOUT_US << self.catch_up.silent_sources.len().min(4);
-        if let Some(held) = &self.catch_up.current {
-            let is_up = self.peers.get(&held.source).is_some_and(|peer| peer.is_up);
-            if is_up && held.answered_at + span > self.now {
+        let span = SOURCE_TIMEOUT_US << self.catch_up.timed_out_sources.len().min(4);
+        if let Some(comparison) = &self.catch_up.current {
+            let is_up = self.peers.get(&comparison.source).is_some_and(|peer| peer.is_up);
+            if is_up && comparison.answered_at + span > self.now {
                 return;
             }
-            let source = held.source.clone();
-            self.catch_up.silent_sources.push(source);
+            let source = comparison.source.clone();
+            self.catch_up.timed_out_sources.push(source);
             self.catch_up.current = None;
         }
         if !is_urgent && self.catch_up.next_attempt_at > self.now {
             return;
         }
         let Some(source) = self.next_source(is_urgent) else { return };
-        let (voters, before, request) =
+        let (voters, previous, request) =
             (self.voter_state.voters.clone(), self.voter_state.previous.clone(), self.proposer.next_request());
         let digest = anti_entropy::combined_digest(&anti_entropy::range_digests(&self.store));
         let (now, differing) = (self.now, Vec::new());
-        self.send_peer(&source, Message::CatchUp(CatchUp::Compare { request, voters, previous: before, digest }));
+        self.send_peer(&source, Message::CatchUp(CatchUp::Compare { request, voters, previous, digest }));
         self.catch_up.current =
             Some(Comparison { source, request, started_at: now, answered_at: now, set: 0, differing, requested: 0 });
     }
@@ -92,14 +92,14 @@
     /// A voter of the newest set alone is sufficient; otherwise members of the previous set are asked in turn. Among
     /// equals the source with the fewest timeouts is chosen.
     fn next_source(&self, is_urgent: bool) -> Option<String> {
-        let (voters, before) = (&self.voter_state.voters, &self.voter_state.previous);
-        let addrs: BTreeSet<&str> = voters.addrs().chain(before.addrs().filter(|_| is_urgent)).collect();
+        let (voters, previous) = (&self.voter_state.voters, &self.voter_state.previous);
+        let addrs: BTreeSet<&str> = voters.addrs().chain(previous.addrs().filter(|_| is_urgent)).collect();
         let order = |addr: &&str| {
             let peer =
                 self.peers.get(*addr).filter(|peer| peer.is_up && !self.catch_up.complete_sources.contains(*addr))?;
-            let silent = self.catch_up.silent_sources.iter().filter(|silent| silent == addr).count();
+            let timeouts = self.catch_up.timed_out_sources.iter().filter(|source| *source == addr).count();
             let is_voter = peer.voter_set == voters.number;
-            (is_voter || is_urgent).then_some((silent, !is_voter, std::cmp::Reverse(peer.last_contact)))
+            (is_voter || is_urgent).then_some((timeouts, !is_voter, std::cmp::Reverse(peer.last_contact)))
         };
         let ordered = addrs.into_iter().filter_map(|addr| Some((order(&addr)?, addr)));
         ordered.min().map(|(_, addr)| addr.to_owned())
@@ -108,10 +108,10 @@
     /// Handles both sides of a comparison.
     pub(crate) fn on_catch_up(&mut self, link: u64, addr: &str, message: CatchUp) {
         match message {
-            CatchUp::Compare { request, voters, previous: before, digest } => {
+            CatchUp::Compare { request, voters, previous, digest } => {
                 // Learning of the new set ends voting in the previous one: only then are the registers sent from here
                 // final.
-                self.learn_voters(&voters, &before);
+                self.learn_voters(&voters, &previous);
                 if self.voter_state.voters.number > voters.number {
                     let message = self.peers_message();
                     return self.send(link, message);
@@ -136,17 +136,21 @@
 
     fn current_comparison(&mut self, addr: &str, request: u64) -> Option<&mut Comparison> {
         let now = self.now;
-        let held = self.catch_up.current.as_mut().filter(|held| held.source == addr && held.request == request)?;
-        held.answered_at = now;
-        Some(held)
+        let comparison = self
+            .catch_up
+            .current
+            .as_mut()
+            .filter(|comparison| comparison.source == addr && comparison.request == request)?;
+        comparison.answered_at = now;
+        Some(comparison)
     }
 
     fn on_digests(&mut self, addr: &str, request: u64, set: u64, theirs: &[u64]) {
         let ours = anti_entropy::range_digests(&self.store);
-        let Some(held) = self.current_comparison(addr, request) else { return };
+        let Some(comparison) = self.current_comparison(addr, request) else { return };
         let differs = |range: &u32| theirs.get(*range as usize).is_some_and(|sum| *sum != ours[*range as usize]);
-        (held.set, held.differing) = (set, (0..anti_entropy::RANGE_COUNT as u32).filter(differs).collect());
-        self.catch_up.silent_sources.clear();
+        (comparison.set, comparison.differing) = (set, (0..anti_entropy::RANGE_COUNT as u32).filter(differs).collect());
+        self.catch_up.timed_out_sources.clear();
         self.request_next_part();
     }
 
@@ -160,54 +164,54 @@
             self.catch_up.current = None;
             return;
         }
-        let Some(held) = self.current_comparison(addr, request) else { return };
+        let Some(comparison) = self.current_comparison(addr, request) else { return };
         if is_complete {
-            let asked = std::mem::take(&mut held.requested).min(held.differing.len());
-            held.differing.drain(..asked);
+            let requested = std::mem::take(&mut comparison.requested).min(comparison.differing.len());
+            comparison.differing.drain(..requested);
         }
-        self.catch_up.silent_sources.clear();
+        self.catch_up.timed_out_sources.clear();
         self.request_next_part();
     }
 
     /// Requests one part at a time, so that links and sources stay available for other work.
     fn request_next_part(&mut self) {
-        let Some(held) = self.catch_up.current.as_mut() else { return };
-        if held.differing.is_empty() {
+        let Some(comparison) = self.catch_up.current.as_mut() else { return };
+        if comparison.differing.is_empty() {
             return self.finish_comparison();
         }
-        let ranges = anti_entropy::summarize_ranges(&self.store, &held.differing);
-        held.requested = ranges.len();
-        let (source, request) = (held.source.clone(), held.request);
+        let ranges = anti_entropy::summarize_ranges(&self.store, &comparison.differing);
+        comparison.requested = ranges.len();
+        let (source, request) = (comparison.source.clone(), comparison.request);
         self.send_peer(&source, Message::CatchUp(CatchUp::CompareRanges { request, ranges }));
     }
 
     /// Everything that the source held when the comparison started is stored here.
     fn finish_comparison(&mut self) {
-        let Some(held) = self.catch_up.current.take() else { return };
+        let Some(comparison) = self.catch_up.current.take() else { return };
         self.catch_up.next_attempt_at = self.now + LEARNER_INTERVAL_US;
-        let (voters, before) = (self.voter_state.voters.clone(), self.voter_state.previous.clone());
-        if held.set == voters.number {
-            self.catch_up.up_to_date_at = Some(held.started_at);
+        let (voters, previous) = (self.voter_state.voters.clone(), self.voter_state.previous.clone());
+        if comparison.set == voters.number {
+            self.catch_up.up_to_date_at = Some(comparison.started_at);
         }
         if !self.is_joining() {
             return;
         }
         // A source that has not voted in either set knows no more than this disk: others are preferred.
-        if held.set == before.number {
-            self.catch_up.complete_sources.insert(held.source);
-        } else if held.set != voters.number {
-            return self.catch_up.silent_sources.push(held.source);
+        if comparison.set == previous.number {
+            self.catch_up.complete_sources.insert(comparison.source);
+        } else if comparison.set != voters.number {
+            return self.catch_up.timed_out_sources.push(comparison.source);
         }
         // This disk's own state in the previous set counts like any other member's.
         let has_left = |addr: &&str| {
             self.catch_up.complete_sources.contains(*addr)
-                || (*addr == self.address && self.voter_state.source_set(&self.address) == before.number)
+                || (*addr == self.address && self.voter_state.source_set(&self.address) == previous.number)
         };
-        let has_before = before.number > 0 && before.addrs().filter(has_left).count() >= before.majority();
+        let has_previous = previous.number > 0 && previous.addrs().filter(has_left).count() >= previous.majority();
         // A majority of the previous set, each member having left it before it answered, holds everything acknowledged
         // in it. So does any voter of the newest set, which copied it from such a majority. Anything acknowledged in
         // the newest set is stored on a majority of it without counting this disk.
-        if held.set != voters.number && !has_before {
+        if comparison.set != voters.number && !has_previous {
             return self.run_catch_up();
         }
         match self.voter_state.install(&mut self.store) {
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -16,7 +16,7 @@
         for (voter, mut message) in others {
             match &mut message {
                 Message::Handover(Handover::Seal { digest, .. }) => *digest = anti_entropy::combined_digest(&digests),
-                Message::Handover(Handover::Fetch { digests: told, .. }) => *told = digests.clone(),
+                Message::Handover(Handover::Fetch { digests: outgoing, .. }) => *outgoing = digests.clone(),
                 _ => {}
             }
             self.send_peer(&voter, message);
@@ -110,8 +110,8 @@
 
     fn request_ranges(&mut self, link: u64, (request, set, is_member): (u64, u64, bool), open: &[u32]) {
         let ranges = anti_entropy::summarize_ranges(&self.store, open);
-        let is_asked = |range: &u32| ranges.iter().any(|asked| asked.0 == *range);
-        let others = open.iter().copied().filter(|range| !is_asked(range)).collect();
+        let is_summarized = |range: &u32| ranges.iter().any(|summary| summary.0 == *range);
+        let others = open.iter().copied().filter(|range| !is_summarized(range)).collect();
         self.send(
             link,
             Message::Handover(Handover::CompareRanges { request, set, is_member, ranges, other_ranges: others }),
@@ -127,13 +127,13 @@
         ranges: &[(u32, Vec<RegisterSummary>)],
         others: Vec<u32>,
     ) {
-        let is_handing = || self.change.as_ref().is_some_and(|change| change.is_handing_over(request));
-        let is_final = if is_member { is_handing() } else { self.voter_state.sealed_set == set };
+        let is_handing_over = || self.change.as_ref().is_some_and(|change| change.is_handing_over(request));
+        let is_final = if is_member { is_handing_over() } else { self.voter_state.sealed_set == set };
         if set != self.voter_state.voters.number || !is_final {
             return;
         }
-        let (registers, is_whole) = anti_entropy::newer_registers(&self.store, ranges);
-        let again = ranges.iter().map(|range| range.0).filter(|_| !is_whole);
+        let (registers, is_complete) = anti_entropy::newer_registers(&self.store, ranges);
+        let again = ranges.iter().map(|range| range.0).filter(|_| !is_complete);
         let remaining = again.chain(others).collect();
         self.send(
             link,
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -46,14 +46,14 @@
     }
 
     /// Adopts an accepted voter set and tells all peers.
-    pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
-        let is_news =
-            self.voter_state.update_voters(&mut self.store, &self.address, voters, before).unwrap_or_else(|error| {
+    pub(crate) fn learn_voters(&mut self, voters: &VoterSet, previous: &VoterSet) {
+        let is_changed =
+            self.voter_state.update_voters(&mut self.store, &self.address, voters, previous).unwrap_or_else(|error| {
                 log::error!("cannot store the voter set: {error}");
                 self.is_voter_update_unsaved = true;
                 false
             });
-        if !is_news {
+        if !is_changed {
             return;
         }
         log::warn!("voters {}: {}", voters.number, voters.addrs().collect::<Vec<_>>().join(" "));
@@ -90,8 +90,9 @@
     /// vote, and members sealed for a successor that is not accepted yet.
     fn has_deciding_majority(&self) -> bool {
         let voters = &self.voter_state.voters;
-        let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
-        let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
+        let is_reachable =
+            |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
+        let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_reachable).count();
         let own = usize::from(self.voter_state.successor_voting_set(&self.address) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
@@ -103,7 +104,7 @@
     /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
     fn is_change_planner(&self) -> bool {
         let voters = &self.voter_state.voters;
-        let is_meant = |addr: &str| {
+        let is_eligible = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
             self.peers.get(addr).is_some_and(|peer| {
                 let is_seated =
@@ -112,7 +113,7 @@
             })
         };
         let is_own = self.has_disk && self.voter_state.successor_voting_set(&self.address) > 0 && !self.is_leaving;
-        is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_meant)
+        is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_eligible)
     }
 
     /// Whether every reachable member votes. Other members are changed only after that, so that the set keeps its fault
@@ -219,7 +220,8 @@
         };
         let members: Vec<serde_json::Value> = self.voter_state.voters.members.iter().map(status).collect();
         let body = serde_json::json!({
-            "number": self.voter_state.voters.number, "majority": self.voter_state.voters.majority(), "members": members,
+            "number": self.voter_state.voters.number, "majority": self.voter_state.voters.majority(),
+            "members": members,
             "fresh": self.has_majority(), "changing": self.is_changing_voters(),
         });
         self.respond(token, 200, body.to_string());
@@ -230,8 +232,8 @@
         self.voters_changed_at = self.now;
         match end {
             ChangeOutcome::Accepted(next) => {
-                let before = self.voter_state.voters.clone();
-                self.learn_voters(&next, &before);
+                let previous = self.voter_state.voters.clone();
+                self.learn_voters(&next, &previous);
             }
             ChangeOutcome::Aborted { highest_fence } => {
                 self.max_successor_fence = self.max_successor_fence.max(highest_fence)
--- a/crates/wv-control/tests/model_proposals.rs
+++ b/crates/wv-control/tests/model_proposals.rs
@@ -70,7 +70,7 @@
     let newest_only: fn(u64, u8) -> wv_consensus::UpdateFn = |number, content| {
         // Encodes each proposal as if it were the first one.
         let fresh = accept(proposal(number, content), vec![content])(&RegisterValue::default());
-        Box::new(move |held| fresh.clone().filter(|_| held.version < number))
+        Box::new(move |current| fresh.clone().filter(|_| current.version < number))
     };
     expect_fault(
         "only the newest proposal is listed",
--- a/crates/wv-control/tests/replies.rs
+++ b/crates/wv-control/tests/replies.rs
@@ -96,13 +96,13 @@
     /// Runs until a statement with this prefix was requested and returns all such requests.
     fn await_requests(&mut self, text: &str) -> Vec<(u64, String, String)> {
         for _ in 0..40 {
-            if self.requests.iter().any(|(_, _, asked)| asked.starts_with(text)) {
+            if self.requests.iter().any(|(_, _, statement)| statement.starts_with(text)) {
                 break;
             }
             self.run(100 * MS);
         }
         let all = self.take_requests();
-        all.into_iter().filter(|(_, _, asked)| asked.starts_with(text)).collect()
+        all.into_iter().filter(|(_, _, statement)| statement.starts_with(text)).collect()
     }
 }
 
@@ -163,7 +163,7 @@
     let first = node.await_requests("POST");
     expect_that!(first.len(), eq(1));
     // Without a reply the outcome is queried and the call is not repeated; then a new attempt starts.
-    let mut asked = Vec::new();
+    let mut statements = Vec::new();
     let mut second = Vec::new();
     for _ in 0..100 {
         node.run(100 * MS);
@@ -174,7 +174,7 @@
                 Some("POST") => second.push((request, id.clone(), text.clone())),
                 _ => {}
             }
-            asked.push(text);
+            statements.push(text);
         }
         if !second.is_empty() {
             break;
@@ -183,7 +183,7 @@
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].2, not(eq(&first[0].2)), "another attempt has another fence");
     // The late refusal of the first call must not end the second one.
-    asked.clear();
+    statements.clear();
     node.core.on_promotion_response(first[0].0, Some(409), node.now);
     node.apply_actions();
     expect_that!(node.take_requests().iter().any(|(_, _, text)| text == "CONTINUE"), eq(false));
@@ -223,12 +223,15 @@
         );
         node.apply_actions();
     }
-    let asked = node.take_requests();
+    let requests = node.take_requests();
     let of = |text: &str| {
-        asked.iter().find(|(_, id, asked)| id == "d2" && asked.starts_with(text)).map(|(request, ..)| *request)
+        requests
+            .iter()
+            .find(|(_, id, statement)| id == "d2" && statement.starts_with(text))
+            .map(|(request, ..)| *request)
     };
     let (Some(yielded), Some(suspended)) = (of("YIELD"), of("SUSPEND")) else {
-        return expect_that!(asked, is_empty(), "both are requested of it");
+        return expect_that!(requests, is_empty(), "both are requested of it");
     };
     node.reply_row(yielded, 5, 0);
     expect_that!(node.take_requests(), is_empty(), "not suspended yet");
--- a/crates/wv-control/tests/voter_catch_up.rs
+++ b/crates/wv-control/tests/voter_catch_up.rs
@@ -31,29 +31,28 @@
 fn comparison_request(node: &Node, sent: &[(u64, Message)]) -> Option<(String, u64)> {
     sent.iter().find_map(|(link, message)| match message {
         Message::CatchUp(CatchUp::Compare { request, .. }) => {
-            let addr = node.links.iter().find(|(_, held)| *held == link)?.0;
+            let addr = node.links.iter().find(|(_, id)| *id == link)?.0;
             Some((addr[..1].to_owned(), *request))
         }
         _ => None,
     })
 }
 
-fn peers(voters: VoterSet, before: VoterSet) -> Message {
-    Message::Peers { addresses: Vec::new(), zones: Vec::new(), voters, previous_voters: before }
+fn peers(voters: VoterSet, previous: VoterSet) -> Message {
+    Message::Peers { addresses: Vec::new(), zones: Vec::new(), voters, previous_voters: previous }
 }
 
 #[gtest]
 fn given_a_voter_asked_by_a_member_of_the_next_set_then_it_has_left_its_own_set_when_it_answers() {
     let mut node = Node::start("a", true);
     expect_that!(is_voting(&mut node, 1), eq(true));
-    let (voters, before) = (set(2, "abd"), set(1, "abc"));
-    let sent =
-        node.receive("b", Message::CatchUp(CatchUp::Compare { request: 5, voters, previous: before, digest: 0 }));
-    let told = sent.iter().find_map(|(_, message)| match message {
+    let (voters, previous) = (set(2, "abd"), set(1, "abc"));
+    let sent = node.receive("b", Message::CatchUp(CatchUp::Compare { request: 5, voters, previous, digest: 0 }));
+    let announced_set = sent.iter().find_map(|(_, message)| match message {
         Message::CatchUp(CatchUp::Digests { request: 5, set, .. }) => Some(*set),
         _ => None,
     });
-    expect_that!(told, some(eq(1)));
+    expect_that!(announced_set, some(eq(1)));
     expect_that!(is_voting(&mut node, 1), eq(false));
 }
 
@@ -97,9 +96,9 @@
         let mut node = Node::start("d", false);
         let mut sent = node.receive("a", peers(set(3, "abd"), set(2, "abc")));
         for _ in 0..12 {
-            if let Some((asked, request)) = comparison_request(&node, &sent) {
+            if let Some((source, request)) = comparison_request(&node, &sent) {
                 node.receive(
-                    &asked,
+                    &source,
                     Message::CatchUp(CatchUp::Digests { request, set: source_set, digests: Vec::new() }),
                 );
             }
