--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -85,14 +85,14 @@
         PoolAvailability { outstanding, can_accept, is_warm }
     }
 
-    fn place_request(&mut self, id: u64, key: DatabaseKey, minpos: Option<LogPosition>, is_wrapped: bool) {
+    fn place_request(&mut self, id: u64, key: DatabaseKey, min_position: Option<LogPosition>, is_wrapped: bool) {
         // During slow start, queued requests go first.
         let is_next = !self.slow_starts.contains_key(&key)
             || self.dequeued == Some(id)
             || self.pools.get(&key).is_none_or(|pool| pool.waiting.is_empty());
         self.note_connection_demand(id, key);
         self.pools.entry(key).or_default().last_used_at = self.now;
-        if minpos.is_none() {
+        if min_position.is_none() {
             self.last_write_at.insert(key.service, self.now);
         }
         let is_free = is_next && self.can_start_request(key);
@@ -116,7 +116,7 @@
         if let Some((_, at)) = fitting.filter(|_| is_free && may_take) {
             let db = pool.idle.remove(at);
             self.charge_connection(id, db, key);
-            return self.send_request(id, db, minpos, is_wrapped);
+            return self.send_request(id, db, min_position, is_wrapped);
         }
         if !may_wait {
             return self.refuse_request(id);
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool for ever.
+    /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool forever.
     fn close_unanswered(&mut self) {
         let is_internal = |expect: &Pending| !matches!(expect.kind, Reply::Request { .. } | Reply::Begin { .. });
         let is_overdue = |connection: &DbConnection| {
--- a/crates/wv-access/src/send.rs
+++ b/crates/wv-access/src/send.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     /// Syncs the connection with the session, then sends the request or the `BEGIN` that precedes it.
-    pub(crate) fn send_request(&mut self, id: u64, db: u64, minpos: Option<LogPosition>, is_wrapped: bool) {
+    pub(crate) fn send_request(&mut self, id: u64, db: u64, min_position: Option<LogPosition>, is_wrapped: bool) {
         let now = self.now;
         let (Some(client), Some(connection)) = (self.clients.get_mut(&id), self.dbs.get_mut(&db)) else { return };
         let request = &mut client.request;
@@ -35,12 +35,12 @@
             sent_at: now,
             is_fenced,
         };
-        let minpos_prefix = minpos.map(|position| format!("MINPOS {position} ")).unwrap_or_default();
+        let minpos_prefix = min_position.map(|position| format!("MINPOS {position} ")).unwrap_or_default();
         // If BEGIN fails, a pipelined statement would run outside the transaction, so it waits for the reply.
         match client.txn.as_mut() {
             Some(txn) if txn.db.is_none() => {
                 // Read-only transactions are not fenced by the database, so primary routes use plain ones.
-                txn.is_primary_only = minpos.is_none();
+                txn.is_primary_only = min_position.is_none();
                 if txn.is_primary_only {
                     write_query(&mut connection.out, b"-", &[b"BEGIN"]);
                 } else {
--- a/crates/wv-access/src/txn.rs
+++ b/crates/wv-access/src/txn.rs
@@ -51,7 +51,7 @@
         self.fail(id, code, text, b'E');
     }
 
-    /// Rolls back a transaction that was idle too long; the client is told with its next statement.
+    /// Rolls back a transaction that was idle too long; the client's next statement reports it.
     pub(crate) fn expire_idle_txn(&mut self, id: u64, since: u64) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| !client.request.is_open) else { return };
         let Some(txn) = client.txn.as_mut().filter(|txn| txn.idle_since == since && txn.failure.is_none()) else {
--- a/crates/wv-access/src/types.rs
+++ b/crates/wv-access/src/types.rs
@@ -3,7 +3,7 @@
 use wv_health::DatabaseKey;
 use wv_wire_protocol::ErrorCode;
 
-/// An instruction of the core to the executor.
+/// A side effect for the executor to perform.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Effect {
     WriteClient(u64),
@@ -92,7 +92,7 @@
     }
 }
 
-/// A failed transaction, and whether the client has been told.
+/// A failed transaction, and whether the failure was reported to the client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TxnFailure {
     Unreported,
--- a/crates/wv-access/tests/split_reports.rs
+++ b/crates/wv-access/tests/split_reports.rs
@@ -10,11 +10,11 @@
     let moving = Some(SlotRange { from: 0, until: 1024, target: "t".to_owned() });
     let (shard, phase) = ("s".to_owned(), SplitPhase::Copying);
     let map = SlotMap { shard, phase, moving, version: 9, term: 3, attempt: 5, ..SlotMap::default() };
-    let mut bare = TestNode::with_split_plan(map);
-    let client = bare.connect_client("shop");
-    bare.send_line(client, "QUERY w1 WRITE k d");
+    let mut node = TestNode::with_split_plan(map);
+    let client = node.connect_client("shop");
+    node.send_line(client, "QUERY w1 WRITE k d");
     let (mut dirty_serial, mut sample_serial) = (0, 0);
-    for message in bare.core.take_split_reports(false) {
+    for message in node.core.take_split_reports(false) {
         match message {
             Message::DirtyKeys(report) => {
                 (dirty_serial, _) =
@@ -28,29 +28,29 @@
     }
     expect_that!((dirty_serial > 0, sample_serial > 0), eq((true, true)));
     // An earlier incarnation of the node used the same serial numbers.
-    bare.core.dirty_keys_acked("s", 5, (NODE_INCARNATION - 1, dirty_serial), bare.now);
-    bare.core.dirty_keys_acked("s", 4, (NODE_INCARNATION, dirty_serial), bare.now);
-    bare.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
-    bare.apply_effects();
+    node.core.dirty_keys_acked("s", 5, (NODE_INCARNATION - 1, dirty_serial), node.now);
+    node.core.dirty_keys_acked("s", 4, (NODE_INCARNATION, dirty_serial), node.now);
+    node.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), node.now);
+    node.apply_effects();
     expect_that!(
-        bare.statement_count("WRITE"),
+        node.statement_count("WRITE"),
         eq(0),
         "the coordinator does not yet know that this incarnation writes"
     );
-    bare.core.dirty_keys_acked("s", 5, (NODE_INCARNATION, dirty_serial), bare.now);
-    bare.apply_effects();
-    expect_that!(bare.statement_count("WRITE"), eq(1));
-    let client = bare.connect_client("shop");
-    bare.send_line(client, "QUERY w2 WRITE l d");
+    node.core.dirty_keys_acked("s", 5, (NODE_INCARNATION, dirty_serial), node.now);
+    node.apply_effects();
+    expect_that!(node.statement_count("WRITE"), eq(1));
+    let client = node.connect_client("shop");
+    node.send_line(client, "QUERY w2 WRITE l d");
     let serial = |message: &Message| match message {
         Message::ShardReport(report) => Some(report.serial),
         _ => None,
     };
-    let sample_serial = bare.core.take_split_reports(false).iter().find_map(serial).expect("a new key is reported");
-    bare.core.shard_report_acked("s", (NODE_INCARNATION - 1, sample_serial), bare.now);
-    bare.apply_effects();
-    expect_that!(bare.statement_count("QUERY w2"), eq(0), "its key is not yet persisted");
-    bare.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), bare.now);
-    bare.apply_effects();
-    expect_that!(bare.statement_count("QUERY w2"), eq(1));
+    let sample_serial = node.core.take_split_reports(false).iter().find_map(serial).expect("a new key is reported");
+    node.core.shard_report_acked("s", (NODE_INCARNATION - 1, sample_serial), node.now);
+    node.apply_effects();
+    expect_that!(node.statement_count("QUERY w2"), eq(0), "its key is not yet persisted");
+    node.core.shard_report_acked("s", (NODE_INCARNATION, sample_serial), node.now);
+    node.apply_effects();
+    expect_that!(node.statement_count("QUERY w2"), eq(1));
 }
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -129,9 +129,9 @@
             let known = self.table.get(&leader.id);
             let promoted =
                 self.leadership.promoted.get(&instance.service).filter(|promoted| promoted.term == leader.term);
-            let led = self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_US);
+            let report_deadline = self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_US);
             known.is_some_and(|known| known.gone)
-                || (known.is_none_or(|known| !known.primary) && (leader.term == 0 || led <= self.now))
+                || (known.is_none_or(|known| !known.primary) && (leader.term == 0 || report_deadline <= self.now))
                 || promoted.is_some_and(|promoted| promoted.id == instance.id)
         });
         if leader.is_none_or(|leader| leader.id != instance.id) && (is_new_primary || is_replaceable) {
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -3,7 +3,7 @@
 //! Inputs: reports on databases, from the database itself or from another control node. Output: an age on each message,
 //! computed when it is sent. State: when each leaving database first announced its leave, and which databases were seen
 //! in service in this incarnation. Invariant: an age that is sent is never less than any age received, or than the time
-//! since this incarnation first heard of the leave. If the first report in this incarnation already says that the
+//! since this incarnation first learned of the leave. If the first report in this incarnation already says that the
 //! database leaves, others may have acknowledged the leave long ago, and its age is unknown.
 use crate::core::Core;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -121,7 +121,7 @@
     }
 
     /// Serves subscriptions while a majority is in contact. Without one the state here may be stale and subscribers are
-    /// turned away, except during startup, when the other nodes may not be ready either.
+    /// rejected, except during startup, when the other nodes may not be ready either.
     pub(crate) fn serve_subscriptions(&mut self) {
         let is_ready = self.is_caught_up() && self.contact.syncing_shards.is_empty() && !self.is_leaving;
         let is_starting = self.is_starting() && !self.is_leaving;
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -205,7 +205,7 @@
             _ => {}
         }
         if !is_ours {
-            // Access nodes resend their reports; operators are told that the change was not stored.
+            // Access nodes resend their reports; operators receive an error, as the change was not stored.
             let calls = std::mem::take(&mut state.usage.pending_calls);
             return calls.into_iter().for_each(|token| self.respond(token, 503, error_body("not kept, call again")));
         }
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -1,4 +1,4 @@
-//! The table of databases on disk: hints after a restart until heartbeats arrive.
+//! The table of databases on disk, used as hints after a restart until heartbeats arrive.
 use crate::core::{Core, LOCAL_KEY_PREFIX};
 use wv_internal_protocol::{FeedUpdate, Instance, Leader};
 
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -1,4 +1,4 @@
-//! Participant side of a voter set change: prepare, seal, hand over registers, accept.
+//! Participant side of a voter set change: prepare, seal, transfer registers, accept.
 use crate::core::Core;
 use wv_consensus::{anti_entropy, RegisterError};
 use wv_internal_protocol::{AcceptorState, Handover, Message, RegisterSummary};
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -45,7 +45,7 @@
         });
     }
 
-    /// Adopts an accepted voter set and tells all peers.
+    /// Adopts an accepted voter set and announces it to all peers.
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, previous: &VoterSet) {
         let is_changed =
             self.voter_state.update_voters(&mut self.store, &self.address, voters, previous).unwrap_or_else(|error| {
@@ -101,7 +101,7 @@
         peer.is_up && peer.last_contact + CONTACT_TTL_US > self.now
     }
 
-    /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
+    /// One staying member of the newest set plans its successor: it already holds nearly everything to be transferred.
     fn is_change_planner(&self) -> bool {
         let voters = &self.voter_state.voters;
         let is_eligible = |addr: &str| {
--- a/crates/wv-control/tests/leaders.rs
+++ b/crates/wv-control/tests/leaders.rs
@@ -29,7 +29,7 @@
     node.core.leader("s").map(|leader| (leader.id.clone(), leader.term)).unwrap_or_default()
 }
 
-/// A node that knows a primary and a replica and is told that the replica was promoted.
+/// A node that knows a primary and a replica and receives a message that the replica was promoted.
 fn after_promotion() -> Node {
     let mut node = Node::start("a", true);
     heartbeat(&mut node, "i1", true, 1);
--- a/crates/wv-internal-protocol/src/feed.rs
+++ b/crates/wv-internal-protocol/src/feed.rs
@@ -4,7 +4,7 @@
 
 #[derive(SerBin, DeBin, Clone, PartialEq, Debug)]
 pub enum FeedUpdate {
-    /// A complete packed configuration.
+    /// A complete compressed configuration.
     Configuration {
         version: u64,
         body: Vec<u8>,
--- a/crates/wv-internal-protocol/src/instance.rs
+++ b/crates/wv-internal-protocol/src/instance.rs
@@ -15,6 +15,6 @@
     pub sequence: u64,
     pub gone: bool,
     /// Set by the sender of the message: an upper bound on the time since the database announced that it is leaving.
-    /// 0 if a running process heard it while it was in service, `UNKNOWN_AGE_US` if the time is not known.
+    /// In service: 0 if a running process has received its heartbeat. `UNKNOWN_AGE_US` if the time is not known.
     pub leaving_age_us: u64,
 }
