--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -103,18 +103,18 @@
     /// unreachable one does not. The silence counts as the first failure observation, the failed probe as the second.
     fn probe_silent_databases(&mut self) {
         let now = self.now;
-        let mut silent: Vec<DatabaseKey> = Vec::new();
+        let mut unresponsive: Vec<DatabaseKey> = Vec::new();
         for db in self.dbs.values().filter(|db| db.phase == Phase::Busy) {
             let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
             let is_quiet = self
                 .pools
                 .get(&db.key)
                 .is_some_and(|pool| pool.last_data_at + SILENCE_LIMIT_US < now && pool.opening == 0);
-            if is_waiting && is_quiet && !silent.contains(&db.key) {
-                silent.push(db.key);
+            if is_waiting && is_quiet && !unresponsive.contains(&db.key) {
+                unresponsive.push(db.key);
             }
         }
-        for key in silent {
+        for key in unresponsive {
             if self.open_probe(key) {
                 self.health.database_mut(key).into_iter().for_each(|member| member.on_timeout(now));
                 self.is_health_report_due = true;
--- a/crates/wv-internal-protocol/src/frame.rs
+++ b/crates/wv-internal-protocol/src/frame.rs
@@ -12,7 +12,7 @@
     Malformed,
 }
 
-/// Appends `msg` to `out` as one frame.
+/// Appends `message` to `out` as one frame.
 pub fn encode_frame<T: SerBin>(out: &mut Vec<u8>, message: &T) {
     let body = message.serialize_bin();
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
