--- a/crates/wv-access/src/forwarding.rs
+++ b/crates/wv-access/src/forwarding.rs
@@ -62,7 +62,7 @@
 
     pub(crate) fn set_owner(&mut self, owner: Owner) {
         let service = self.health.intern_service(&owner.service);
-        let is_newer = self.forwarding.owners.get(&service).is_none_or(|held| held.epoch < owner.epoch);
+        let is_newer = self.forwarding.owners.get(&service).is_none_or(|known| known.epoch < owner.epoch);
         if is_newer {
             self.forwarding.owners.insert(service, owner);
         }
@@ -81,12 +81,12 @@
 
     /// The owner to forward this request to, or `None` to execute it here.
     fn forwarding_target(&self, id: u64) -> Option<&Owner> {
-        let conf = self.conf.as_ref().filter(|conf| !conf.partners.is_empty())?;
+        let configuration = self.configuration.as_ref().filter(|configuration| !configuration.partners.is_empty())?;
         let client = self.clients.get(&id).filter(|client| client.forward_origin.is_none())?;
         let route = client.request.route.as_ref().filter(|route| route.category == Category::Primary)?;
         let is_here = client.request.is_local_only
             || client.txn.as_ref().is_some_and(|txn| txn.db.is_some() || txn.has_completed_statement);
-        conf.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
+        configuration.shards.binary_search(&route.service).ok().filter(|_| !is_here)?;
         let owner = self.forwarding.owners.get(&self.health.service_index(&route.service)?)?;
         let is_failed = self
             .forwarding
@@ -120,8 +120,8 @@
             self.schedule_wait_limit(id);
             return true;
         }
-        let held = self.clients.get(&id).and_then(|client| client.forwarded_session);
-        let session = match held
+        let existing = self.clients.get(&id).and_then(|client| client.forwarded_session);
+        let session = match existing
             .filter(|session| self.forwarding.outbound.get(session).is_some_and(|outbound| outbound.link == link))
         {
             Some(session) => session,
--- a/crates/wv-access/src/txn.rs
+++ b/crates/wv-access/src/txn.rs
@@ -51,7 +51,7 @@
         self.fail(id, code, text, b'E');
     }
 
-    /// Rolls back a transaction that was idle too long; the client is told with its next statement.
+    /// Rolls back a transaction that was idle too long; the client's next statement reports it.
     pub(crate) fn expire_idle_txn(&mut self, id: u64, since: u64) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| !client.request.is_open) else { return };
         let Some(txn) = client.txn.as_mut().filter(|txn| txn.idle_since == since && txn.failure.is_none()) else {
@@ -65,7 +65,10 @@
 
     /// Starts the idle timer of the client's transaction.
     pub(crate) fn start_idle_timer(&mut self, id: u64) {
-        let (now, wait) = (self.now, self.conf.as_ref().map_or(3_000_000, |conf| conf.limits.txn_idle_timeout_us));
+        let (now, wait) = (
+            self.now,
+            self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.txn_idle_timeout_us),
+        );
         if let Some(txn) = self.clients.get_mut(&id).and_then(|client| client.txn.as_mut()) {
             txn.idle_since = now;
             self.timers.schedule(now + wait, Timer::TxnIdle { client: id, since: now });
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -54,18 +54,19 @@
             self.counters.leaves_acknowledged,
         )?;
         let of = |figure: fn(&Promotions) -> u64| {
-            self.counters.services.iter().map(move |(service, held)| (vec![service.clone()], figure(held)))
+            self.counters.services.iter().map(move |(service, counts)| (vec![service.clone()], figure(counts)))
         };
         let calls = ("windvalve_promotion_calls", "Calls to the platform to promote a database");
-        page.add_gauges(calls, &["service"], of(|held| held.calls))?;
+        page.add_gauges(calls, &["service"], of(|counts| counts.calls))?;
         let stalls = ("windvalve_promotion_stalls", "Attempts at a promotion that led nowhere");
-        page.add_gauges(stalls, &["service"], of(|held| held.stalls))?;
-        let leaving = self.table.iter().filter(|inst| inst.draining && !inst.gone);
-        let role = |inst: &wv_internal_protocol::Instance| if inst.primary { "primary" } else { "replica" }.to_owned();
+        page.add_gauges(stalls, &["service"], of(|counts| counts.stalls))?;
+        let leaving = self.table.iter().filter(|instance| instance.draining && !instance.gone);
+        let role =
+            |instance: &wv_internal_protocol::Instance| if instance.primary { "primary" } else { "replica" }.to_owned();
         page.add_gauges(
             ("windvalve_database_leaving", "Databases that said that they leave and are not gone"),
             &["id", "service", "role"],
-            leaving.map(|inst| (vec![inst.id.clone(), inst.service.clone(), role(inst)], 1)),
+            leaving.map(|instance| (vec![instance.id.clone(), instance.service.clone(), role(instance)], 1)),
         )?;
         page.encode()
     }
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -1,5 +1,5 @@
 //! Status of planned shards, and routing of operator calls on them.
-use crate::conf::error_body;
+use crate::configuration::error_body;
 use crate::core::Core;
 use crate::shards::Shard;
 use wv_shard_forecast::{Forecast, ForecastResult, ThresholdCrossing};
@@ -33,7 +33,7 @@
 impl Core {
     /// Whether this node drives the splits of the shard.
     pub fn holds_shard(&self, shard: &str) -> bool {
-        self.shards.get(shard).is_some_and(|held| held.split.has_ballot())
+        self.shards.get(shard).is_some_and(|state| state.split.has_ballot())
     }
 
     /// The slot map of a shard as known to this node.
@@ -42,8 +42,8 @@
     }
 
     /// The usage, forecast and split progress of one planned shard.
-    pub(crate) fn shard_status_json(&self, shard: &str, held: &Shard) -> serde_json::Value {
-        let (rows, bytes) = self.shard_totals(shard, held);
+    pub(crate) fn shard_status_json(&self, shard: &str, state: &Shard) -> serde_json::Value {
+        let (rows, bytes) = self.shard_totals(shard, state);
         let plan = self.shard_plan(shard);
         let share = |found: u64, max: u64| (max > 0).then(|| (found as f64 / max as f64 * 1e4).round() / 1e4);
         let map = self.feed.slots().get(shard);
@@ -53,14 +53,14 @@
             .flat_map(|map| &map.moved)
             .map(|range| serde_json::json!({ "from": range.from, "until": range.until, "at": range.target }))
             .collect();
-        let (copied, left, surges) = held.split.copy_counts();
-        let advice = held.usage.advice.as_ref();
+        let (copied, left, surges) = state.split.copy_counts();
+        let advice = state.usage.advice.as_ref();
         serde_json::json!({
             "shard": shard, "rows": rows, "bytes": bytes,
-            "error": (held.usage.sample.relative_error() * 1e4).round() / 1e4,
+            "error": (state.usage.sample.relative_error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
-            "names": held.split.key_names.len(), "forecast": forecast_json(held.usage.outlook.as_ref()),
+            "names": state.split.key_names.len(), "forecast": forecast_json(state.usage.outlook.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::format_utc(advice.early_us),
                 "likely": advice.likely_us.map(wv_calendar::format_utc),
@@ -69,19 +69,19 @@
                 "raised": wv_calendar::format_utc(advice.raised_us),
             })),
             "split": {
-                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": held.split.state_name(),
+                "phase": map.map(|map| format!("{:?}", map.phase).to_lowercase()), "step": state.split.state_name(),
                 "number": map.map_or(0, |map| map.version), "term": map.map_or(0, |map| map.term),
                 "moving": moving.map(|range| {
                     serde_json::json!({ "from": range.from, "until": range.until, "at": range.target })
                 }),
-                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": held.split.reason,
+                "moved": moved, "copied": copied, "left": left, "pausesForOthers": surges, "why": state.split.reason,
             },
         })
     }
 
     /// `GET /forecast` and `GET /splits`: all planned shards, as last reported by their holders.
     pub(crate) fn list_shard_status(&mut self, token: u64) {
-        let Some(conf) = self.conf.as_ref() else {
+        let Some(configuration) = self.configuration.as_ref() else {
             return self.respond_no_configuration(token);
         };
         let reported = |plan: &wv_configuration::ShardPlan| {
@@ -89,8 +89,11 @@
             serde_json::from_str::<serde_json::Value>(text).ok()
         };
         let unknown = |shard: &str| serde_json::json!({ "shard": shard, "forecast": forecast_json(None) });
-        let list: Vec<serde_json::Value> =
-            conf.shard_plans.iter().map(|plan| reported(plan).unwrap_or_else(|| unknown(&plan.shard))).collect();
+        let list: Vec<serde_json::Value> = configuration
+            .shard_plans
+            .iter()
+            .map(|plan| reported(plan).unwrap_or_else(|| unknown(&plan.shard)))
+            .collect();
         self.respond(token, 200, serde_json::json!({ "shards": list, "fresh": self.is_caught_up() }).to_string());
     }
 
@@ -98,7 +101,7 @@
     pub(crate) fn handle_shard_call(&mut self, token: u64, method: &str, path: (&str, &str), body: Option<&[u8]>) {
         let (part, shard) = path;
         // Only a node that knows the newest configuration may answer that a plan does not exist.
-        if self.conf.is_none() || !self.is_caught_up() {
+        if self.configuration.is_none() || !self.is_caught_up() {
             return self.respond(token, 503, error_body("no majority of the voters is in contact, call again"));
         }
         if self.shard_plan(shard).is_none() {
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn shard_plan(&self, shard: &str) -> Option<&wv_configuration::ShardPlan> {
-        self.conf.as_ref()?.shard_plans.iter().find(|plan| plan.shard == shard)
+        self.configuration.as_ref()?.shard_plans.iter().find(|plan| plan.shard == shard)
     }
 
     /// The slots that the shard started with: all of them, or those moved to it by the split of another shard.
@@ -76,8 +76,8 @@
     /// Drives all shards whose split duty is held here.
     pub(crate) fn run_shards(&mut self) {
         self.sync_slots();
-        let Some(conf) = &self.conf else { return };
-        let planned = conf.shard_plans.iter().map(|plan| plan.shard.clone());
+        let Some(configuration) = &self.configuration else { return };
+        let planned = configuration.shard_plans.iter().map(|plan| plan.shard.clone());
         let names: std::collections::BTreeSet<String> = planned.chain(self.shards.keys().cloned()).collect();
         for shard in names {
             let is_known = self.shards.contains_key(&shard);
@@ -93,16 +93,16 @@
     }
 
     fn with_shard(&mut self, shard: &str, run: impl FnOnce(&mut Split, &View<'_>)) {
-        let mut held = self.shards.remove(shard).unwrap_or_default();
+        let mut state = self.shards.remove(shard).unwrap_or_default();
         let plan = self.shard_plan(shard).map(|plan| Plan {
             shard: plan.shard.clone(),
             target: plan.upper.clone(),
             max_rows_per_s: plan.max_rows_per_s,
             seal_timeout_us: plan.seal_timeout_us,
         });
-        let lead = |service: &str| self.feed.leader(service).map(|lead| (lead.id.clone(), lead.term));
-        let (source, target) = (lead(shard), plan.as_ref().and_then(|plan| lead(&plan.target)));
-        let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |inst| inst.capacity);
+        let leader = |service: &str| self.feed.leader(service).map(|leader| (leader.id.clone(), leader.term));
+        let (source, target) = (leader(shard), plan.as_ref().and_then(|plan| leader(&plan.target)));
+        let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |instance| instance.capacity);
         let first = self.initial_slots(shard);
         let is_holder = self.is_shard_holder(shard) && self.is_stable_for(STABLE_CONTACT_US) && !self.is_leaving;
         let view = View {
@@ -113,17 +113,17 @@
             source_leader: source.as_ref().map(|(id, term)| (id.as_str(), *term)),
             target_leader: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
             capacity,
-            deadline_us: self.split_deadline_us(shard, &held),
+            deadline_us: self.split_deadline_us(shard, &state),
             initial_slots: first,
-            estimated_rows: self.shard_totals(shard, &held).0,
+            estimated_rows: self.shard_totals(shard, &state).0,
         };
-        run(&mut held.split, &view);
+        run(&mut state.split, &view);
         // A released or lost ballot must not be used for further writes.
-        if !held.split.has_ballot() && held.pending_reads == 0 && held.split.state_name() != "claiming" {
-            held.ballot = 0;
+        if !state.split.has_ballot() && state.pending_reads == 0 && state.split.state_name() != "claiming" {
+            state.ballot = 0;
         }
-        let orders = held.split.take_commands();
-        self.shards.insert(shard.to_owned(), held);
+        let orders = state.split.take_commands();
+        self.shards.insert(shard.to_owned(), state);
         orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
     }
 
@@ -141,7 +141,7 @@
                     Side::Source => shard.to_owned(),
                     Side::Target => plan.map(|plan| plan.upper.clone()).unwrap_or_default(),
                 };
-                let Some(addr) = self.table.get(&id).map(|inst| inst.address.clone()) else {
+                let Some(addr) = self.table.get(&id).map(|instance| instance.address.clone()) else {
                     return self.on_split_event(shard, Event::StatementsRun { token, replies: None });
                 };
                 let run = self.allocate_id();
@@ -154,7 +154,7 @@
     /// Handles the replies to statements run on a database.
     pub fn on_texts_run(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
         self.advance_clock(now);
-        let found = self.shards.iter_mut().find_map(|(shard, held)| Some((shard.clone(), held.runs.remove(&run)?)));
+        let found = self.shards.iter_mut().find_map(|(shard, state)| Some((shard.clone(), state.runs.remove(&run)?)));
         if let Some((shard, token)) = found {
             self.on_split_event(&shard, Event::StatementsRun { token, replies });
         }
@@ -163,12 +163,12 @@
 
     /// Handles one of the register reads; after the last one the ballot is reported to the state machine as claimed.
     pub(crate) fn on_shard_register(&mut self, shard: &str, take: impl FnOnce(&mut ShardRegisters)) {
-        let Some(held) = self.shards.get_mut(shard).filter(|held| held.pending_reads > 0) else { return };
-        take(&mut held.registers);
-        held.pending_reads -= 1;
-        if held.pending_reads == 0 {
-            let read = std::mem::take(&mut held.registers);
-            held.usage.merge_stored(read.usage.unwrap_or_default());
+        let Some(state) = self.shards.get_mut(shard).filter(|state| state.pending_reads > 0) else { return };
+        take(&mut state.registers);
+        state.pending_reads -= 1;
+        if state.pending_reads == 0 {
+            let read = std::mem::take(&mut state.registers);
+            state.usage.merge_stored(read.usage.unwrap_or_default());
             self.on_split_event(shard, Event::Claimed(Some((read.map, read.names))));
         }
     }
@@ -180,33 +180,33 @@
             self.send_peer(&holder, Message::PeerDirtyKeys { node: node.to_owned(), dirty_keys });
             return;
         }
-        let (shard, attempt, life, serial) =
+        let (shard, attempt, incarnation, serial) =
             (dirty_keys.shard.clone(), dirty_keys.attempt, dirty_keys.incarnation, dirty_keys.serial);
         // Without the ballot the report cannot be attributed to an attempt; the access node resends it.
-        if !self.shards.get(&shard).is_some_and(|held| held.split.has_ballot()) {
+        if !self.shards.get(&shard).is_some_and(|state| state.split.has_ballot()) {
             return;
         }
         self.on_split_event(&shard, Event::WriteMarks { node: node.to_owned(), marks: dirty_keys });
         self.send_to_access_node(
             node,
-            Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation: life, serial },
+            Message::DirtyKeysAck { node: node.to_owned(), shard, attempt, incarnation, serial },
         );
     }
 
     /// Sends a message to an access node over its session here, or through the control node that has its session.
-    pub(crate) fn send_to_access_node(&mut self, node: &str, msg: Message) {
+    pub(crate) fn send_to_access_node(&mut self, node: &str, message: Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
         if own.is_empty() {
-            self.send_peers(&msg);
+            self.send_peers(&message);
         }
-        own.into_iter().for_each(|link| self.send(link, msg.clone()));
+        own.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 
     /// Delivers a message for an access node that another control node forwarded.
-    pub(crate) fn forward_to_access_node(&mut self, node: &str, msg: &Message) {
+    pub(crate) fn forward_to_access_node(&mut self, node: &str, message: &Message) {
         let own: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
-        own.into_iter().for_each(|link| self.send(link, msg.clone()));
+        own.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 }
--- a/crates/wv-control/src/statements.rs
+++ b/crates/wv-control/src/statements.rs
@@ -24,8 +24,8 @@
                     reply.code = Some(code);
                     false
                 }
-                DatabaseLine::Idle(_, pos) => {
-                    reply.position = pos;
+                DatabaseLine::Idle(_, position) => {
+                    reply.position = position;
                     true
                 }
                 DatabaseLine::Unknown => return None,
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -1,4 +1,4 @@
-//! Actions that the core requests, and its state of links, peers and operations.
+//! Effects that the core requests, and its state of links, peers and operations.
 use wv_internal_protocol::Message;
 
 /// A side effect for the executor to perform.
@@ -6,7 +6,7 @@
 pub enum Effect {
     Send {
         link: u64,
-        msg: Message,
+        message: Message,
     },
     Close {
         link: u64,
@@ -99,7 +99,7 @@
     pub known_since: u64,
     pub zone: String,
     /// The configuration version that it last reported.
-    pub conf_version: u64,
+    pub configuration_version: u64,
 }
 
 /// A request of a duty to a database or the platform, and the duty's step that waits for it (0 for none).
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -16,7 +16,7 @@
 const PEER_RETENTION_US: u64 = 60_000_000;
 
 impl Core {
-    pub(crate) fn peers_msg(&self) -> Message {
+    pub(crate) fn peers_message(&self) -> Message {
         let is_worth =
             |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_seed_or_voter(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
@@ -45,15 +45,15 @@
         });
     }
 
-    /// Adopts an accepted voter set and tells all peers.
-    pub(crate) fn learn_voters(&mut self, voters: &VoterSet, before: &VoterSet) {
-        let is_news =
-            self.voter_state.update_voters(&mut self.store, &self.address, voters, before).unwrap_or_else(|error| {
+    /// Adopts an accepted voter set and announces it to all peers.
+    pub(crate) fn learn_voters(&mut self, voters: &VoterSet, previous: &VoterSet) {
+        let is_changed =
+            self.voter_state.update_voters(&mut self.store, &self.address, voters, previous).unwrap_or_else(|error| {
                 log::error!("cannot store the voter set: {error}");
                 self.is_voter_update_unsaved = true;
                 false
             });
-        if !is_news {
+        if !is_changed {
             return;
         }
         log::warn!("voters {}: {}", voters.number, voters.addrs().collect::<Vec<_>>().join(" "));
@@ -65,8 +65,8 @@
         self.change = None;
         self.voters_changed_at = self.now;
         self.catch_up.reset();
-        let msg = self.peers_msg();
-        self.send_peers(&msg);
+        let message = self.peers_message();
+        self.send_peers(&message);
         self.run_catch_up();
         self.ping();
     }
@@ -75,12 +75,12 @@
     pub(crate) fn run_voter_change(&mut self) {
         // Announces the set that this disk failed to store, so that peers with the newer set send it again.
         if std::mem::take(&mut self.is_voter_update_unsaved) {
-            let msg = self.peers_msg();
-            self.send_peers(&msg);
+            let message = self.peers_message();
+            self.send_peers(&message);
         }
         let due = self.change.as_mut().map(|change| change.tick(self.now));
         match due {
-            Some(Ok(msgs)) => self.send_change_step(msgs),
+            Some(Ok(messages)) => self.send_change_step(messages),
             Some(Err(end)) => self.end_change(end),
             None => self.start_planned_change(),
         }
@@ -90,8 +90,9 @@
     /// vote, and members sealed for a successor that is not accepted yet.
     fn has_deciding_majority(&self) -> bool {
         let voters = &self.voter_state.voters;
-        let is_heard = |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
-        let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_heard).count();
+        let is_reachable =
+            |peer: &&Peer| self.is_in_contact(peer) && peer.voter_set.max(peer.sealed_set) == voters.number;
+        let others = voters.addrs().filter_map(|addr| self.peers.get(addr)).filter(is_reachable).count();
         let own = usize::from(self.voter_state.successor_voting_set(&self.address) > 0);
         !voters.members.is_empty() && own + others >= voters.majority()
     }
@@ -100,10 +101,10 @@
         peer.is_up && peer.last_contact + CONTACT_TTL_US > self.now
     }
 
-    /// One staying member of the newest set plans its successor: it already holds nearly everything to hand over.
+    /// One staying member of the newest set plans its successor: it already holds nearly everything to be transferred.
     fn is_change_planner(&self) -> bool {
         let voters = &self.voter_state.voters;
-        let is_meant = |addr: &str| {
+        let is_eligible = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
             self.peers.get(addr).is_some_and(|peer| {
                 let is_seated =
@@ -112,7 +113,7 @@
             })
         };
         let is_own = self.has_disk && self.voter_state.successor_voting_set(&self.address) > 0 && !self.is_leaving;
-        is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_meant)
+        is_own && self.membership.is_duty_holder_among(VOTERS_DUTY, is_eligible)
     }
 
     /// Whether every reachable member votes. Other members are changed only after that, so that the set keeps its fault
@@ -219,7 +220,8 @@
         };
         let members: Vec<serde_json::Value> = self.voter_state.voters.members.iter().map(status).collect();
         let body = serde_json::json!({
-            "number": self.voter_state.voters.number, "majority": self.voter_state.voters.majority(), "members": members,
+            "number": self.voter_state.voters.number, "majority": self.voter_state.voters.majority(),
+            "members": members,
             "fresh": self.has_majority(), "changing": self.is_changing_voters(),
         });
         self.respond(token, 200, body.to_string());
@@ -230,8 +232,8 @@
         self.voters_changed_at = self.now;
         match end {
             ChangeOutcome::Accepted(next) => {
-                let before = self.voter_state.voters.clone();
-                self.learn_voters(&next, &before);
+                let previous = self.voter_state.voters.clone();
+                self.learn_voters(&next, &previous);
             }
             ChangeOutcome::Aborted { highest_fence } => {
                 self.max_successor_fence = self.max_successor_fence.max(highest_fence)
--- a/crates/wv-simulation/src/control_nodes.rs
+++ b/crates/wv-simulation/src/control_nodes.rs
@@ -61,7 +61,7 @@
 
     fn apply_control_action(&mut self, at: usize, action: ControlEffect) {
         match action {
-            ControlEffect::Send { link, msg } => {
+            ControlEffect::Send { link, message: msg } => {
                 self.log_owner_change(&msg);
                 if let Some(to) = self.controls[at].far_ends.get(&link).copied() {
                     self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg });
--- a/crates/wv-simulation/tests/configuration_distribution.rs
+++ b/crates/wv-simulation/tests/configuration_distribution.rs
@@ -44,7 +44,7 @@
 }
 
 fn config_version(world: &Simulation, at: usize) -> u64 {
-    world.controls[at].core.as_ref().map_or(0, |core| core.conf_version())
+    world.controls[at].core.as_ref().map_or(0, |core| core.configuration_version())
 }
 
 #[gtest]
--- a/crates/wv-simulation/tests/control_isolation.rs
+++ b/crates/wv-simulation/tests/control_isolation.rs
@@ -105,14 +105,14 @@
             let token = world.call(at, request.0, request.1, body);
             expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)), "{request:?} at {at}, {step}");
         }
-        expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(1)));
+        expect_that!(world.controls[at].core.as_ref().map(|core| core.configuration_version()), some(eq(1)));
         let deadline = world.now + 2 * S;
         while !is_caught_up(&world, at) && world.now < deadline {
             world.run(MS);
             expect_that!(world.followed_controls(), not(contains(some(eq(&at)))), "before it has caught up");
         }
         expect_that!(is_caught_up(&world, at), eq(true), "{at} {step}");
-        expect_that!(world.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(8)));
+        expect_that!(world.controls[at].core.as_ref().map(|core| core.configuration_version()), some(eq(8)));
         expect_that!(get_text(&mut world, at, "/instances").1, not(contains_substring("i-x")), "{at} {step}");
         expect_that!(call_timed(&mut world, at, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200), "{at} {step}");
         world.run(2 * S);
@@ -164,7 +164,7 @@
             expect_that!(world.followed_controls(), not(contains(some(eq(&3)))), "{direction:?}");
         }
         expect_that!(is_caught_up(&world, 3), eq(true), "{direction:?}");
-        expect_that!(world.controls[3].core.as_ref().map(|core| core.conf_version()), some(eq(8)), "{direction:?}");
+        expect_that!(world.controls[3].core.as_ref().map(|core| core.configuration_version()), some(eq(8)), "{direction:?}");
         expect_that!(
             call_timed(&mut world, 3, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "draining", 3)).0,
             eq(200)
