--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -35,7 +35,8 @@
                 && (!session.is_new || owned.contains(session.node.as_str()))
         };
         let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
-        let wanted = wv_shard_assignment::assign_owners(&configuration.partners, &nodes, &configuration.shards, &owners);
+        let wanted =
+            wv_shard_assignment::assign_owners(&configuration.partners, &nodes, &configuration.shards, &owners);
         let is_due = |(service, node): &(String, String)| {
             let owner = owners.get(service);
             let is_lost = owner.is_none_or(|owner| members.get(owner).is_none_or(|session| session.is_leaving));
--- a/crates/wv-simulation/tests/control_isolation.rs
+++ b/crates/wv-simulation/tests/control_isolation.rs
@@ -164,7 +164,11 @@
             expect_that!(world.followed_controls(), not(contains(some(eq(&3)))), "{direction:?}");
         }
         expect_that!(is_caught_up(&world, 3), eq(true), "{direction:?}");
-        expect_that!(world.controls[3].core.as_ref().map(|core| core.configuration_version()), some(eq(8)), "{direction:?}");
+        expect_that!(
+            world.controls[3].core.as_ref().map(|core| core.configuration_version()),
+            some(eq(8)),
+            "{direction:?}"
+        );
         expect_that!(
             call_timed(&mut world, 3, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "draining", 3)).0,
             eq(200)
