--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -122,8 +122,10 @@
                 self.retry(id, Some(code));
             }
         }
-        if let Some(member) = self.health.database_mut(key).filter(|_| code == ErrorCode::WrongNode) {
-            member.on_failure(wv_internal_protocol::Health::Refused, self.now);
+        if code == ErrorCode::WrongNode {
+            if let Some(member) = self.health.database_mut(key) {
+                member.on_failure(wv_internal_protocol::Health::Refused, self.now);
+            }
         }
     }
 
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -166,8 +166,8 @@
             tally.started += 1;
             let held_slots = pool.fair_queue.held_slots.get(tenant as usize).copied().unwrap_or(0);
             let slots = pool.total.max(1);
-            let entitled = pool.fair_queue.entitled_slots(&self.tenant_shares.tenants, tenant, slots, self.now);
-            tally.borrowed += u64::from(has_other_waiting || held_slots > entitled);
+            let entitled = || pool.fair_queue.entitled_slots(&self.tenant_shares.tenants, tenant, slots, self.now);
+            tally.borrowed += u64::from(has_other_waiting || held_slots > entitled());
         }
         if let Some(connection) = self.dbs.get_mut(&db) {
             connection.charge = Some(Charge { tenant, since: self.now, expected_us });
