--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -7,9 +7,9 @@
 
 /// How long after process start only half of the connection limit is used.
 const STARTUP_PERIOD_US: u64 = 3_500_000;
-/// When a node's share of an instance's connections is below `SMALL_SHARE`, requests queued for the primary may open
+/// When a node's share of an instance's connections is below `SMALL_SHARE_CONNECTIONS`, requests queued for the primary may open
 /// `EXTRA_CONNECTIONS` beyond it. The instance enforces the overall limit.
-const SMALL_SHARE: u32 = 3;
+const SMALL_SHARE_CONNECTIONS: u32 = 3;
 const EXTRA_CONNECTIONS: u32 = 2;
 /// Bounds of the exponential backoff after a failed connection attempt.
 const BACKOFF_MIN_US: u64 = 15_000;
@@ -27,7 +27,7 @@
     pub(crate) health: HealthTable,
     pub(crate) statements: wv_session_state::PreparedStatements,
     pub(crate) clients: Map<u64, Client>,
-    pub(crate) dbs: Map<u64, DbConnection>,
+    pub(crate) connections: Map<u64, DbConnection>,
     pub(crate) pools: Map<DatabaseKey, Pool>,
     pub(crate) timers: Timers,
     pub(crate) effects: Vec<Effect>,
@@ -71,7 +71,7 @@
             health: HealthTable::default(),
             statements: wv_session_state::PreparedStatements::default(),
             clients: Map::default(),
-            dbs: Map::default(),
+            connections: Map::default(),
             pools: Map::default(),
             timers: Timers::default(),
             effects: Vec::new(),
@@ -123,7 +123,7 @@
     }
 
     pub fn db_output(&mut self, db: u64) -> Option<&mut Vec<u8>> {
-        self.dbs.get_mut(&db).map(|db| &mut db.out)
+        self.connections.get_mut(&db).map(|db| &mut db.out)
     }
 
     pub(crate) fn connection_limit(&self, key: DatabaseKey) -> u32 {
@@ -148,7 +148,7 @@
 
     /// Whether this node's share of the instance's connections is small.
     pub(crate) fn has_small_share(&self, key: DatabaseKey) -> bool {
-        self.connection_limit(key) < SMALL_SHARE
+        self.connection_limit(key) < SMALL_SHARE_CONNECTIONS
     }
 
     fn open_with_extra(&mut self, key: DatabaseKey, over: u32) -> bool {
@@ -159,7 +159,7 @@
         // During slow start, connections are opened one at a time.
         let is_delayed = self.now < pool.open_not_before || (pool.opening > 0 && self.slow_starts.contains_key(&key));
         let may_borrow = !pool.waiting.is_empty()
-            && cap < SMALL_SHARE
+            && cap < SMALL_SHARE_CONNECTIONS
             && self.health.service(key.service).and_then(|checker| checker.leader()) == Some(key.index);
         if pool.total >= cap + if may_borrow { EXTRA_CONNECTIONS } else { over } || is_delayed {
             return false;
@@ -185,7 +185,7 @@
             phase_since: self.now,
             opened_at: self.now,
         };
-        self.dbs.insert(db, connection);
+        self.connections.insert(db, connection);
         self.effects.push(Effect::OpenDb { db, addr });
         true
     }
@@ -206,7 +206,7 @@
     }
 
     pub(crate) fn remove_db(&mut self, db: u64) -> Option<DbConnection> {
-        let connection = self.dbs.remove(&db)?;
+        let connection = self.connections.remove(&db)?;
         self.release_charge(connection.key, connection.charge);
         if let Some(pool) = self.pools.get_mut(&connection.key) {
             pool.total = pool.total.saturating_sub(1);
--- a/crates/wv-access/src/db.rs
+++ b/crates/wv-access/src/db.rs
@@ -12,7 +12,7 @@
     /// The connection is open: sends `SETUP` with the expected instance id.
     pub fn db_opened(&mut self, db: u64, now: u64) {
         self.now = self.now.max(now);
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         let service =
             self.health.service(connection.key.service).map(|checker| checker.service.clone()).unwrap_or_default();
         write_line(&mut connection.out, &[b"SETUP", service.as_bytes(), b"windvalve", connection.id.as_bytes()]);
@@ -22,7 +22,7 @@
 
     pub fn db_data(&mut self, db: u64, bytes: &[u8], now: u64) {
         self.now = self.now.max(now);
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         if let Some(pool) = self.pools.get_mut(&connection.key) {
             pool.last_data_at = self.now;
         }
@@ -36,9 +36,9 @@
         let mut at = 0;
         while let Some((line, len)) = split_line(&whole[at..]) {
             at += len;
-            self.dbs.get_mut(&db).into_iter().for_each(|connection| connection.has_trailing_bytes = at < whole.len());
+            self.connections.get_mut(&db).into_iter().for_each(|conn| conn.has_trailing_bytes = at < whole.len());
             self.db_line(db, line, &whole[at - len..at]);
-            if !self.dbs.contains_key(&db) {
+            if !self.connections.contains_key(&db) {
                 return;
             }
         }
@@ -47,13 +47,13 @@
             return self.fail_db(db);
         }
         let rest = rest.to_vec();
-        if let Some(connection) = self.dbs.get_mut(&db) {
+        if let Some(connection) = self.connections.get_mut(&db) {
             connection.inbuf = rest;
         }
     }
 
     fn db_line(&mut self, db: u64, line: &[u8], raw: &[u8]) {
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         let Some(reply) = connection.pending.front().copied() else { return self.fail_db(db) };
         match (DatabaseLine::parse(line), reply.kind) {
             (DatabaseLine::Idle(state, position), _) => {
@@ -130,7 +130,7 @@
     }
 
     fn finish(&mut self, db: u64, reply: Pending, code: Option<ErrorCode>, state: u8, position: Option<LogPosition>) {
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         let key = connection.key;
         match reply.kind {
             Reply::Setup => {
@@ -141,7 +141,7 @@
                 }
                 let is_back = self.health.database_mut(key).is_some_and(|member| member.on_success(true, self.now));
                 if is_back {
-                    let id = self.dbs.get(&db).map(|connection| connection.id.as_str()).unwrap_or_default();
+                    let id = self.connections.get(&db).map(|connection| connection.id.as_str()).unwrap_or_default();
                     log::info!("saw {id} up");
                     self.begin_slow_start(key, 1);
                     self.is_health_report_due = true;
@@ -203,8 +203,8 @@
         if code == Some(ErrorCode::ReadOnly) {
             self.taint_leader(db);
         }
-        let (now, is_last) = (self.now, self.dbs.get(&db).is_some_and(|connection| connection.pending.is_empty()));
-        let key = self.dbs.get(&db).map(|connection| connection.key);
+        let (now, is_last) = (self.now, self.connections.get(&db).is_some_and(|conn| conn.pending.is_empty()));
+        let key = self.connections.get(&db).map(|connection| connection.key);
         let Some(client) =
             self.clients.get_mut(&id).filter(|client| client.request.is_open && client.request.sequence == sequence)
         else {
--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -9,7 +9,7 @@
 /// A request is refused after waiting for this fraction of its target latency (1/N).
 const WAIT_TARGET_DIVISOR: u64 = 4;
 /// Maximum queue length of a pool; further requests are refused at once.
-pub(crate) const WAITING_MAX: usize = 64;
+pub(crate) const MAX_QUEUED_REQUESTS: usize = 64;
 
 impl Core {
     /// Routes the client's open request to a connection, a queue or another node.
@@ -79,7 +79,7 @@
             return PoolAvailability { outstanding: 0, can_accept: true, is_warm: !self.has_many_databases };
         };
         let outstanding = pool.total.saturating_sub(pool.idle.len() as u32 + pool.opening) + pool.waiting.len() as u32;
-        // With on-demand connections, prefers pools that have an idle one.
+        // With many databases, connections are opened on demand: prefers pools that have an idle one.
         let is_warm = !self.has_many_databases || !pool.idle.is_empty();
         let can_accept = self.can_queue(key, tenant) && self.can_start_request(key);
         PoolAvailability { outstanding, can_accept, is_warm }
@@ -108,7 +108,7 @@
             .enumerate()
             .rev()
             .filter_map(|(at, db)| {
-                self.dbs.get(db).map(|connection| {
+                self.connections.get(db).map(|connection| {
                     (connection.session_state.sync_cost(&client.session, client.request.statement_id), at)
                 })
             })
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -9,13 +9,13 @@
 const DB_TCP_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(900);
 const CLIENT_TCP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// Shared by all tasks. Borrow order: `core` first, then `clients`, `dbs` or `peer_links`; no borrow is held across an
+/// Shared by all tasks. Borrow order: `core` first, then `clients`, `database_sockets` or `peer_links`; no borrow is held across an
 /// await.
 #[derive(Clone)]
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
     pub clients: Rc<RefCell<hashbrown::HashMap<u64, Rc<Socket>, ahash::RandomState>>>,
-    pub dbs: Rc<RefCell<hashbrown::HashMap<u64, Rc<Socket>, ahash::RandomState>>>,
+    pub database_sockets: Rc<RefCell<hashbrown::HashMap<u64, Rc<Socket>, ahash::RandomState>>>,
     /// Links to other access nodes.
     pub peer_links: Rc<
         RefCell<
@@ -40,7 +40,7 @@
         Node {
             core: Rc::new(RefCell::new(core)),
             clients: Default::default(),
-            dbs: Default::default(),
+            database_sockets: Default::default(),
             peer_links: Default::default(),
             wake: Rc::new(tokio::sync::Notify::new()),
             health_changed: Rc::new(tokio::sync::Notify::new()),
@@ -86,7 +86,7 @@
                 }
             }
             Effect::WriteDb(id) => {
-                let sock = self.dbs.borrow().get(&id).cloned();
+                let sock = self.database_sockets.borrow().get(&id).cloned();
                 if let (Some(sock), Some(out)) = (sock, self.core.borrow_mut().db_output(id)) {
                     sock.write(out);
                 }
@@ -99,7 +99,7 @@
                 });
             }
             Effect::CloseDb(id) => {
-                self.dbs.borrow_mut().remove(&id).into_iter().for_each(|sock| sock.close());
+                self.database_sockets.borrow_mut().remove(&id).into_iter().for_each(|sock| sock.close());
             }
             Effect::DialPeer { link, address } => {
                 tokio::task::spawn_local(self.clone().connect_peer_link(link, address));
@@ -125,10 +125,10 @@
         if self.core.borrow_mut().db_output(id).is_none() {
             return;
         }
-        self.dbs.borrow_mut().insert(id, sock.clone());
+        self.database_sockets.borrow_mut().insert(id, sock.clone());
         self.with(|core, now| core.db_opened(id, now));
         let error = sock.read(&mut reader, |bytes| self.with(|core, now| core.db_data(id, bytes, now))).await;
-        if self.dbs.borrow_mut().remove(&id).is_some() {
+        if self.database_sockets.borrow_mut().remove(&id).is_some() {
             let loss = error.map_or(ConnectionLoss::Closed, |error| match classify_io_error(&error) {
                 ConnectionLoss::Unreachable => ConnectionLoss::Unreachable,
                 _ => ConnectionLoss::Closed,
--- a/crates/wv-access/src/feed.rs
+++ b/crates/wv-access/src/feed.rs
@@ -156,7 +156,7 @@
     pub fn recycle_connection(&mut self, now: u64) {
         self.now = self.now.max(now);
         let is_old = |db: &&u64| {
-            self.dbs.get(*db).is_some_and(|connection| connection.opened_at + MAX_CONNECTION_AGE_US < self.now)
+            self.connections.get(*db).is_some_and(|connection| connection.opened_at + MAX_CONNECTION_AGE_US < self.now)
         };
         let old = self.pools.values().flat_map(|pool| pool.idle.iter()).find(is_old).copied();
         old.into_iter().for_each(|db| self.close_db(db));
@@ -174,7 +174,7 @@
 
     /// Counts of clients, connections and busy connections.
     pub fn usage_counts(&self) -> (usize, usize, usize) {
-        let busy = self.dbs.values().filter(|db| db.phase == Phase::Busy).count();
-        (self.clients.len(), self.dbs.len(), busy)
+        let busy = self.connections.values().filter(|db| db.phase == Phase::Busy).count();
+        (self.clients.len(), self.connections.len(), busy)
     }
 }
--- a/crates/wv-access/src/forwarded_sessions.rs
+++ b/crates/wv-access/src/forwarded_sessions.rs
@@ -85,12 +85,12 @@
                 .push(Effect::SendToPeer { link, message: ForwardMessage::Rejected { session, request } });
         };
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let Some(guest) = client.forward_origin.as_mut().filter(|guest| guest.request < request) else { return };
+        let Some(origin) = client.forward_origin.as_mut().filter(|origin| origin.request < request) else { return };
         // Requests must arrive in sequence, one at a time: executing one out of order could overtake or skip another.
-        if guest.request + 1 != request || client.request.is_open || !client.inbuf.is_empty() {
+        if origin.request + 1 != request || client.request.is_open || !client.inbuf.is_empty() {
             return self.close_client(id);
         }
-        guest.request = request;
+        origin.request = request;
         let is_idle = |client: &crate::types::Client| client.txn.is_none() && !client.request.is_open;
         let is_new = self.clients.get(&id).is_some_and(is_idle);
         // An open transaction continues here; new work is rejected if another node owns the shard now.
--- a/crates/wv-access/src/health_reports.rs
+++ b/crates/wv-access/src/health_reports.rs
@@ -45,8 +45,8 @@
                 let key = DatabaseKey { service, index };
                 let is_connected = pools.get(&key).is_some_and(|pool| pool.total > pool.opening);
                 // Reports only observations: down once the checks agree, up if a connection is established.
-                let is_silent = !member.is_isolated() && member.health == Health::Unreachable;
-                let health = match (member.instance.gone, member.is_isolated(), is_silent) {
+                let is_unreachable = !member.is_isolated() && member.health == Health::Unreachable;
+                let health = match (member.instance.gone, member.is_isolated(), is_unreachable) {
                     (true, _, _) => Health::Unknown,
                     (_, true, _) => member.health,
                     (_, _, true) => Health::Suspected,
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -9,7 +9,7 @@
 const WARM_REPLICA_CONNECTIONS: u32 = 1;
 /// With more databases than this, idle connections are kept only to recently used primaries, one each, so that their
 /// failure is noticed and the number of connections follows the node's own traffic.
-const MANY_DATABASES: usize = 16;
+const MANY_DATABASES_THRESHOLD: usize = 16;
 const RECENT_USE_US: u64 = 30_000_000;
 /// The same where the node's connection share is small; idle connections are also closed after this, to free them for
 /// other nodes.
@@ -104,7 +104,7 @@
     fn probe_silent_databases(&mut self) {
         let now = self.now;
         let mut unresponsive: Vec<DatabaseKey> = Vec::new();
-        for db in self.dbs.values().filter(|db| db.phase == Phase::Busy) {
+        for db in self.connections.values().filter(|db| db.phase == Phase::Busy) {
             let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
             let is_quiet = self
                 .pools
@@ -130,7 +130,7 @@
                 && connection.pending.iter().all(is_internal)
         };
         let overdue: Vec<u64> =
-            self.dbs.iter().filter(|(_, connection)| is_overdue(connection)).map(|(db, _)| *db).collect();
+            self.connections.iter().filter(|(_, connection)| is_overdue(connection)).map(|(db, _)| *db).collect();
         overdue.into_iter().for_each(|db| self.fail_db(db));
     }
 
@@ -140,8 +140,8 @@
             return;
         }
         let now = self.now;
-        self.has_many_databases =
-            self.health.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
+        self.has_many_databases = self.health.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>()
+            > MANY_DATABASES_THRESHOLD;
         let warm = if self.has_many_databases { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
         for (service, checker) in self.health.iter() {
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -25,7 +25,7 @@
             self.held_configuration_version(),
         )?;
         page.add_gauge(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
-        page.add_gauge(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
+        page.add_gauge(("windvalve_connections", "Connections to databases"), self.connections.len() as u64)?;
         let members =
             || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |database| (checker, database)));
         let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (index, member))| {
--- a/crates/wv-access/src/release.rs
+++ b/crates/wv-access/src/release.rs
@@ -7,16 +7,16 @@
 impl Core {
     /// Returns a clean connection to the pool, or closes it.
     pub(crate) fn release_db(&mut self, db: u64) {
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         let (key, charge) = (connection.key, connection.charge.take());
         self.release_charge(key, charge);
-        let Some(connection) = self.dbs.get(&db) else { return };
+        let Some(connection) = self.connections.get(&db) else { return };
         let is_gone =
             self.health.database(key).is_none_or(|member| member.instance.gone || member.instance.id != connection.id);
         let is_over =
             self.pools.get(&key).is_some_and(|pool| pool.total > self.connection_limit(key) && pool.waiting.is_empty());
         let fitness = self.compare_term(db);
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         if connection.is_tainted || !connection.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
             self.close_db(db);
         } else if fitness.is_gt() {
@@ -35,15 +35,19 @@
     /// The leader refused a write on this connection. It may have lost and regained leadership since the connection was
     /// opened and then accepts writes only on newer connections.
     pub(crate) fn taint_leader(&mut self, db: u64) {
-        let Some(key) = self.dbs.get(&db).map(|connection| connection.key) else { return };
+        let Some(key) = self.connections.get(&db).map(|connection| connection.key) else { return };
         let is_leader = self.health.service(key.service).and_then(|checker| checker.leader()) == Some(key.index);
-        self.dbs.get_mut(&db).filter(|_| is_leader).into_iter().for_each(|connection| connection.is_tainted = true);
+        self.connections
+            .get_mut(&db)
+            .filter(|_| is_leader)
+            .into_iter()
+            .for_each(|connection| connection.is_tainted = true);
     }
 
     /// Rolls back the connection's transaction and returns it to the pool.
     pub(crate) fn roll_back_db(&mut self, db: u64) {
         let now = self.now;
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         connection.txn_client = None;
         // With a response pending, only closing the connection ensures a rollback.
         if connection.pending.iter().any(|reply| matches!(reply.kind, Reply::Request { .. })) {
@@ -56,7 +60,7 @@
 
     /// Closes a connection with a pending response that no client waits for.
     pub(crate) fn discard_db(&mut self, db: u64) {
-        let key = self.dbs.get(&db).map(|connection| connection.key);
+        let key = self.connections.get(&db).map(|connection| connection.key);
         self.close_db(db);
         key.into_iter().for_each(|key| self.serve_queue(key));
     }
--- a/crates/wv-access/src/request.rs
+++ b/crates/wv-access/src/request.rs
@@ -34,7 +34,8 @@
     ) {
         let now = self.now;
         // Keys matter only for shards with a planned split.
-        let named = if self.has_planned_shards() { target_key_of(text, shape.is_some()) } else { Default::default() };
+        let target_key =
+            if self.has_planned_shards() { target_key_of(text, shape.is_some()) } else { Default::default() };
         let Some(client) = self.clients.get_mut(&id) else { return };
         let request = &mut client.request;
         request.sequence += 1;
@@ -55,7 +56,7 @@
             (0, None, None, None, false);
         (request.forwarded_session, request.is_local_only) = (None, false);
         request.route = Some(route.clone());
-        request.target_key = named;
+        request.target_key = target_key;
         request.waiting_since = now;
         request.first_byte_at = client.first_byte_at;
         request.refused_by.clear();
@@ -91,7 +92,7 @@
         [whole] => wv_wire_protocol::split_word(whole).1,
         _ => return Default::default(),
     };
-    let (thing, data) = wv_wire_protocol::split_word(rest);
-    let slot = (!thing.is_empty()).then(|| wv_internal_protocol::slot_for_key(thing));
-    crate::slots::RequestKey { key: thing.to_vec(), slot, write_bytes: data.len() as u32 }
+    let (key, data) = wv_wire_protocol::split_word(rest);
+    let slot = (!key.is_empty()).then(|| wv_internal_protocol::slot_for_key(key));
+    crate::slots::RequestKey { key: key.to_vec(), slot, write_bytes: data.len() as u32 }
 }
--- a/crates/wv-access/src/send.rs
+++ b/crates/wv-access/src/send.rs
@@ -14,7 +14,9 @@
     /// Syncs the connection with the session, then sends the request or the `BEGIN` that precedes it.
     pub(crate) fn send_request(&mut self, id: u64, db: u64, min_position: Option<LogPosition>, is_wrapped: bool) {
         let now = self.now;
-        let (Some(client), Some(connection)) = (self.clients.get_mut(&id), self.dbs.get_mut(&db)) else { return };
+        let (Some(client), Some(connection)) = (self.clients.get_mut(&id), self.connections.get_mut(&db)) else {
+            return;
+        };
         let request = &mut client.request;
         (request.db, request.queue, request.is_wrapped_in_txn) = (Some(db), None, is_wrapped);
         request.response.clear();
@@ -67,11 +69,13 @@
 
     fn send_statement(&mut self, id: u64, db: u64, minpos_prefix: &str) {
         let now = self.now;
-        if let Some(key) = self.dbs.get(&db).map(|connection| connection.key).filter(|_| self.is_new_work(id)) {
+        if let Some(key) = self.connections.get(&db).map(|connection| connection.key).filter(|_| self.is_new_work(id)) {
             self.count_new_work_while_draining(key);
         }
         self.track_split_write(id);
-        let (Some(client), Some(connection)) = (self.clients.get_mut(&id), self.dbs.get_mut(&db)) else { return };
+        let (Some(client), Some(connection)) = (self.clients.get_mut(&id), self.connections.get_mut(&db)) else {
+            return;
+        };
         let request = &client.request;
         if minpos_prefix.is_empty() {
             write_query(&mut connection.out, &request.query_id, &[&request.text]);
@@ -120,7 +124,7 @@
             return;
         }
         let Some(db) = client.request.db else { return };
-        let Some(connection) = self.dbs.get(&db) else { return };
+        let Some(connection) = self.connections.get(&db) else { return };
         let sent = connection.pending.front().map_or(self.now, |reply| reply.sent_at);
         let is_alive = self.pools.get(&connection.key).is_some_and(|pool| pool.last_returned_sent_at > sent);
         if !is_alive {
@@ -135,7 +139,7 @@
 
     /// `BEGIN` was answered: sends the statement, or dispatches the request elsewhere.
     pub(crate) fn begin_returned(&mut self, db: u64, id: u64, sequence: u64, code: Option<ErrorCode>, state: u8) {
-        let Some(connection) = self.dbs.get(&db) else { return };
+        let Some(connection) = self.connections.get(&db) else { return };
         let (key, is_clean) = (connection.key, !connection.is_tainted);
         let is_open = self.clients.get(&id).is_some_and(|client| {
             client.request.is_open && client.request.sequence == sequence && client.request.db == Some(db)
@@ -155,7 +159,7 @@
         }
         if !is_clean {
             // The session values could not be set, and no client statement was sent.
-            self.dbs.get_mut(&db).into_iter().for_each(|connection| connection.txn_client = None);
+            self.connections.get_mut(&db).into_iter().for_each(|connection| connection.txn_client = None);
             self.clients.get_mut(&id).and_then(|client| client.txn.as_mut()).into_iter().for_each(|txn| txn.db = None);
             self.fail_db(db);
             return self.retry(id, None);
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -6,7 +6,7 @@
 use wv_internal_protocol::{SlotMap, SplitPhase};
 
 /// For this long after a plan appears its shard is served without a slot map.
-const MAP_GRACE_US: u64 = 10_000_000;
+const SLOT_MAP_GRACE_US: u64 = 10_000_000;
 /// Maximum length of a chain of splits that is followed.
 const MAX_SPLIT_HOPS: usize = 8;
 
@@ -104,8 +104,8 @@
         }
         let Some(service) = self.service_for_request(id) else { return false };
         let Some(client) = self.clients.get(&id) else { return false };
-        let is_young = |since: &u64| *since + MAP_GRACE_US > self.now;
-        if self.slots.shards_without_map.get(&*service).is_some_and(|since| !is_young(since)) {
+        let is_within_grace = |since: &u64| *since + SLOT_MAP_GRACE_US > self.now;
+        if self.slots.shards_without_map.get(&*service).is_some_and(|since| !is_within_grace(since)) {
             return client.request.route_class() == 0;
         }
         let (named, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
@@ -157,7 +157,7 @@
 
     /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
-        let Some(connection) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
+        let Some(connection) = self.connections.get(&db) else { return std::cmp::Ordering::Less };
         let bound = self.required_term(connection.key);
         if bound == 0 {
             return std::cmp::Ordering::Equal;
@@ -185,12 +185,12 @@
         // A replica's term is not one that it leads in; term 0 matches no slot map.
         let primary = wv_wire_protocol::parse_status(row).filter(|status| status.is_primary);
         let term = primary.map_or(0, |status| status.term);
-        self.dbs.get_mut(&db).into_iter().for_each(|connection| connection.term = term);
+        self.connections.get_mut(&db).into_iter().for_each(|connection| connection.term = term);
     }
 
     pub(crate) fn query_term(&mut self, db: u64) {
         let now = self.now;
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         wv_wire_protocol::write_query(&mut connection.out, b"-", &[b"ENQUIRY"]);
         connection.pending.push_back(crate::types::Pending { kind: Reply::Probe, sent_at: now, is_fenced: false });
         self.effects.push(crate::Effect::WriteDb(db));
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -46,7 +46,8 @@
     pub(crate) fn can_start_request(&self, key: DatabaseKey) -> bool {
         self.slow_starts.get(&key).is_none_or(|slow_start| {
             // Idle transactions do not count as in flight.
-            let in_flight = self.dbs.values().filter(|db| db.key == key && !db.pending.is_empty()).count() as u32;
+            let in_flight =
+                self.connections.values().filter(|db| db.key == key && !db.pending.is_empty()).count() as u32;
             slow_start.can_start(&self.slow_start_scale(key), in_flight)
         })
     }
--- a/crates/wv-access/src/tenant_shares.rs
+++ b/crates/wv-access/src/tenant_shares.rs
@@ -8,13 +8,13 @@
 const MAX_OPEN_REQUESTS: u32 = 512;
 /// Each tenant may queue at least this many requests per database.
 const MIN_QUEUE_PER_TENANT: usize = 8;
-const MAX_QUEUE: usize = crate::dispatch::WAITING_MAX;
+const MAX_QUEUE: usize = crate::dispatch::MAX_QUEUED_REQUESTS;
 
 /// Capacity in use, by tenant.
 #[derive(Default)]
 pub(crate) struct TenantShares {
     pub tenants: Tenants,
-    pub tallies: Vec<TenantUsage>,
+    pub usages: Vec<TenantUsage>,
     /// Number of open requests, by tenant.
     pub open_requests: Vec<u32>,
     /// Maximum number of sessions of all tenants, 0 if unlimited.
@@ -46,13 +46,13 @@
         }
         self.tenant_shares.tenants = Tenants::new(&configuration.tenants, &self.tenant_shares.tenants);
         let count = self.tenant_shares.tenants.len();
-        self.tenant_shares.tallies.resize(count, TenantUsage::default());
+        self.tenant_shares.usages.resize(count, TenantUsage::default());
         self.tenant_shares.open_requests.resize(count, 0);
-        self.tenant_shares.tallies.iter_mut().for_each(|tally| tally.sessions = 0);
+        self.tenant_shares.usages.iter_mut().for_each(|usage| usage.sessions = 0);
         for client in self.clients.values_mut() {
             if let Some(host) = &client.database {
                 let tenant = self.tenant_shares.tenants.tenant_of(host, &client.login);
-                self.tenant_shares.tallies[tenant as usize].sessions += 1;
+                self.tenant_shares.usages[tenant as usize].sessions += 1;
                 // An open request stays with the tenant that it was counted for.
                 if !client.request.is_open {
                     client.tenant = tenant;
@@ -72,23 +72,23 @@
             return true;
         }
         let max = self.tenant_shares.max_clients;
-        let sessions = |at: &u16| self.tenant_shares.tallies[*at as usize].sessions;
+        let sessions = |at: &u16| self.tenant_shares.usages[*at as usize].sessions;
         let is_full = max > 0 && client_count >= max - max / 8;
         let present = (0..self.tenant_shares.tenants.len() as u16).filter(|at| *at == tenant || sessions(at) > 0);
         let all: u64 = present.map(|at| self.tenant_shares.tenants.weight(at)).sum();
         let entitled = max as u64 * self.tenant_shares.tenants.weight(tenant) / all.max(1);
         if is_full && u64::from(sessions(&tenant)) >= entitled {
-            self.tenant_shares.tallies[tenant as usize].refused += 1;
+            self.tenant_shares.usages[tenant as usize].refused += 1;
             client.database = None;
             return false;
         }
-        self.tenant_shares.tallies[tenant as usize].sessions += 1;
+        self.tenant_shares.usages[tenant as usize].sessions += 1;
         true
     }
 
     pub(crate) fn release_session(&mut self, tenant: u16) {
-        if let Some(tally) = self.tenant_shares.tallies.get_mut(tenant as usize) {
-            tally.sessions = tally.sessions.saturating_sub(1);
+        if let Some(usage) = self.tenant_shares.usages.get_mut(tenant as usize) {
+            usage.sessions = usage.sessions.saturating_sub(1);
         }
     }
 
@@ -162,14 +162,14 @@
         let has_other_waiting =
             pool.waiting.iter().any(|other| self.clients.get(other).is_some_and(|client| client.tenant != tenant));
         let expected_us = pool.fair_queue.start(tenant, weight);
-        if let Some(tally) = self.tenant_shares.tallies.get_mut(tenant as usize) {
-            tally.started += 1;
+        if let Some(usage) = self.tenant_shares.usages.get_mut(tenant as usize) {
+            usage.started += 1;
             let held_slots = pool.fair_queue.held_slots.get(tenant as usize).copied().unwrap_or(0);
             let slots = pool.total.max(1);
             let entitled = || pool.fair_queue.entitled_slots(&self.tenant_shares.tenants, tenant, slots, self.now);
-            tally.borrowed += u64::from(has_other_waiting || held_slots > entitled());
+            usage.borrowed += u64::from(has_other_waiting || held_slots > entitled());
         }
-        if let Some(connection) = self.dbs.get_mut(&db) {
+        if let Some(connection) = self.connections.get_mut(&db) {
             connection.charge = Some(Charge { tenant, since: self.now, expected_us });
         }
     }
@@ -182,8 +182,8 @@
         if let Some(pool) = self.pools.get_mut(&key) {
             pool.fair_queue.finish(charge.tenant, weight, charge.expected_us, held_us);
         }
-        if let Some(tally) = self.tenant_shares.tallies.get_mut(charge.tenant as usize) {
-            tally.held_us += held_us;
+        if let Some(usage) = self.tenant_shares.usages.get_mut(charge.tenant as usize) {
+            usage.held_us += held_us;
         }
     }
 
@@ -210,7 +210,7 @@
         let client = self.clients.get(&id).filter(|_| self.has_tenants())?;
         let tenant = client.tenant;
         let route = client.request.route.clone()?;
-        self.tenant_shares.tallies.get_mut(tenant as usize).into_iter().for_each(|tally| tally.refused += 1);
+        self.tenant_shares.usages.get_mut(tenant as usize).into_iter().for_each(|usage| usage.refused += 1);
         let service = self.health.service_index(&route.service)?;
         let backlog = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
             let slots = pool.fair_queue.entitled_slots(
@@ -232,16 +232,16 @@
         let held_slots = |tenant: u16| -> u32 {
             self.pools.values().filter_map(|pool| pool.fair_queue.held_slots.get(tenant as usize)).sum()
         };
-        let all_us: u64 = self.tenant_shares.tallies.iter().map(|tally| tally.held_us).sum();
+        let all_us: u64 = self.tenant_shares.usages.iter().map(|usage| usage.held_us).sum();
         let rows: Vec<serde_json::Value> = (0u16..)
-            .zip(&self.tenant_shares.tallies)
-            .map(|(tenant, tally)| {
+            .zip(&self.tenant_shares.usages)
+            .map(|(tenant, usage)| {
                 serde_json::json!({
                     "label": self.tenant_shares.tenants.label(tenant),
-                    "weight": self.tenant_shares.tenants.weight(tenant), "sessions": tally.sessions,
+                    "weight": self.tenant_shares.tenants.weight(tenant), "sessions": usage.sessions,
                     "open": self.tenant_shares.open_requests[tenant as usize], "held": held_slots(tenant),
-                    "waiting": waiting(tenant), "started": tally.started, "borrowed": tally.borrowed,
-                    "refused": tally.refused, "usedShare": tally.held_us as f64 / all_us.max(1) as f64,
+                    "waiting": waiting(tenant), "started": usage.started, "borrowed": usage.borrowed,
+                    "refused": usage.refused, "usedShare": usage.held_us as f64 / all_us.max(1) as f64,
                 })
             })
             .collect();
--- a/crates/wv-control/src/admission.rs
+++ b/crates/wv-control/src/admission.rs
@@ -8,10 +8,9 @@
 use wv_consensus::OperationOutcome;
 use wv_internal_protocol::SlotMap;
 
-/// Pending proposals are refused after this, before callers time out.
-const PENDING_TIMEOUT_US: u64 = 800_000;
-/// Limit of proposals that wait at once.
-const PENDING_MAX: usize = 32;
+/// Pending proposals are refused after this time, before callers time out.
+const PROPOSAL_TIMEOUT_US: u64 = 800_000;
+const MAX_PENDING_PROPOSALS: usize = 32;
 
 const NO_MAJORITY_REPLY: &str = "{\"cause\":\"no majority of the voters replied\"}";
 
@@ -32,10 +31,10 @@
         configuration: &wv_configuration::Configuration,
         body: &[u8],
     ) {
-        if self.pending_proposals.len() >= PENDING_MAX {
+        if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
             return self.respond(token, 503, NO_MAJORITY_REPLY);
         }
-        let deadline = self.now + PENDING_TIMEOUT_US;
+        let deadline = self.now + PROPOSAL_TIMEOUT_US;
         let pending = |shards| PendingProposal { token, body: body.to_vec(), shards, deadline };
         if !self.is_caught_up() {
             return self.pending_proposals.push(pending(None));
--- a/crates/wv-control/src/configuration.rs
+++ b/crates/wv-control/src/configuration.rs
@@ -143,7 +143,10 @@
                 Ok(body) => self.apply_configuration(cell.version, decided.body, &body),
                 Err(error) => {
                     (self.committed_version, self.committed_digest) = (cell.version, digest);
-                    log::error!("cannot decompress the committed configuration: {error}");
+                    log::error!(
+                        "cannot decompress committed configuration {}, keeping the previous one: {error}",
+                        cell.version
+                    );
                 }
             }
         }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use wv_internal_protocol::Message;
 
-/// Bounds the pings remembered within `CONTACT_TTL_US`, also when many links come up at once.
-const PINGS_MAX: usize = 256;
+/// Maximum number of pings remembered; the oldest are dropped when many links come up at once.
+const MAX_OUTSTANDING_PINGS: usize = 256;
 /// How long to wait for a voter's `ResyncDone` before the next voter is asked.
 const RESYNC_TIMEOUT_US: u64 = 800_000;
 
@@ -69,7 +69,7 @@
         let (requester, request, now) = (self.proposer.incarnation(), self.proposer.next_request(), self.now);
         let pings = &mut self.contact.pings;
         pings.retain(|(_, sent)| sent + CONTACT_TTL_US > now);
-        if pings.len() == PINGS_MAX {
+        if pings.len() == MAX_OUTSTANDING_PINGS {
             pings.pop_front();
         }
         pings.push_back((request, now));
@@ -92,18 +92,18 @@
         let is_voting =
             |peer: &&crate::types::Peer| peer.voter_set.max(peer.sealed_set) == voters.number && peer.last_contact > 0;
         let others = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_voting);
-        let mut dates: Vec<u64> = others.map(|peer| peer.last_contact).chain(own).collect();
-        dates.sort_unstable_by(|one, other| other.cmp(one));
-        let newest = dates.get(self.proposer.majority() - 1).filter(|_| !voters.members.is_empty());
+        let mut contact_times: Vec<u64> = others.map(|peer| peer.last_contact).chain(own).collect();
+        contact_times.sort_unstable_by(|one, other| other.cmp(one));
+        let majority_at = contact_times.get(self.proposer.majority() - 1).filter(|_| !voters.members.is_empty());
         self.contact.valid_until =
-            newest.map_or(self.contact.valid_until, |date| self.contact.valid_until.max(date + CONTACT_TTL_US));
+            majority_at.map_or(self.contact.valid_until, |at| self.contact.valid_until.max(at + CONTACT_TTL_US));
         if !self.contact.is_established && self.has_majority() {
             self.on_majority_gained();
         }
     }
 
     fn on_majority_lost(&mut self) {
-        log::warn!("lost contact with the majority of the voters");
+        log::warn!("lost contact with a majority of the voters, refusing pending proposals");
         self.contact.is_established = false;
         self.contact.generation += 1;
         (self.contact.is_reading_configuration, self.contact.has_configuration) = (false, false);
@@ -112,8 +112,8 @@
         (self.contact.synced_shards, self.contact.syncing_shards) = Default::default();
         self.is_caught_up = false;
         self.refuse_pending();
-        // Followers switch to another node at once and receive no more updates: anything published from now on may be
-        // stale.
+        // The heartbeats make followers switch to another control node. They receive no more updates from this one, as
+        // anything published from now on may be stale.
         self.send_heartbeats();
         self.links.values_mut().for_each(|link| link.is_subscriber = false);
     }
@@ -147,15 +147,15 @@
             return;
         }
         let (requester, request) = (self.proposer.incarnation(), self.contact.resync_request);
-        let times = |addr: &str| self.contact.resync_targets.iter().filter(|target| *target == addr).count();
-        let is_left = |addr: &&str| {
+        let sent = |addr: &str| self.contact.resync_targets.iter().filter(|target| *target == addr).count();
+        let is_pending = |addr: &&str| {
             let is_up = self.peers.get(*addr).is_some_and(|peer| peer.is_up);
             *addr != self.address && is_up && !self.contact.resynced_voters.contains(*addr)
         };
-        let next = self.proposer.voters().addrs().filter(is_left).min_by_key(|addr| times(addr)).map(str::to_owned);
+        let next = self.proposer.voters().addrs().filter(is_pending).min_by_key(|addr| sent(addr)).map(str::to_owned);
         let Some(addr) = next else { return };
-        let ranges = self.table.digests();
-        if self.send_peer(&addr, Message::Resync { requester, request, digests: ranges }) {
+        let digests = self.table.digests();
+        if self.send_peer(&addr, Message::Resync { requester, request, digests }) {
             self.contact.resync_sent_at = Some(self.now);
             self.contact.resync_targets.push(addr);
         }
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -5,8 +5,9 @@
 use wv_internal_protocol::Instance;
 use wv_promotion::{DepartedDatabase, StatusError, StatusReply};
 
-/// Minimum intervals between status requests to a departed database, during the early period and after it. Most end
-/// soon, and observations of the primary count only from then on.
+/// Minimum intervals between status requests to a departed database, during the early period after it left and later.
+/// Most databases end soon after leaving, and only fenced positions observed after the end count for a
+/// promotion.
 const EARLY_POLL_INTERVAL_US: u64 = 200_000;
 const POLL_INTERVAL_US: u64 = 500_000;
 const EARLY_PERIOD_US: u64 = 3_000_000;
@@ -31,12 +32,12 @@
 impl Core {
     /// The view of a departed database given to the promotion state machine. Its replacement started after it ended.
     pub(crate) fn departure_status(&self, instance: &Instance) -> DepartedDatabase {
-        let is_heir = |new: &&Instance| new.address == instance.address && new.id != instance.id;
-        let heir = self
+        let is_successor = |new: &&Instance| new.address == instance.address && new.id != instance.id;
+        let successor = self
             .table
             .service_instances(&instance.service)
             .filter(|new| !new.gone)
-            .find(is_heir)
+            .find(is_successor)
             .map(|new| new.id.clone());
         let departure = self.departures.get(&instance.id);
         let unreachable = departure
@@ -44,7 +45,7 @@
             .map(|unreachable| unreachable + UNREACHABLE_TIMEOUT_US)
             .filter(|end| *end <= self.now);
         let ended = departure.and_then(|departure| departure.ended_at).or(unreachable);
-        DepartedDatabase { stopped_for_us: ended.map(|ended| self.now.saturating_sub(ended)), successor: heir }
+        DepartedDatabase { stopped_for_us: ended.map(|ended| self.now.saturating_sub(ended)), successor }
     }
 
     /// Polls the databases that left under the current leader until they have ended, for services whose duty is held
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -80,8 +80,8 @@
     /// Runs all duties held here, and those no longer held that still have effects to revert.
     pub(crate) fn run_duties(&mut self) {
         let Some(configuration) = self.configuration.as_ref() else { return };
-        let is_engaged = |service: &&String| self.duties.get(*service).is_some_and(PromotionCoordinator::is_active);
-        let is_relevant = |service: &&String| self.membership.is_duty_holder(service) || is_engaged(service);
+        let is_active = |service: &&String| self.duties.get(*service).is_some_and(PromotionCoordinator::is_active);
+        let is_relevant = |service: &&String| self.membership.is_duty_holder(service) || is_active(service);
         let services: Vec<String> = configuration.services.keys().filter(is_relevant).cloned().collect();
         self.duties.retain(|service, _| configuration.services.contains_key(service));
         // A recreated duty restarts its step numbers, so outstanding requests of the old one must not match.
@@ -195,7 +195,7 @@
         let Some(PendingRequest { service, id, step }) = self.platform_calls.requests.remove(&request) else {
             return;
         };
-        log::info!("duty {service}: platform returned {code:?} for {id}");
+        log::info!("duty {service}: platform answered the promotion call for {id} with {code:?}");
         self.on_duty_event(&service, step, Event::PromotionReturned(code));
         self.run_proposer();
     }
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -10,7 +10,7 @@
 const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1500);
 /// A link is closed when this many messages are queued for a peer that does not read.
-const QUEUE_MAX_MESSAGES: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 const MAX_LINKS: usize = 1024;
 
 type Queues = HashMap<u64, mpsc::Sender<Message>>;
@@ -110,7 +110,7 @@
     }
 
     fn register_link(&self, link: u64) -> mpsc::Receiver<Message> {
-        let (sender, receiver) = mpsc::channel(QUEUE_MAX_MESSAGES);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.links.borrow_mut().insert(link, sender);
         receiver
     }
--- a/crates/wv-control/src/health_reports.rs
+++ b/crates/wv-control/src/health_reports.rs
@@ -93,8 +93,9 @@
         self.reports(id).all(|(report, _)| is_refused(report)).then_some(())?;
         let lasting = || self.reports(id).map(|(report, age)| report.health_age_us + age);
         let (longest, shortest) = (lasting().max()?, lasting().min()?);
-        let is_heard = self.reports(id).any(|(report, age)| report.last_heard_age_us.saturating_add(age) < longest);
-        Some(if is_heard { shortest } else { longest })
+        let has_responded =
+            self.reports(id).any(|(report, age)| report.last_heard_age_us.saturating_add(age) < longest);
+        Some(if has_responded { shortest } else { longest })
     }
 
     pub(crate) fn fenced_position(&self, id: &str) -> Option<(u64, LogPosition)> {
--- a/crates/wv-control/src/heartbeats.rs
+++ b/crates/wv-control/src/heartbeats.rs
@@ -5,7 +5,7 @@
 use wv_internal_protocol::{FeedUpdate, Instance, Leader, Message};
 
 /// Time within which a promoted database is expected to report itself as primary.
-const LEADER_REPORT_US: u64 = 4_000_000;
+const LEADER_REPORT_TIMEOUT_US: u64 = 4_000_000;
 const HEARTBEAT_MAX_BYTES: usize = 16 << 10;
 
 pub(crate) const NO_MAJORITY: &str = "{\"cause\":\"no majority of the voters hears this node\"}";
@@ -129,7 +129,8 @@
             let known = self.table.get(&leader.id);
             let promoted =
                 self.leadership.promoted.get(&instance.service).filter(|promoted| promoted.term == leader.term);
-            let report_deadline = self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_US);
+            let report_deadline =
+                self.leader_changed_at.get(&instance.service).map_or(0, |at| at + LEADER_REPORT_TIMEOUT_US);
             known.is_some_and(|known| known.gone)
                 || (known.is_none_or(|known| !known.primary) && (leader.term == 0 || report_deadline <= self.now))
                 || promoted.is_some_and(|promoted| promoted.id == instance.id)
--- a/crates/wv-control/src/leave_acks.rs
+++ b/crates/wv-control/src/leave_acks.rs
@@ -7,7 +7,7 @@
 use crate::core::Core;
 use std::collections::BTreeSet;
 
-/// Shorter than the second for which a database waits for its acknowledgement.
+/// When a leave is rejected that too few nodes hold. A database waits 1 s for its acknowledgement.
 const ACK_TIMEOUT_US: u64 = 700_000;
 
 /// A call whose acknowledgement waits until enough other nodes hold the leave.
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -13,7 +13,7 @@
 const REPUBLISH_THRESHOLD_US: u64 = 50_000;
 
 /// Allowance for work that access nodes started just before they stopped, except for long transactions.
-const IN_FLIGHT_US: u64 = 300_000;
+const IN_FLIGHT_WORK_US: u64 = 300_000;
 
 /// Who sent a report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -103,7 +103,7 @@
 
     /// Whether access nodes have stopped assigning new work to this database.
     fn is_past_drain(&self, instance: &Instance, now: u64) -> bool {
-        instance.gone || (instance.draining && self.age_us(instance, now) >= self.new_work_us + IN_FLIGHT_US)
+        instance.gone || (instance.draining && self.age_us(instance, now) >= self.new_work_us + IN_FLIGHT_WORK_US)
     }
 
     pub(crate) fn retain_known(&mut self, is_known: impl Fn(&str) -> bool) {
--- a/crates/wv-control/src/outages.rs
+++ b/crates/wv-control/src/outages.rs
@@ -5,33 +5,34 @@
 
 /// Outages further apart than this are not counted together.
 const OUTAGE_WINDOW_US: u64 = 60_000_000;
-const TRACKED_MAX: usize = 4096;
+/// Further databases are ignored until the outages of others have expired.
+const MAX_TRACKED_DATABASES: usize = 4096;
 
 impl Core {
-    /// Records outages once sightings agree, and recoveries on the first healthy report after an outage.
+    /// Records outages once enough access nodes report them, and recoveries on the first healthy report after an outage.
     pub(crate) fn track_outages(&mut self, reports: &[HealthReport]) {
         let now = self.now;
         for report in reports {
             if report.health != Health::Up {
-                if self.is_down(&report.id) && self.outages.len() < TRACKED_MAX {
-                    let fall = self.outages.entry(report.id.clone()).or_default();
-                    if !std::mem::replace(&mut fall.is_down, true) {
-                        fall.count = if fall.last_at + OUTAGE_WINDOW_US < now { 1 } else { fall.count + 1 };
+                if self.is_down(&report.id) && self.outages.len() < MAX_TRACKED_DATABASES {
+                    let outages = self.outages.entry(report.id.clone()).or_default();
+                    if !std::mem::replace(&mut outages.is_down, true) {
+                        outages.count = if outages.last_at + OUTAGE_WINDOW_US < now { 1 } else { outages.count + 1 };
                     }
-                    fall.last_at = now;
+                    outages.last_at = now;
                 }
                 continue;
             }
             // A healthy report that predates the outage is not a recovery.
-            let is_back = |fall: &&mut Outages| fall.is_down && fall.last_at + report.health_age_us < now;
-            if let Some(fall) = self.outages.get_mut(&report.id).filter(is_back) {
-                (fall.is_down, fall.last_at) = (false, now);
-                let (id, falls) = (report.id.clone(), fall.count);
-                self.send_peers(&Message::Recovered { id: id.clone(), outages: falls });
-                self.publish(FeedUpdate::SlowStart { id, outages: falls });
+            let is_back = |outages: &&mut Outages| outages.is_down && outages.last_at + report.health_age_us < now;
+            if let Some(outages) = self.outages.get_mut(&report.id).filter(is_back) {
+                (outages.is_down, outages.last_at) = (false, now);
+                let (id, count) = (report.id.clone(), outages.count);
+                self.send_peers(&Message::Recovered { id: id.clone(), outages: count });
+                self.publish(FeedUpdate::SlowStart { id, outages: count });
             }
         }
-        self.outages.retain(|_, fall| fall.is_down || fall.last_at + OUTAGE_WINDOW_US > now);
+        self.outages.retain(|_, outages| outages.is_down || outages.last_at + OUTAGE_WINDOW_US > now);
     }
 
     /// A restarted database may reappear under a new id at its old address: this counts as the same recovery.
@@ -42,20 +43,20 @@
             let old =
                 self.table.iter().find(|old| old.gone && old.address == instance.address && old.id != instance.id);
             let Some(old) = old.filter(|_| !is_known).map(|old| old.id.clone()) else { continue };
-            let falls = self.outages.remove(&old).map_or(1, |fall| fall.count);
-            self.outages.insert(instance.id.clone(), Outages { count: falls, last_at: now, is_down: false });
-            self.publish(FeedUpdate::SlowStart { id: instance.id.clone(), outages: falls });
+            let count = self.outages.remove(&old).map_or(1, |outages| outages.count);
+            self.outages.insert(instance.id.clone(), Outages { count, last_at: now, is_down: false });
+            self.publish(FeedUpdate::SlowStart { id: instance.id.clone(), outages: count });
         }
     }
 
     /// Handles a recovery first observed by another control node.
-    pub(crate) fn on_peer_recovered(&mut self, id: String, falls: u32) {
+    pub(crate) fn on_peer_recovered(&mut self, id: String, count: u32) {
         let now = self.now;
-        let fall = self.outages.entry(id.clone()).or_default();
-        let is_known = !fall.is_down && fall.count == falls;
-        *fall = Outages { count: falls, last_at: now, is_down: false };
+        let outages = self.outages.entry(id.clone()).or_default();
+        let is_known = !outages.is_down && outages.count == count;
+        *outages = Outages { count, last_at: now, is_down: false };
         if !is_known {
-            self.publish(FeedUpdate::SlowStart { id, outages: falls });
+            self.publish(FeedUpdate::SlowStart { id, outages: count });
         }
     }
 }
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -9,22 +9,22 @@
 
 /// How long access nodes may hold writes for the promoted database after the platform was called.
 const PROMOTION_WAIT_US: u64 = 1_500_000;
-/// A call is sent within this after its confirmation began, or not at all. A new holder usually takes longer from its
-/// claim to its first call; otherwise the next confirmation fails on the higher fence.
+/// A call is sent within this time after its confirmation began, or not at all. A new duty holder usually takes longer
+/// from its claim to its first call; after the claim, confirmations of the old holder fail on the higher fence.
 const CONFIRMATION_VALIDITY_US: u64 = 250_000;
 
 /// Spaces the calls to the platform so that all nodes together stay within its rate limit.
 #[derive(Default)]
 struct RateLimiter {
     interval_us: u64,
-    next: u64,
+    next_at: u64,
 }
 
 impl RateLimiter {
     /// Reserves the next slot and returns the delay until it.
     fn reserve(&mut self, now: u64) -> u64 {
-        let at = self.next.max(now);
-        self.next = at + self.interval_us;
+        let at = self.next_at.max(now);
+        self.next_at = at + self.interval_us;
         at - now
     }
 }
@@ -102,9 +102,9 @@
 
     pub(crate) fn call_confirmed(&mut self, call: PlatformCall, outcome: OperationOutcome) {
         let began = self.platform_calls.confirm_started.get(&call.service).copied().unwrap_or(0);
-        let is_ours =
+        let is_confirmed =
             self.holds_duty_register(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
-        if is_ours && began + CONFIRMATION_VALIDITY_US > self.now {
+        if is_confirmed && began + CONFIRMATION_VALIDITY_US > self.now {
             return self.call_platform(call.request, &call.service, call.id, (call.fence, began));
         }
         self.call_not_sent(call.request);
@@ -113,7 +113,7 @@
     /// The call was not sent: its confirmation has expired, or another holder has a higher fence.
     fn call_not_sent(&mut self, request: u64) {
         let Some(pending) = self.platform_calls.requests.remove(&request) else { return };
-        log::warn!("duty {}: platform call not sent, its fence is no longer confirmed", pending.service);
+        log::warn!("duty {}: promotion call for {} not sent, its fence is not confirmed", pending.service, pending.id);
         self.on_duty_event(&pending.service, pending.step, Event::FenceConfirmed(false));
     }
 
--- a/crates/wv-control/src/proposal.rs
+++ b/crates/wv-control/src/proposal.rs
@@ -6,7 +6,7 @@
 const FORMAT_TAG: u8 = 2;
 /// Number of accepted proposals kept in the register, so that retries of recent ones are recognized as accepted or
 /// conflicting. Older ones count as superseded.
-const MAX_ACCEPTED: usize = 128;
+const MAX_ACCEPTED_PROPOSALS: usize = 128;
 
 /// Identity of a proposed configuration, the same for every retry.
 #[derive(SerBin, DeBin, Clone, Copy, PartialEq, Eq, Debug)]
@@ -82,7 +82,7 @@
         }
         let mut accepted = DecidedConfiguration::read(current).accepted;
         accepted.push(proposal);
-        let over = accepted.len().saturating_sub(MAX_ACCEPTED);
+        let over = accepted.len().saturating_sub(MAX_ACCEPTED_PROPOSALS);
         Some(
             DecidedConfiguration { accepted: accepted.split_off(over), body: body.clone() }
                 .to_register_value(proposal.number),
--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -11,13 +11,13 @@
 pub(crate) enum ShardRegisterOp {
     /// Reads the slot map after contact was regained or for a new plan; carries the number of the contact period.
     SyncSlots(u64),
-    /// Claims the slot map under a new ballot; the other registers are raised and read next.
+    /// Claims the slot map under a new ballot; the other registers are advanced to it and read next.
     ClaimSlots,
-    ReadFill,
+    ReadUsage,
     ReadKeys,
     ReadNewKeys,
     WriteSlots(SlotMap),
-    WriteFill,
+    WriteUsage,
     WriteKeys(usize),
     WriteNewKeys,
 }
@@ -34,13 +34,13 @@
     String::from_utf8(text.unwrap_or_default()).unwrap_or_default()
 }
 
-/// Raises a register to the next ballot and keeps its value.
-fn raise_ballot() -> UpdateFn {
+/// Advances a register to the next ballot and keeps its value.
+fn advance_to_next_ballot() -> UpdateFn {
     Box::new(|current| Some(RegisterValue { version: ((current.version >> 16) + 1) << 16, ..current.clone() }))
 }
 
-/// Raises a register to the given ballot and keeps its value, unless a higher ballot is present.
-fn raise_to(ballot: u64) -> UpdateFn {
+/// Advances a register to the given ballot and keeps its value, unless it already has a higher one.
+fn advance_to_ballot(ballot: u64) -> UpdateFn {
     Box::new(move |current| {
         let raised = RegisterValue { version: current.version.max(ballot << 16), ..current.clone() };
         (current.version >> 16 <= ballot).then_some(raised)
@@ -77,7 +77,7 @@
     }
 
     pub(crate) fn claim_slots(&mut self, shard: &str) {
-        self.start_register_op(shard, "slots", ShardRegisterOp::ClaimSlots, Some(raise_ballot()));
+        self.start_register_op(shard, "slots", ShardRegisterOp::ClaimSlots, Some(advance_to_next_ballot()));
     }
 
     pub(crate) fn write_slots(&mut self, shard: &str, version: u64, map: SlotMap) {
@@ -86,8 +86,8 @@
         self.write_register(shard, "slots", ShardRegisterOp::WriteSlots(map), (version, value));
     }
 
-    pub(crate) fn write_fill(&mut self, shard: &str, version: u64, value: Vec<u8>) {
-        self.write_register(shard, "fill", ShardRegisterOp::WriteFill, (version, value));
+    pub(crate) fn write_usage(&mut self, shard: &str, version: u64, value: Vec<u8>) {
+        self.write_register(shard, "fill", ShardRegisterOp::WriteUsage, (version, value));
     }
 
     pub(crate) fn write_keys(&mut self, shard: &str, version: u64, (at, text): (usize, &str)) {
@@ -112,7 +112,9 @@
                         self.publish_slots(if is_current { map } else { blocked(&map) });
                         self.slots_synced(&shard, period);
                     }
-                    Err(error) => log::error!("cannot decode the slot map of {shard}: {error}"),
+                    Err(error) => {
+                        log::error!("cannot decode the slot map of shard {shard}, it stays unsynced: {error}")
+                    }
                 }
             }
             (ShardRegisterOp::SyncSlots(period), _) if period == self.contact.generation => {
@@ -120,9 +122,9 @@
             }
             (ShardRegisterOp::SyncSlots(_), _) => {}
             (ShardRegisterOp::ClaimSlots, OperationOutcome::Written(cell)) => self.slots_claimed(&shard, &cell),
-            (ShardRegisterOp::ReadFill, OperationOutcome::Written(cell)) => {
-                let fill = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
-                self.on_shard_register(&shard, |read| read.usage = fill);
+            (ShardRegisterOp::ReadUsage, OperationOutcome::Written(cell)) => {
+                let usage = nanoserde::DeBin::deserialize_bin(&cell.bytes).ok();
+                self.on_shard_register(&shard, |read| read.usage = usage);
             }
             (ShardRegisterOp::ReadKeys, OperationOutcome::Written(cell)) => {
                 self.on_shard_register(&shard, |read| read.names.load_chunk(&decode_keys(&cell)));
@@ -132,7 +134,7 @@
             }
             (
                 op @ (ShardRegisterOp::WriteSlots(_)
-                | ShardRegisterOp::WriteFill
+                | ShardRegisterOp::WriteUsage
                 | ShardRegisterOp::WriteKeys(_)
                 | ShardRegisterOp::WriteNewKeys),
                 outcome,
@@ -140,24 +142,26 @@
                 self.register_written(&shard, op, matches!(outcome, OperationOutcome::Written(_)));
             }
             (_, _) => {
-                // Another node holds a higher ballot, or no majority replied: outstanding reads are ignored.
+                // A claim or read failed: another node holds a higher ballot, or no majority replied. Outstanding reads are ignored.
                 self.shards.get_mut(&shard).into_iter().for_each(|state| state.pending_reads = 0);
                 self.on_split_event(&shard, wv_shard_split::Event::Claimed(None));
             }
         }
     }
 
-    /// The slot map was claimed: raises the other registers to the same ballot and reads them.
+    /// The slot map was claimed: advances the other registers to the same ballot and reads them.
     fn slots_claimed(&mut self, shard: &str, cell: &RegisterValue) {
         let ballot = cell.version >> 16;
         let map = (!cell.bytes.is_empty()).then(|| nanoserde::DeBin::deserialize_bin(&cell.bytes).ok()).flatten();
         let state = self.shards.entry(shard.to_owned()).or_default();
         (state.ballot, state.writes, state.pending_reads) = (ballot, 0, 2 + wv_shard_split::NAME_CHUNKS);
         state.registers = crate::shards::ShardRegisters { map, ..Default::default() };
-        self.start_register_op(shard, "fill", ShardRegisterOp::ReadFill, Some(raise_to(ballot)));
-        self.start_register_op(shard, "fresh", ShardRegisterOp::ReadNewKeys, Some(raise_to(ballot)));
+        self.start_register_op(shard, "fill", ShardRegisterOp::ReadUsage, Some(advance_to_ballot(ballot)));
+        self.start_register_op(shard, "fresh", ShardRegisterOp::ReadNewKeys, Some(advance_to_ballot(ballot)));
         let parts = (0..wv_shard_split::NAME_CHUNKS).map(|at| format!("things-{at}"));
-        parts.for_each(|part| self.start_register_op(shard, &part, ShardRegisterOp::ReadKeys, Some(raise_to(ballot))));
+        parts.for_each(|part| {
+            self.start_register_op(shard, &part, ShardRegisterOp::ReadKeys, Some(advance_to_ballot(ballot)))
+        });
     }
 
     /// Reads that started before contact was lost are ignored.
@@ -185,7 +189,13 @@
     pub(crate) fn publish_slots(&mut self, map: SlotMap) {
         let known_version = self.feed.slots().get(&map.shard).map_or(0, |known| known.version);
         if map.version > known_version {
-            log::info!("slots of {}: {:?} under term {}, number {}", map.shard, map.phase, map.term, map.version);
+            log::info!(
+                "slot map of shard {}: phase {:?}, term {}, version {}",
+                map.shard,
+                map.phase,
+                map.term,
+                map.version
+            );
             self.publish(FeedUpdate::Slots(map));
         }
     }
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -1,13 +1,13 @@
 //! Operator requests on planned shards: splits, key names and usage histories.
 use crate::configuration::error_body;
 use crate::core::Core;
-use crate::shard_usage::{ShardUsage, SPLIT_REQUEST_US};
+use crate::shard_usage::{ShardUsage, SPLIT_REQUEST_VALIDITY_US};
 use wv_shard_forecast::History;
 
 impl Core {
     /// Requests a split now, or cancels one.
     pub(crate) fn request_split(&mut self, shard: &str, is_wanted: bool, token: u64) {
-        let until = self.epoch_us() + SPLIT_REQUEST_US;
+        let until = self.epoch_us() + SPLIT_REQUEST_VALIDITY_US;
         self.update_usage(shard, token, |usage, _| {
             usage.requested_until_us = if is_wanted { until } else { 0 };
             // Keeps the forecast from restarting a cancelled split in the same window.
--- a/crates/wv-control/src/shard_status.rs
+++ b/crates/wv-control/src/shard_status.rs
@@ -4,9 +4,9 @@
 use crate::shards::Shard;
 use wv_shard_forecast::{Forecast, ForecastResult, ThresholdCrossing};
 
-fn forecast_json(outlook: Option<&ForecastResult>) -> serde_json::Value {
+fn forecast_json(result: Option<&ForecastResult>) -> serde_json::Value {
     let time = |us: Option<u64>| us.map(wv_calendar::format_utc);
-    match outlook {
+    match result {
         None => serde_json::json!({ "state": "not measured yet" }),
         Some(ForecastResult::InsufficientHistory { days, required_days: wanted }) => {
             serde_json::json!({ "state": "too little history", "days": days, "wanted": wanted })
@@ -60,7 +60,7 @@
             "error": (state.usage.sample.relative_error() * 1e4).round() / 1e4,
             "rowsShare": plan.and_then(|plan| share(rows, plan.max_rows)),
             "bytesShare": plan.and_then(|plan| share(bytes, plan.max_bytes)),
-            "names": state.split.key_names.len(), "forecast": forecast_json(state.usage.outlook.as_ref()),
+            "names": state.split.key_names.len(), "forecast": forecast_json(state.usage.forecast.as_ref()),
             "warning": advice.map(|advice| serde_json::json!({
                 "early": wv_calendar::format_utc(advice.early_us),
                 "likely": advice.likely_us.map(wv_calendar::format_utc),
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -15,7 +15,7 @@
 /// Interval at which the status shown to operators is sent to peers.
 const REPORT_INTERVAL_US: u64 = 1_000_000;
 /// How long a requested split may run.
-pub(crate) const SPLIT_REQUEST_US: u64 = 3_600_000_000;
+pub(crate) const SPLIT_REQUEST_VALIDITY_US: u64 = 3_600_000_000;
 /// Duration of a move in addition to copying its rows: promotions and final copies.
 const MOVE_OVERHEAD_US: u64 = 60_000_000;
 
@@ -35,7 +35,7 @@
     pub history: History,
     pub advice: Option<SplitAdvice>,
     pub requested_until_us: u64,
-    pub outlook: Option<ForecastResult>,
+    pub forecast: Option<ForecastResult>,
     pub is_dirty: bool,
     /// Whether a write of the usage or of a part of the key names is in progress.
     is_writing: bool,
@@ -109,7 +109,7 @@
         let usage = &mut state.usage;
         // The requested split has completed or expired.
         if usage.requested_until_us > 0
-            && (usage.requested_until_us <= epoch || moved_us + SPLIT_REQUEST_US > usage.requested_until_us)
+            && (usage.requested_until_us <= epoch || moved_us + SPLIT_REQUEST_VALIDITY_US > usage.requested_until_us)
         {
             (usage.requested_until_us, usage.is_dirty) = (0, true);
         }
@@ -147,12 +147,12 @@
     fn update_forecast(&self, shard: &str, state: &mut Shard) {
         let Some(plan) = self.shard_plan(shard) else { return };
         let level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
-        let outlook = forecast(&state.usage.history, (level(plan.max_rows), level(plan.max_bytes)), DEFAULT_METHOD);
+        let result = forecast(&state.usage.history, (level(plan.max_rows), level(plan.max_bytes)), DEFAULT_METHOD);
         let rows = state.usage.history.points().last().map_or(0, |point| point.rows);
         let move_us = MOVE_OVERHEAD_US + rows / 2 * 1_000_000 / u64::from(plan.max_rows_per_s);
         let need =
             SplitSchedule { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
-        let (advice, is_news) = advise(&outlook, &need, state.usage.advice.as_ref());
+        let (advice, is_news) = advise(&result, &need, state.usage.advice.as_ref());
         if is_news {
             match &advice {
                 Some(advice) => log::warn!(
@@ -165,7 +165,7 @@
             }
         }
         state.usage.is_dirty |= is_news || advice != state.usage.advice;
-        (state.usage.advice, state.usage.outlook) = (advice, Some(outlook));
+        (state.usage.advice, state.usage.forecast) = (advice, Some(result));
     }
 
     /// Starts at most one write at a time: new key names first, since requests wait for them, then usage, then name
@@ -182,7 +182,7 @@
             self.write_new_keys(shard, state.next_version(), &text);
         } else if is_usage_due {
             (state.usage.is_dirty, state.usage.written_at) = (false, self.now);
-            self.write_fill(shard, state.next_version(), SerBin::serialize_bin(&state.usage.to_stored()));
+            self.write_usage(shard, state.next_version(), SerBin::serialize_bin(&state.usage.to_stored()));
         } else if let Some((at, text)) = state.split.key_names.take_dirty_chunk() {
             self.write_keys(shard, state.next_version(), (at, &text));
         } else {
@@ -204,7 +204,7 @@
             (crate::shard_registers::ShardRegisterOp::WriteKeys(_), true) => state.split.key_names.on_chunk_written(),
             (crate::shard_registers::ShardRegisterOp::WriteKeys(at), false) => state.split.key_names.restore_chunk(*at),
             (crate::shard_registers::ShardRegisterOp::WriteNewKeys, false) => state.split.key_names.restore_new(),
-            (crate::shard_registers::ShardRegisterOp::WriteFill, false) => state.usage.is_dirty = true,
+            (crate::shard_registers::ShardRegisterOp::WriteUsage, false) => state.usage.is_dirty = true,
             _ => {}
         }
         if !is_ours {
--- a/crates/wv-control/src/shutdown.rs
+++ b/crates/wv-control/src/shutdown.rs
@@ -3,7 +3,7 @@
 use wv_internal_protocol::{Member, Message};
 
 /// How long a holder keeps its duties after its last promotion call to the platform.
-const PROMOTION_GAP_US: u64 = 1_500_000;
+const PROMOTION_CALL_GAP_US: u64 = 1_500_000;
 
 impl Core {
     /// Starts the shutdown on SIGTERM. Sessions, duties, splits and shards move to other nodes. A voter is replaced if
@@ -19,7 +19,7 @@
     pub(crate) fn run_shutdown(&mut self) {
         let is_under_way = |duty: &wv_promotion::PromotionCoordinator| duty.is_active() && !duty.is_idle();
         let is_busy = self.duties.values().any(is_under_way)
-            || (self.platform_calls.last_call > 0 && self.platform_calls.last_call + PROMOTION_GAP_US > self.now);
+            || (self.platform_calls.last_call > 0 && self.platform_calls.last_call + PROMOTION_CALL_GAP_US > self.now);
         if !self.is_leaving || self.is_leaving_announced || is_busy {
             return;
         }
--- a/crates/wv-control/src/sweep.rs
+++ b/crates/wv-control/src/sweep.rs
@@ -7,8 +7,7 @@
 const SWEEP_INTERVAL_US: u64 = 10_000_000;
 /// A register is emptied after its name has been missing from the configuration for this long.
 const ORPHAN_RETENTION_US: u64 = 120_000_000;
-/// Registers emptied per sweep.
-const BATCH_REGISTERS: usize = 16;
+const MAX_REGISTERS_PER_SWEEP: usize = 16;
 
 /// The name that a register belongs to, and whether it is a plan's rather than a service's.
 fn register_owner(key: &str) -> Option<(bool, &str)> {
@@ -58,8 +57,13 @@
             self.orphaned_since.entry(key).or_insert(now);
         });
         let is_expired = |(_, since): &(&String, &u64)| **since + ORPHAN_RETENTION_US <= now;
-        let due: Vec<String> =
-            self.orphaned_since.iter().filter(is_expired).take(BATCH_REGISTERS).map(|(key, _)| key.clone()).collect();
+        let due: Vec<String> = self
+            .orphaned_since
+            .iter()
+            .filter(is_expired)
+            .take(MAX_REGISTERS_PER_SWEEP)
+            .map(|(key, _)| key.clone())
+            .collect();
         for key in due {
             self.orphaned_since.remove(&key);
             let token = self.allocate_id();
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -5,12 +5,12 @@
 
 const PING_INTERVAL_US: u64 = 400_000;
 /// Unchanged sessions are sent again after this many pings.
-const SESSIONS_EVERY_PINGS: u32 = 8;
+const SESSIONS_RESEND_PINGS: u32 = 8;
 const REPAIR_INTERVAL_US: u64 = 2_000_000;
 const REPAIR_INTERVAL_OFF_WINDOW_US: u64 = 30_000_000;
 /// Shorter interval between dials during startup, since all nodes may be starting at once.
 const STARTUP_DIAL_INTERVAL_US: u64 = 100_000;
-const STARTUP_US: u64 = 10_000_000;
+const STARTUP_DIAL_PERIOD_US: u64 = 10_000_000;
 /// Departed databases are kept for one to two of these intervals.
 const EXPIRY_INTERVAL_US: u64 = 60_000_000;
 const DIAL_INTERVAL_US: u64 = 500_000;
@@ -79,7 +79,8 @@
 
     fn dial(&mut self) {
         let now = self.now;
-        let gap = if now < self.started_at + STARTUP_US { STARTUP_DIAL_INTERVAL_US } else { DIAL_INTERVAL_US };
+        let gap =
+            if now < self.started_at + STARTUP_DIAL_PERIOD_US { STARTUP_DIAL_INTERVAL_US } else { DIAL_INTERVAL_US };
         let due: Vec<String> = self
             .peers
             .iter()
@@ -101,7 +102,7 @@
     fn send_sessions(&mut self) {
         let nodes = self.membership.sessions(self.now);
         self.pings_since_sessions += 1;
-        if nodes != self.sent_sessions || self.pings_since_sessions >= SESSIONS_EVERY_PINGS {
+        if nodes != self.sent_sessions || self.pings_since_sessions >= SESSIONS_RESEND_PINGS {
             self.send_peers(&Message::Sessions { sessions: nodes.clone() });
             (self.sent_sessions, self.pings_since_sessions) = (nodes, 0);
         }
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -160,7 +160,7 @@
             return;
         }
         if let Err(error) = self.store.adopt_newer(registers) {
-            log::error!("cannot store registers copied from a voter: {error}");
+            log::error!("cannot store registers copied from {addr}, abandoning the comparison: {error}");
             self.catch_up.current = None;
             return;
         }
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -6,7 +6,7 @@
 
 /// The name of the duty of changing the voter set.
 const VOTERS_DUTY: &str = "voters";
-/// Minimum interval between attempts.
+/// Minimum interval between attempts to change the voter set.
 const CHANGE_INTERVAL_US: u64 = 300_000;
 /// Minimum time between the last change and one that adds members.
 const GROWTH_DELAY_US: u64 = 1_000_000;
@@ -17,10 +17,11 @@
 
 impl Core {
     pub(crate) fn peers_message(&self) -> Message {
-        let is_worth =
+        let is_announced =
             |addr: &&String| self.peers.get(*addr).is_some_and(|peer| peer.is_up) || self.is_seed_or_voter(addr);
         let zone = |addr: &String| self.peers.get(addr).map_or(self.zone.clone(), |peer| peer.zone.clone());
-        let addrs: Vec<String> = self.peers.keys().filter(is_worth).cloned().chain([self.address.clone()]).collect();
+        let addrs: Vec<String> =
+            self.peers.keys().filter(is_announced).cloned().chain([self.address.clone()]).collect();
         let zones = addrs.iter().map(zone).collect();
         Message::Peers {
             addresses: addrs,
@@ -49,14 +50,14 @@
     pub(crate) fn learn_voters(&mut self, voters: &VoterSet, previous: &VoterSet) {
         let is_changed =
             self.voter_state.update_voters(&mut self.store, &self.address, voters, previous).unwrap_or_else(|error| {
-                log::error!("cannot store the voter set: {error}");
+                log::error!("cannot store voter set {}, requesting it from peers again: {error}", voters.number);
                 self.is_voter_update_unsaved = true;
                 false
             });
         if !is_changed {
             return;
         }
-        log::warn!("voters {}: {}", voters.number, voters.addrs().collect::<Vec<_>>().join(" "));
+        log::warn!("adopted voter set {}: {}", voters.number, voters.addrs().collect::<Vec<_>>().join(" "));
         for addr in voters.addrs().filter(|addr| *addr != self.address) {
             let since = self.now;
             self.peers.entry(addr.to_owned()).or_insert_with(|| Peer { known_since: since, ..Default::default() });
@@ -107,9 +108,9 @@
         let is_eligible = |addr: &str| {
             let is_member = |disk: u64| voters.members.iter().any(|member| member.addr == addr && member.disk == disk);
             self.peers.get(addr).is_some_and(|peer| {
-                let is_seated =
+                let is_voting =
                     peer.voter_set.max(peer.sealed_set) == voters.number && peer.disk_id.is_some_and(is_member);
-                is_seated && !peer.is_leaving
+                is_voting && !peer.is_leaving
             })
         };
         let is_own = self.has_disk && self.voter_state.successor_voting_set(&self.address) > 0 && !self.is_leaving;
@@ -135,15 +136,15 @@
         let voters = &self.voter_state.voters;
         let is_sealed = |addr: &str| self.peers.get(addr).is_some_and(|peer| peer.sealed_set == voters.number);
         // A previous planner may have failed midway: the set must not stay sealed without a successor.
-        let is_begun = self.voter_state.voting_set(&self.address) == 0 || voters.addrs().any(is_sealed);
-        if !is_begun && !self.are_members_voting() {
+        let is_change_begun = self.voter_state.voting_set(&self.address) == 0 || voters.addrs().any(is_sealed);
+        if !is_change_begun && !self.are_members_voting() {
             return;
         }
         let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
-        let next = self.planned_voters().or_else(|| is_begun.then(same));
+        let next = self.planned_voters().or_else(|| is_change_begun.then(same));
         let is_larger = |next: &VoterSet| next.members.len() > voters.members.len();
-        let Some(next) =
-            next.filter(|next| is_begun || !is_larger(next) || self.voters_changed_at + GROWTH_DELAY_US <= self.now)
+        let Some(next) = next
+            .filter(|next| is_change_begun || !is_larger(next) || self.voters_changed_at + GROWTH_DELAY_US <= self.now)
         else {
             return;
         };
@@ -188,8 +189,8 @@
     /// How long a member has been unreachable. A slow or hung disk does not count: its machine still answers.
     fn unreachable_us(&self, addr: &str) -> u64 {
         // A node without a disk loses its state on exit: it yields its place to the first candidate that has a disk.
-        let is_forgetful = |peer: &Peer| peer.last_contact > 0 && peer.disk_id.is_none();
-        if (addr == self.address && !self.has_disk) || self.peers.get(addr).is_some_and(is_forgetful) {
+        let is_diskless = |peer: &Peer| peer.last_contact > 0 && peer.disk_id.is_none();
+        if (addr == self.address && !self.has_disk) || self.peers.get(addr).is_some_and(is_diskless) {
             return wv_consensus::REPLACE_AFTER_US;
         }
         let peer = self.peers.get(addr).filter(|peer| !self.is_in_contact(peer));
