--- a/crates/wv-access/src/client.rs
+++ b/crates/wv-access/src/client.rs
@@ -131,12 +131,12 @@
     /// Completes or rejects the setups that waited for the first configuration.
     pub(crate) fn complete_pending_setups(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
-        let awaited: Vec<(u64, String)> = self
+        let pending_setups: Vec<(u64, String)> = self
             .clients
             .iter_mut()
             .filter_map(|(id, client)| client.pending_database.take().map(|name| (*id, name)))
             .collect();
-        for (id, database) in awaited {
+        for (id, database) in pending_setups {
             if configuration.route(&database).is_some() {
                 self.complete_setup(id, database);
                 self.process_input(id);
@@ -190,8 +190,8 @@
                 self.reply_result(id, is_ok);
             }
             Statement::Define { name, kind, body } => {
-                let shape = self.statements.intern(kind, body);
-                let is_ok = shape.is_some_and(|shape| client.session.define(name, shape).is_ok());
+                let statement_id = self.statements.intern(kind, body);
+                let is_ok = statement_id.is_some_and(|statement_id| client.session.define(name, statement_id).is_ok());
                 self.reply_result(id, is_ok);
             }
             Statement::Undefine { name } => {
@@ -202,15 +202,15 @@
                 }
             }
             Statement::Execute { name, arguments } => {
-                let Some(shape) = client.session.statement_id(name) else {
+                let Some(statement_id) = client.session.statement_id(name) else {
                     return self.reply_error(id, ErrorCode::Undefined, "no such name");
                 };
-                let verb = match self.statements.get(shape) {
+                let verb = match self.statements.get(statement_id) {
                     Some((wv_wire_protocol::StatementKind::Read, _)) => Verb::Read,
                     _ => Verb::Write,
                 };
-                let command = format!("EXECUTE w{shape} ");
-                self.open_request(id, query, &[command.as_bytes(), arguments], verb, Some(shape), &route);
+                let command = format!("EXECUTE w{statement_id} ");
+                self.open_request(id, query, &[command.as_bytes(), arguments], verb, Some(statement_id), &route);
             }
             Statement::Unknown => self.reply_error(id, ErrorCode::Malformed, "not understood"),
         }
--- a/crates/wv-access/src/core.rs
+++ b/crates/wv-access/src/core.rs
@@ -7,8 +7,8 @@
 
 /// How long after process start only half of the connection limit is used.
 const STARTUP_PERIOD_US: u64 = 3_500_000;
-/// When a node's share of an instance's connections is below `SMALL_SHARE_CONNECTIONS`, requests queued for the primary may open
-/// `EXTRA_CONNECTIONS` beyond it. The instance enforces the overall limit.
+/// When a node's share of an instance's connections is below `SMALL_SHARE_CONNECTIONS`, requests queued for the primary
+/// may open `EXTRA_CONNECTIONS` beyond it. The instance enforces the overall limit.
 const SMALL_SHARE_CONNECTIONS: u32 = 3;
 const EXTRA_CONNECTIONS: u32 = 2;
 /// Bounds of the exponential backoff after a failed connection attempt.
@@ -44,7 +44,7 @@
     pub(crate) unplaced: Vec<u64>,
     /// Services with a promotion in progress: until when to expect it, and the candidate.
     pub(crate) promoting: Map<u16, (u64, String)>,
-    pub(crate) slow_start_plan: wv_slow_start::SlowStartConfig,
+    pub(crate) slow_start_config: wv_slow_start::SlowStartConfig,
     /// The request that is being taken from a pool's queue.
     pub(crate) dequeued: Option<u64>,
     /// When a request was last routed to each service's primary.
@@ -85,7 +85,7 @@
             drain: Default::default(),
             unplaced: Vec::new(),
             promoting: Map::default(),
-            slow_start_plan: wv_slow_start::SlowStartConfig::default(),
+            slow_start_config: wv_slow_start::SlowStartConfig::default(),
             dequeued: None,
             last_write_at: Map::default(),
             tie_break_salt: 0,
@@ -132,8 +132,8 @@
         let bound = settings.map_or(16, |settings| settings.max_connections);
         // A tenth is reserved for the control node. After an outage the databases may still hold connections of the
         // previous process, so half of the share is used at first.
-        let part = if self.now < STARTUP_PERIOD_US { 2 } else { 1 };
-        (bound * 9 / 10 / self.node_count.max(1) / part).max(1)
+        let divisor = if self.now < STARTUP_PERIOD_US { 2 } else { 1 };
+        (bound * 9 / 10 / self.node_count.max(1) / divisor).max(1)
     }
 
     /// Opens another connection to `key` if the limit allows it.
@@ -151,17 +151,17 @@
         self.connection_limit(key) < SMALL_SHARE_CONNECTIONS
     }
 
-    fn open_with_extra(&mut self, key: DatabaseKey, over: u32) -> bool {
-        let cap = self.connection_limit(key);
+    fn open_with_extra(&mut self, key: DatabaseKey, extra: u32) -> bool {
+        let limit = self.connection_limit(key);
         let Some(member) = self.health.database(key).filter(|member| !member.instance.gone) else { return false };
         let (addr, id) = (member.instance.address.clone(), member.instance.id.clone());
         let pool = self.pools.entry(key).or_default();
         // During slow start, connections are opened one at a time.
         let is_delayed = self.now < pool.open_not_before || (pool.opening > 0 && self.slow_starts.contains_key(&key));
         let may_borrow = !pool.waiting.is_empty()
-            && cap < SMALL_SHARE_CONNECTIONS
+            && limit < SMALL_SHARE_CONNECTIONS
             && self.health.service(key.service).and_then(|checker| checker.leader()) == Some(key.index);
-        if pool.total >= cap + if may_borrow { EXTRA_CONNECTIONS } else { over } || is_delayed {
+        if pool.total >= limit + if may_borrow { EXTRA_CONNECTIONS } else { extra } || is_delayed {
             return false;
         }
         pool.total += 1;
@@ -214,7 +214,7 @@
                 pool.opening = pool.opening.saturating_sub(1);
             }
             pool.idle.retain(|idle| *idle != db);
-            pool.newer_term.retain(|early| *early != db);
+            pool.newer_term.retain(|other| *other != db);
         }
         Some(connection)
     }
--- a/crates/wv-access/src/dispatch.rs
+++ b/crates/wv-access/src/dispatch.rs
@@ -145,8 +145,8 @@
     fn wait_deadline(&self, id: u64) -> u64 {
         let Some(request) = self.clients.get(&id).map(|client| &client.request) else { return 0 };
         let Some(route) = request.route.as_ref() else { return request.opened_at };
-        let share = route.target_us / WAIT_TARGET_DIVISOR;
-        (request.waiting_since + share - share / 8).min(request.client_deadline)
+        let max_wait_us = route.target_us / WAIT_TARGET_DIVISOR;
+        (request.waiting_since + max_wait_us - max_wait_us / 8).min(request.client_deadline)
     }
 
     /// Refuses the request if its time to wait is over.
@@ -175,9 +175,9 @@
         (request.db, request.queue, request.last_code) = (None, None, code.or(request.last_code));
         request.attempts += 1;
         request.waiting_since = now;
-        let bound = request.route.as_ref().map_or(1, |route| route.max_attempts) + 1;
+        let max_attempts = request.route.as_ref().map_or(1, |route| route.max_attempts) + 1;
         // Refusing is better than queueing again when the attempts or the time are used up.
-        if request.attempts > bound || now >= request.deadline {
+        if request.attempts > max_attempts || now >= request.deadline {
             return self.refuse_request(id);
         }
         self.dispatch(id);
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -9,8 +9,8 @@
 const DB_TCP_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(900);
 const CLIENT_TCP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// Shared by all tasks. Borrow order: `core` first, then `clients`, `database_sockets` or `peer_links`; no borrow is held across an
-/// await.
+/// Shared by all tasks. Borrow order: `core` first, then `clients`, `database_sockets` or `peer_links`; no borrow is
+/// held across an await.
 #[derive(Clone)]
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
@@ -76,8 +76,8 @@
     fn execute(&self, effect: Effect) {
         match effect {
             Effect::WriteClient(id) => {
-                let back = self.core.borrow_mut().take_forwarded_response(id);
-                if let Some((link, message)) = back {
+                let response = self.core.borrow_mut().take_forwarded_response(id);
+                if let Some((link, message)) = response {
                     return self.send_forward_message(link, message);
                 }
                 let sock = self.clients.borrow().get(&id).cloned();
--- a/crates/wv-access/src/forward_response.rs
+++ b/crates/wv-access/src/forward_response.rs
@@ -20,9 +20,12 @@
     /// The link to an owner is connected.
     pub fn peer_link_up(&mut self, link: u64, now: u64) {
         self.now = self.now.max(now);
-        let Some(way) = self.forwarding.owner_links.values_mut().find(|way| way.link == link) else { return };
-        way.is_up = true;
-        let waiting = std::mem::take(&mut way.waiting);
+        let Some(owner_link) = self.forwarding.owner_links.values_mut().find(|owner_link| owner_link.link == link)
+        else {
+            return;
+        };
+        owner_link.is_up = true;
+        let waiting = std::mem::take(&mut owner_link.waiting);
         self.dispatch_waiting(waiting);
     }
 
@@ -44,9 +47,9 @@
     pub fn peer_link_down(&mut self, link: u64, now: u64) {
         self.now = self.now.max(now);
         let mut waiting = Vec::new();
-        if let Some(way) = self.forwarding.owner_links.values_mut().find(|way| way.link == link) {
-            waiting = std::mem::take(&mut way.waiting);
-            (way.link, way.is_up, way.failed_until) = (0, false, now + PEER_RETRY_DELAY_US);
+        if let Some(owner_link) = self.forwarding.owner_links.values_mut().find(|owner_link| owner_link.link == link) {
+            waiting = std::mem::take(&mut owner_link.waiting);
+            (owner_link.link, owner_link.is_up, owner_link.failed_until) = (0, false, now + PEER_RETRY_DELAY_US);
         }
         let sessions: Vec<u64> =
             self.forwarding.outbound.iter().filter(|(_, out)| out.link == link).map(|(session, _)| *session).collect();
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -105,12 +105,12 @@
         let now = self.now;
         let mut unresponsive: Vec<DatabaseKey> = Vec::new();
         for db in self.connections.values().filter(|db| db.phase == Phase::Busy) {
-            let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
-            let is_quiet = self
+            let is_waiting = db.pending.front().is_some_and(|reply| reply.sent_at + SILENCE_LIMIT_US < now);
+            let is_silent = self
                 .pools
                 .get(&db.key)
                 .is_some_and(|pool| pool.last_data_at + SILENCE_LIMIT_US < now && pool.opening == 0);
-            if is_waiting && is_quiet && !unresponsive.contains(&db.key) {
+            if is_waiting && is_silent && !unresponsive.contains(&db.key) {
                 unresponsive.push(db.key);
             }
         }
@@ -124,9 +124,9 @@
 
     /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool forever.
     fn close_unanswered(&mut self) {
-        let is_internal = |expect: &Pending| !matches!(expect.kind, Reply::Request { .. } | Reply::Begin { .. });
+        let is_internal = |reply: &Pending| !matches!(reply.kind, Reply::Request { .. } | Reply::Begin { .. });
         let is_overdue = |connection: &DbConnection| {
-            connection.pending.front().is_some_and(|expect| expect.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
+            connection.pending.front().is_some_and(|reply| reply.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
                 && connection.pending.iter().all(is_internal)
         };
         let overdue: Vec<u64> =
@@ -148,7 +148,7 @@
             for (index, member) in checker.databases() {
                 let key = DatabaseKey { service, index };
                 let state = checker.state(index, now);
-                let is_next =
+                let is_being_promoted =
                     self.promoting.get(&service).is_some_and(|(until, id)| *until > now && *id == member.instance.id);
                 let is_same_zone = member.instance.zone == self.zone;
                 match state {
@@ -156,7 +156,9 @@
                         wanted.push((key, warm))
                     }
                     // Connections to the database being promoted are opened before it leads.
-                    State::Online if is_next && self.has_recent_writes(service, key) => wanted.push((key, warm)),
+                    State::Online if is_being_promoted && self.has_recent_writes(service, key) => {
+                        wanted.push((key, warm))
+                    }
                     State::Online if is_same_zone && !self.has_many_databases && !member.is_suspect() => {
                         wanted.push((key, WARM_REPLICA_CONNECTIONS))
                     }
--- a/crates/wv-access/src/release.rs
+++ b/crates/wv-access/src/release.rs
@@ -15,11 +15,11 @@
             self.health.database(key).is_none_or(|member| member.instance.gone || member.instance.id != connection.id);
         let is_over =
             self.pools.get(&key).is_some_and(|pool| pool.total > self.connection_limit(key) && pool.waiting.is_empty());
-        let fitness = self.compare_term(db);
+        let term_order = self.compare_term(db);
         let Some(connection) = self.connections.get_mut(&db) else { return };
-        if connection.is_tainted || !connection.pending.is_empty() || is_gone || is_over || fitness.is_lt() {
+        if connection.is_tainted || !connection.pending.is_empty() || is_gone || is_over || term_order.is_lt() {
             self.close_db(db);
-        } else if fitness.is_gt() {
+        } else if term_order.is_gt() {
             // Keeps the connection until the slot map for its newer term arrives.
             (connection.phase, connection.txn_client) = (Phase::Idle, None);
             self.pools.entry(key).or_default().newer_term.push(db);
--- a/crates/wv-access/src/request.rs
+++ b/crates/wv-access/src/request.rs
@@ -29,13 +29,13 @@
         query: &[u8],
         text: &[&[u8]],
         verb: Verb,
-        shape: Option<u32>,
+        statement_id: Option<u32>,
         route: &Rc<Route>,
     ) {
         let now = self.now;
         // Keys matter only for shards with a planned split.
         let target_key =
-            if self.has_planned_shards() { target_key_of(text, shape.is_some()) } else { Default::default() };
+            if self.has_planned_shards() { target_key_of(text, statement_id.is_some()) } else { Default::default() };
         let Some(client) = self.clients.get_mut(&id) else { return };
         let request = &mut client.request;
         request.sequence += 1;
@@ -44,14 +44,14 @@
         request.query_id.extend_from_slice(query);
         request.text.clear();
         text.iter().for_each(|part| request.text.extend_from_slice(part));
-        let time = answer_limit_us(route.expiry_us);
+        let limit_us = answer_limit_us(route.expiry_us);
         (request.verb, request.statement_id, request.opened_at, request.deadline) =
-            (Some(verb), shape, now, now + time);
-        let since = client
+            (Some(verb), statement_id, now, now + limit_us);
+        let retry_window = client
             .retry_window
             .filter(|(first, refused_at)| refused_at + RETRY_WINDOW_US > now && first + route.expiry_us > now);
-        client.retry_window = since;
-        request.client_deadline = since.map_or(now, |(first, _)| first) + time;
+        client.retry_window = retry_window;
+        request.client_deadline = retry_window.map_or(now, |(first, _)| first) + limit_us;
         (request.attempts, request.db, request.queue, request.last_code, request.is_streamed) =
             (0, None, None, None, false);
         (request.forwarded_session, request.is_local_only) = (None, false);
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -108,16 +108,16 @@
         if self.slots.shards_without_map.get(&*service).is_some_and(|since| !is_within_grace(since)) {
             return client.request.route_class() == 0;
         }
-        let (named, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
+        let (target_key, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service).filter(|_| is_write) else { return false };
-        let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
+        let is_moving = target_key.slot.is_some_and(|slot| shard.map.is_moving(slot));
         let is_blocked = is_moving
             && match shard.map.phase {
                 SplitPhase::Resting => false,
                 SplitPhase::Copying => shard.acked_attempt != shard.map.attempt,
                 SplitPhase::Sealed => true,
             };
-        let is_key_acked = named.key.is_empty() || shard.key_sampler.require_acked(&named.key);
+        let is_key_acked = target_key.key.is_empty() || shard.key_sampler.require_acked(&target_key.key);
         self.slots.is_report_due |= !is_key_acked && shard.key_sampler.is_report_due();
         is_blocked || !is_key_acked
     }
@@ -129,12 +129,12 @@
         }
         let Some(service) = self.service_for_request(id) else { return };
         let Some(client) = self.clients.get(&id) else { return };
-        let (named, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
+        let (target_key, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service) else { return };
-        let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
+        let is_moving = target_key.slot.is_some_and(|slot| shard.map.is_moving(slot));
         if is_write && is_moving && shard.map.phase == SplitPhase::Copying {
             let txn = client.txn.as_ref().map(|txn| txn.first_byte_at);
-            shard.dirty_keys.track_write(&named.key, id, client.request.sequence, txn);
+            shard.dirty_keys.track_write(&target_key.key, id, client.request.sequence, txn);
         }
     }
 
--- a/crates/wv-access/src/slow_start.rs
+++ b/crates/wv-access/src/slow_start.rs
@@ -8,11 +8,11 @@
 const MIN_WAKE_INTERVAL_US: u64 = 3_000;
 
 impl Core {
-    pub fn set_slow_start(&mut self, plan: SlowStartConfig) {
-        self.slow_start_plan = plan;
+    pub fn set_slow_start(&mut self, config: SlowStartConfig) {
+        self.slow_start_config = config;
     }
 
-    fn slow_start_scale(&self, key: DatabaseKey) -> RateInputs {
+    fn rate_inputs(&self, key: DatabaseKey) -> RateInputs {
         let capacity = self.health.database(key).map_or(1, |member| member.instance.capacity);
         let work_us = self.pools.get(&key).map_or_else(
             || wv_slow_start::LatencyEstimate::default().latency_us(),
@@ -25,11 +25,11 @@
     pub(crate) fn begin_slow_start(&mut self, key: DatabaseKey, outages: u32) {
         let is_running = self.slow_starts.get(&key).is_some_and(|slow_start| !slow_start.is_over(self.now));
         // A recovery seen here and reported by the control plane starts only one slow start.
-        if !self.slow_start_plan.is_enabled || is_running {
+        if !self.slow_start_config.is_enabled || is_running {
             return;
         }
         let cold_us = self.health.database(key).map_or(0, |member| member.instance.cold_left_us);
-        self.slow_starts.insert(key, SlowStart::new(self.slow_start_plan, outages, cold_us, self.now));
+        self.slow_starts.insert(key, SlowStart::new(self.slow_start_config, outages, cold_us, self.now));
     }
 
     pub fn is_in_slow_start(&self, id: &str) -> bool {
@@ -48,7 +48,7 @@
             // Idle transactions do not count as in flight.
             let in_flight =
                 self.connections.values().filter(|db| db.key == key && !db.pending.is_empty()).count() as u32;
-            slow_start.can_start(&self.slow_start_scale(key), in_flight)
+            slow_start.can_start(&self.rate_inputs(key), in_flight)
         })
     }
 
@@ -56,18 +56,18 @@
         if self.slow_starts.is_empty() {
             return;
         }
-        let scale = self.slow_start_scale(key);
-        self.slow_starts.get_mut(&key).into_iter().for_each(|slow_start| slow_start.record_start(&scale));
+        let inputs = self.rate_inputs(key);
+        self.slow_starts.get_mut(&key).into_iter().for_each(|slow_start| slow_start.record_start(&inputs));
     }
 
     /// Schedules a wake-up of the wait queue for when the next request may start.
     pub(crate) fn schedule_next_start(&mut self, key: DatabaseKey) {
-        let scale = self.slow_start_scale(key);
+        let inputs = self.rate_inputs(key);
         let Some(slow_start) = self.slow_starts.get(&key) else { return };
         // Requests held back by the in-flight limit are served by responses; the timer covers the rate limit.
-        let at = slow_start.next_start_us(&scale).max(scale.now_us + MIN_WAKE_INTERVAL_US);
+        let at = slow_start.next_start_us(&inputs).max(inputs.now_us + MIN_WAKE_INTERVAL_US);
         // One pending wake-up serves the whole queue.
-        let Some(pool) = self.pools.get_mut(&key).filter(|pool| pool.wake_at <= scale.now_us) else { return };
+        let Some(pool) = self.pools.get_mut(&key).filter(|pool| pool.wake_at <= inputs.now_us) else { return };
         pool.wake_at = at;
         self.timers.schedule(at, Timer::SlowStart { key });
     }
--- a/crates/wv-access/src/split_reports.rs
+++ b/crates/wv-access/src/split_reports.rs
@@ -231,16 +231,16 @@
         }
         let Some(service) = self.service_for_request(id) else { return };
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let (named, verb) = (client.request.target_key.clone(), client.request.verb());
+        let (target_key, verb) = (client.request.target_key.clone(), client.request.verb());
         let mut done: Vec<(Vec<u8>, Option<u32>)> = Vec::new();
         match (client.txn.as_mut(), verb) {
-            (Some(txn), crate::types::Verb::Write) => txn.writes.push((named.key, named.write_bytes)),
+            (Some(txn), crate::types::Verb::Write) => txn.writes.push((target_key.key, target_key.write_bytes)),
             (Some(txn), _) if is_commit => {
                 done.extend(std::mem::take(&mut txn.writes).into_iter().map(|(key, bytes)| (key, Some(bytes))));
             }
-            (None, crate::types::Verb::Write) => done.push((named.key, Some(named.write_bytes))),
+            (None, crate::types::Verb::Write) => done.push((target_key.key, Some(target_key.write_bytes))),
             (_, crate::types::Verb::Read) if client.request.response.starts_with(b"ROW") => {
-                done.push((named.key, None))
+                done.push((target_key.key, None))
             }
             _ => {}
         }
--- a/crates/wv-control/src/contact.rs
+++ b/crates/wv-control/src/contact.rs
@@ -169,8 +169,8 @@
     }
 
     /// Answers a node that was out of contact: databases that differ, leaders, owners, and finally `ResyncDone`.
-    pub(crate) fn answer_resync(&mut self, link: u64, (requester, request): (u64, u64), ranges: &[u64]) {
-        self.send_differing_ranges(link, ranges);
+    pub(crate) fn answer_resync(&mut self, link: u64, (requester, request): (u64, u64), digests: &[u64]) {
+        self.send_differing_ranges(link, digests);
         self.send_leaves(link);
         let leaders: Vec<Message> = self.feed.leaders().cloned().map(Message::Leader).collect();
         leaders.into_iter().for_each(|leader| self.send(link, leader));
@@ -233,8 +233,8 @@
                 peer.last_contact >= self.contact.established_at && peer.last_contact + CONTACT_TTL_US > self.now;
             is_pinged && peer.voter_set == voters.number && peer.configuration_version <= self.committed_version
         };
-        let reached = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_current);
-        !voters.members.is_empty() && reached.count() >= self.proposer.majority()
+        let current = voters.addrs().filter_map(|voter| self.peers.get(voter)).filter(is_current);
+        !voters.members.is_empty() && current.count() >= self.proposer.majority()
     }
 
     /// Whether this node has caught up and has been in contact for at least `us`, so that membership is known.
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -6,8 +6,7 @@
 use wv_promotion::{DepartedDatabase, StatusError, StatusReply};
 
 /// Minimum intervals between status requests to a departed database, during the early period after it left and later.
-/// Most databases end soon after leaving, and only fenced positions observed after the end count for a
-/// promotion.
+/// Most databases end soon after leaving, and only log positions observed after the end count.
 const EARLY_POLL_INTERVAL_US: u64 = 200_000;
 const POLL_INTERVAL_US: u64 = 500_000;
 const EARLY_PERIOD_US: u64 = 3_000_000;
@@ -58,8 +57,9 @@
                 let is_later = self.leader_changed_at.get(service).is_none_or(|led| departure.left_at >= *led);
                 is_later && self.membership.is_duty_holder(service)
             });
-            let gap = if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
-            departure.ended_at.is_none() && departure.polled_at + gap <= now && is_counted
+            let interval =
+                if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
+            departure.ended_at.is_none() && departure.polled_at + interval <= now && is_counted
         };
         let due: Vec<String> = self.departures.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
--- a/crates/wv-control/src/duties.rs
+++ b/crates/wv-control/src/duties.rs
@@ -140,7 +140,7 @@
             PromotionEffect::Yield { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), 0),
             PromotionEffect::Demote { id, term } => self.send_db_request(service, id, format!("YIELD {term}"), step),
             PromotionEffect::RequestPromotion { id, fence } => self.request_promotion(service, id, fence),
-            PromotionEffect::ReportBlocked(obstacle) => self.count_stall(service, &obstacle),
+            PromotionEffect::ReportBlocked(reason) => self.count_stall(service, &reason),
             PromotionEffect::AnnounceLeader { id, term } => {
                 let leader = Leader { service: service.to_owned(), id, term };
                 self.send_peers(&Message::Leader(leader.clone()));
--- a/crates/wv-control/src/leave_ages.rs
+++ b/crates/wv-control/src/leave_ages.rs
@@ -12,7 +12,8 @@
 /// Followers are notified again when a leave turns out to be older than was known by more than this.
 const REPUBLISH_THRESHOLD_US: u64 = 50_000;
 
-/// Allowance for work that access nodes started just before they stopped, except for long transactions.
+/// Allowance for work that access nodes started just before they stopped assigning work to a leaving database. Long
+/// transactions may take longer.
 const IN_FLIGHT_WORK_US: u64 = 300_000;
 
 /// Who sent a report.
--- a/crates/wv-control/src/metrics.rs
+++ b/crates/wv-control/src/metrics.rs
@@ -27,12 +27,12 @@
     }
 
     /// A promotion attempt could not proceed.
-    pub(crate) fn count_stall(&mut self, service: &str, obstacle: &BlockedReason) {
+    pub(crate) fn count_stall(&mut self, service: &str, reason: &BlockedReason) {
         let promotions = self.counters.services.entry(service.to_owned()).or_default();
         promotions.stalls += 1;
         if promotions.logged_at.is_none_or(|at| at + STALL_LOG_INTERVAL_US <= self.now) {
             promotions.logged_at = Some(self.now);
-            log::warn!("promotion of {service} stalled, attempt {}: {obstacle}", promotions.stalls);
+            log::warn!("promotion of {service} stalled, attempt {}: {reason}", promotions.stalls);
         }
     }
 
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -15,7 +15,9 @@
             && self.voter_state.voting_set(&self.address) == set
             && !key.starts_with(crate::core::LOCAL_KEY_PREFIX))
         .then_some(())?;
-        let log_not_stored = |error: wv_consensus::RegisterError| log::error!("cannot store register {key}: {error}");
+        let log_not_stored = |error: wv_consensus::RegisterError| {
+            log::error!("cannot store register {key}, not replying to the proposer: {error}")
+        };
         match step {
             RegisterRequest::Read { known } => Some(self.current_value(key, *known)),
             RegisterRequest::Prepare { ballot, known } => {
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -29,13 +29,13 @@
         let owners: BTreeMap<String, String> =
             self.feed.owners().values().map(|owner| (owner.service.clone(), owner.node.clone())).collect();
         let owned: BTreeSet<&str> = owners.values().map(String::as_str).collect();
-        let is_fit = |session: &&wv_internal_protocol::Session| {
+        let is_eligible = |session: &&wv_internal_protocol::Session| {
             !session.is_leaving
                 && !session.forwarding_address.is_empty()
                 && (!session.is_new || owned.contains(session.node.as_str()))
         };
-        let nodes: BTreeSet<&str> = members.values().filter(is_fit).map(|session| session.node.as_str()).collect();
-        let wanted =
+        let nodes: BTreeSet<&str> = members.values().filter(is_eligible).map(|session| session.node.as_str()).collect();
+        let targets =
             wv_shard_assignment::assign_owners(&configuration.partners, &nodes, &configuration.shards, &owners);
         let is_due = |(service, node): &(String, String)| {
             let owner = owners.get(service);
@@ -44,14 +44,14 @@
             let is_held = self.membership.is_duty_holder(&owner_key(service)) && !self.owner_writes.contains(service);
             is_held && is_moved && (is_lost || self.last_rebalance + REBALANCE_INTERVAL_US <= self.now)
         };
-        let due: Vec<(String, String)> = wanted.into_iter().filter(is_due).collect();
+        let due: Vec<(String, String)> = targets.into_iter().filter(is_due).collect();
         let is_lost = |service: &str| owners.get(service).is_none_or(|owner| !nodes.contains(owner.as_str()));
         // All shards without an owner are assigned at once; rebalancing moves one at a time.
-        let (lost, uneven): (Vec<_>, Vec<_>) = due.into_iter().partition(|(service, _)| is_lost(service));
-        if !uneven.is_empty() {
+        let (lost, unbalanced): (Vec<_>, Vec<_>) = due.into_iter().partition(|(service, _)| is_lost(service));
+        if !unbalanced.is_empty() {
             self.last_rebalance = self.now;
         }
-        for (service, node) in lost.into_iter().chain(uneven.into_iter().take(1)) {
+        for (service, node) in lost.into_iter().chain(unbalanced.into_iter().take(1)) {
             self.owner_writes.push(service.clone());
             self.write_shard_owner(service, node);
         }
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -73,11 +73,11 @@
     /// Estimated rows and bytes in the shard: the planned base values plus what was written since.
     pub(crate) fn shard_totals(&self, shard: &str, state: &Shard) -> (u64, u64) {
         let (from, until) = self.held_slots(shard);
-        let first = self.initial_slots(shard);
-        let part = f64::from(until - from) / f64::from((first.1 - first.0).max(1));
+        let initial = self.initial_slots(shard);
+        let ratio = f64::from(until - from) / f64::from((initial.1 - initial.0).max(1));
         let (rows, bytes) = state.usage.sample.estimate_totals(|slot| (from..until).contains(&slot));
         let base = self.shard_plan(shard).map_or((0, 0), |plan| (plan.base_rows, plan.base_bytes));
-        (rows + (base.0 as f64 * part) as u64, bytes + (base.1 as f64 * part) as u64)
+        (rows + (base.0 as f64 * ratio) as u64, bytes + (base.1 as f64 * ratio) as u64)
     }
 
     fn held_slots(&self, shard: &str) -> (u16, u16) {
@@ -125,10 +125,10 @@
             self.update_forecast(shard, &mut state);
         }
         self.write_next_part(shard, &mut state);
-        let is_kept = !state.usage.is_dirty && !state.usage.is_writing && state.split.key_names.is_stored();
-        let calls = if is_kept { std::mem::take(&mut state.usage.pending_calls) } else { Vec::new() };
+        let is_stored = !state.usage.is_dirty && !state.usage.is_writing && state.split.key_names.is_stored();
+        let calls = if is_stored { std::mem::take(&mut state.usage.pending_calls) } else { Vec::new() };
         calls.into_iter().for_each(|token| self.respond(token, 200, "{}"));
-        if is_kept {
+        if is_stored {
             // Reports that named only stored keys can be acknowledged at once.
             let acks = std::mem::take(&mut state.usage.pending_acks);
             acks.into_iter().for_each(|ack| self.send_report_ack(shard, ack));
@@ -146,17 +146,18 @@
 
     fn update_forecast(&self, shard: &str, state: &mut Shard) {
         let Some(plan) = self.shard_plan(shard) else { return };
-        let level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
-        let result = forecast(&state.usage.history, (level(plan.max_rows), level(plan.max_bytes)), DEFAULT_METHOD);
+        let warn_level = |max: u64| (max as f64 * plan.warn_ratio) as u64;
+        let result =
+            forecast(&state.usage.history, (warn_level(plan.max_rows), warn_level(plan.max_bytes)), DEFAULT_METHOD);
         let rows = state.usage.history.points().last().map_or(0, |point| point.rows);
         let move_us = MOVE_OVERHEAD_US + rows / 2 * 1_000_000 / u64::from(plan.max_rows_per_s);
-        let need =
+        let schedule =
             SplitSchedule { now_us: self.epoch_us(), windows: plan.quiet_windows.windows(self.epoch_us(), 4), move_us };
-        let (advice, is_news) = advise(&result, &need, state.usage.advice.as_ref());
-        if is_news {
+        let (advice, is_changed) = advise(&result, &schedule, state.usage.advice.as_ref());
+        if is_changed {
             match &advice {
                 Some(advice) => log::warn!(
-                    "forecast: shard {shard} reaches its level at {} at the earliest; split it between {} and {}",
+                    "forecast: shard {shard} reaches its warning level at {} at the earliest; split it between {} and {}",
                     wv_calendar::format_utc(advice.early_us),
                     wv_calendar::format_utc(advice.window_start_us),
                     wv_calendar::format_utc(advice.window_end_us)
@@ -164,7 +165,7 @@
                 None => log::warn!("forecast: a split of shard {shard} is no longer needed"),
             }
         }
-        state.usage.is_dirty |= is_news || advice != state.usage.advice;
+        state.usage.is_dirty |= is_changed || advice != state.usage.advice;
         (state.usage.advice, state.usage.forecast) = (advice, Some(result));
     }
 
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -1,4 +1,4 @@
-//! Planned shards: which node drives their splits, and execution of the split state machine's orders.
+//! Planned shards: which node drives their splits, and execution of the split state machine's commands.
 use crate::core::{Core, Effect};
 use std::collections::BTreeMap;
 use wv_internal_protocol::{DirtyKeys, Message, SlotMap};
@@ -30,6 +30,7 @@
     pub pending_reads: usize,
     pub registers: ShardRegisters,
     pub usage: crate::shard_usage::ShardUsage,
+    /// Statements running on databases: the token of the split state machine by request.
     pub runs: BTreeMap<u64, u64>,
 }
 
@@ -103,7 +104,7 @@
         let leader = |service: &str| self.feed.leader(service).map(|leader| (leader.id.clone(), leader.term));
         let (source, target) = (leader(shard), plan.as_ref().and_then(|plan| leader(&plan.target)));
         let capacity = source.as_ref().and_then(|(id, _)| self.table.get(id)).map_or(1, |instance| instance.capacity);
-        let first = self.initial_slots(shard);
+        let initial_slots = self.initial_slots(shard);
         let is_holder = self.is_shard_holder(shard) && self.is_stable_for(STABLE_CONTACT_US) && !self.is_leaving;
         let view = View {
             now_us: self.now,
@@ -114,7 +115,7 @@
             target_leader: target.as_ref().map(|(id, term)| (id.as_str(), *term)),
             capacity,
             deadline_us: self.split_deadline_us(shard, &state),
-            initial_slots: first,
+            initial_slots,
             estimated_rows: self.shard_totals(shard, &state).0,
         };
         run(&mut state.split, &view);
@@ -122,13 +123,13 @@
         if !state.split.has_ballot() && state.pending_reads == 0 && state.split.state_name() != "claiming" {
             state.ballot = 0;
         }
-        let orders = state.split.take_commands();
+        let commands = state.split.take_commands();
         self.shards.insert(shard.to_owned(), state);
-        orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
+        commands.into_iter().for_each(|command| self.apply_split_command(shard, command));
     }
 
-    fn apply_split_order(&mut self, shard: &str, order: Command) {
-        match order {
+    fn apply_split_command(&mut self, shard: &str, command: Command) {
+        match command {
             Command::Claim => self.claim_slots(shard),
             Command::Write(map) => {
                 let version = self.shards.entry(shard.to_owned()).or_default().next_version();
@@ -195,18 +196,18 @@
 
     /// Sends a message to an access node over its session here, or through the control node that has its session.
     pub(crate) fn send_to_access_node(&mut self, node: &str, message: Message) {
-        let own: Vec<u64> =
+        let links: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
-        if own.is_empty() {
+        if links.is_empty() {
             self.send_peers(&message);
         }
-        own.into_iter().for_each(|link| self.send(link, message.clone()));
+        links.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 
     /// Delivers a message for an access node that another control node forwarded.
     pub(crate) fn forward_to_access_node(&mut self, node: &str, message: &Message) {
-        let own: Vec<u64> =
+        let links: Vec<u64> =
             self.links.iter().filter(|(_, link)| link.node.as_deref() == Some(node)).map(|(id, _)| *id).collect();
-        own.into_iter().for_each(|link| self.send(link, message.clone()));
+        links.into_iter().for_each(|link| self.send(link, message.clone()));
     }
 }
--- a/crates/wv-control/src/tick.rs
+++ b/crates/wv-control/src/tick.rs
@@ -34,11 +34,11 @@
             self.expire_reports();
         }
         // Outside the maintenance window repair is rarer; new links compare digests at once in any case.
-        let gap = if self.is_maintenance_window { REPAIR_INTERVAL_US } else { REPAIR_INTERVAL_OFF_WINDOW_US };
-        if self.last_repair + gap <= self.now {
+        let interval = if self.is_maintenance_window { REPAIR_INTERVAL_US } else { REPAIR_INTERVAL_OFF_WINDOW_US };
+        if self.last_repair + interval <= self.now {
             self.last_repair = self.now;
-            let ranges = self.table.digests();
-            self.send_peers(&Message::InstanceDigests { digests: ranges });
+            let digests = self.table.digests();
+            self.send_peers(&Message::InstanceDigests { digests });
         }
         if self.last_expiry + EXPIRY_INTERVAL_US <= self.now {
             self.last_expiry = self.now;
@@ -79,12 +79,12 @@
 
     fn dial(&mut self) {
         let now = self.now;
-        let gap =
+        let interval =
             if now < self.started_at + STARTUP_DIAL_PERIOD_US { STARTUP_DIAL_INTERVAL_US } else { DIAL_INTERVAL_US };
         let due: Vec<String> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.link.is_none() && (peer.last_dial == 0 || peer.last_dial + gap <= now))
+            .filter(|(_, peer)| peer.link.is_none() && (peer.last_dial == 0 || peer.last_dial + interval <= now))
             .map(|(addr, _)| addr.clone())
             .collect();
         for addr in due {
@@ -109,11 +109,11 @@
     }
 
     pub(crate) fn send_heartbeats(&mut self) {
-        let fresh = self.is_caught_up() && !self.is_leaving;
+        let has_majority = self.is_caught_up() && !self.is_leaving;
         // Nodes with a pending subscription receive no heartbeat yet.
         let is_served = |link: &Link| link.node.is_some() && link.resume_from.is_none();
         let subscribers: Vec<u64> = self.links.iter().filter(|(_, link)| is_served(link)).map(|(id, _)| *id).collect();
-        subscribers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority: fresh }));
+        subscribers.into_iter().for_each(|link| self.send(link, Message::ControlHeartbeat { has_majority }));
     }
 
     pub(crate) fn publish_node_count(&mut self) {
--- a/crates/wv-control/src/types.rs
+++ b/crates/wv-control/src/types.rs
@@ -130,6 +130,7 @@
     ShardRegister(String, crate::shard_registers::ShardRegisterOp),
 }
 
+/// Recent outages of one database.
 #[derive(Default)]
 pub(crate) struct Outages {
     pub count: u32,
--- a/crates/wv-control/src/voter_catch_up.rs
+++ b/crates/wv-control/src/voter_catch_up.rs
@@ -62,24 +62,24 @@
 
     /// Compares with one source at a time, and switches to another if it times out.
     pub(crate) fn run_catch_up(&mut self) {
-        let is_urgent = self.is_joining();
-        if !is_urgent && !self.is_learner() {
+        let is_joining = self.is_joining();
+        if !is_joining && !self.is_learner() {
             return;
         }
-        let span = SOURCE_TIMEOUT_US << self.catch_up.timed_out_sources.len().min(4);
+        let timeout = SOURCE_TIMEOUT_US << self.catch_up.timed_out_sources.len().min(4);
         if let Some(comparison) = &self.catch_up.current {
             let is_up = self.peers.get(&comparison.source).is_some_and(|peer| peer.is_up);
-            if is_up && comparison.answered_at + span > self.now {
+            if is_up && comparison.answered_at + timeout > self.now {
                 return;
             }
             let source = comparison.source.clone();
             self.catch_up.timed_out_sources.push(source);
             self.catch_up.current = None;
         }
-        if !is_urgent && self.catch_up.next_attempt_at > self.now {
+        if !is_joining && self.catch_up.next_attempt_at > self.now {
             return;
         }
-        let Some(source) = self.next_source(is_urgent) else { return };
+        let Some(source) = self.next_source(is_joining) else { return };
         let (voters, previous, request) =
             (self.voter_state.voters.clone(), self.voter_state.previous.clone(), self.proposer.next_request());
         let digest = anti_entropy::combined_digest(&anti_entropy::range_digests(&self.store));
@@ -91,15 +91,15 @@
 
     /// A voter of the newest set alone is sufficient; otherwise members of the previous set are asked in turn. Among
     /// equals the source with the fewest timeouts is chosen.
-    fn next_source(&self, is_urgent: bool) -> Option<String> {
+    fn next_source(&self, is_joining: bool) -> Option<String> {
         let (voters, previous) = (&self.voter_state.voters, &self.voter_state.previous);
-        let addrs: BTreeSet<&str> = voters.addrs().chain(previous.addrs().filter(|_| is_urgent)).collect();
+        let addrs: BTreeSet<&str> = voters.addrs().chain(previous.addrs().filter(|_| is_joining)).collect();
         let order = |addr: &&str| {
             let peer =
                 self.peers.get(*addr).filter(|peer| peer.is_up && !self.catch_up.complete_sources.contains(*addr))?;
             let timeouts = self.catch_up.timed_out_sources.iter().filter(|source| *source == addr).count();
             let is_voter = peer.voter_set == voters.number;
-            (is_voter || is_urgent).then_some((timeouts, !is_voter, std::cmp::Reverse(peer.last_contact)))
+            (is_voter || is_joining).then_some((timeouts, !is_voter, std::cmp::Reverse(peer.last_contact)))
         };
         let ordered = addrs.into_iter().filter_map(|addr| Some((order(&addr)?, addr)));
         ordered.min().map(|(_, addr)| addr.to_owned())
@@ -220,7 +220,7 @@
                 self.catch_up.reset();
                 self.ping();
             }
-            Err(error) => log::error!("cannot store the vote in the new set: {error}"),
+            Err(error) => log::error!("cannot store the vote in set {}, not voting in it yet: {error}", voters.number),
         }
     }
 }
--- a/crates/wv-control/src/voter_handover.rs
+++ b/crates/wv-control/src/voter_handover.rs
@@ -4,7 +4,7 @@
 use wv_internal_protocol::{AcceptorState, Handover, Message, RegisterSummary};
 
 fn log_not_stored(error: RegisterError) {
-    log::error!("cannot store a step of the voter set change: {error}");
+    log::error!("cannot store a step of the voter set change, not replying to it: {error}");
 }
 
 impl Core {
@@ -170,8 +170,8 @@
     }
 
     fn on_sealed(&mut self, voter: &str, request: u64, is_ok: bool) {
-        let end = self.change.as_mut().and_then(|change| change.handle_sealed(voter, request, is_ok));
-        self.advance_change(end);
+        let outcome = self.change.as_mut().and_then(|change| change.handle_sealed(voter, request, is_ok));
+        self.advance_change(outcome);
     }
 
     fn on_fetched(&mut self, voter: &str, request: u64) {
@@ -180,19 +180,19 @@
     }
 
     pub(crate) fn on_successor(&mut self, voter: &str, message: Message) {
-        let end = self.change.as_mut().and_then(|change| match message {
+        let outcome = self.change.as_mut().and_then(|change| match message {
             Message::SuccessorVote { request, ok, fence, successor: next } => {
                 change.handle_prepared(voter, request, ok, fence, next)
             }
             Message::SuccessorAccepted { request, ok } => change.handle_accepted(voter, request, ok),
             _ => None,
         });
-        self.advance_change(end);
+        self.advance_change(outcome);
     }
 
-    fn advance_change(&mut self, end: Option<wv_consensus::ChangeOutcome>) {
-        match end {
-            Some(end) => self.end_change(end),
+    fn advance_change(&mut self, outcome: Option<wv_consensus::ChangeOutcome>) {
+        match outcome {
+            Some(outcome) => self.end_change(outcome),
             // Sends the next step at once instead of at the next tick.
             None => {
                 let due = self.change.as_mut().map(|change| change.tick(self.now));
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -82,7 +82,7 @@
         let due = self.change.as_mut().map(|change| change.tick(self.now));
         match due {
             Some(Ok(messages)) => self.send_change_step(messages),
-            Some(Err(end)) => self.end_change(end),
+            Some(Err(outcome)) => self.end_change(outcome),
             None => self.start_planned_change(),
         }
     }
@@ -228,10 +228,10 @@
         self.respond(token, 200, body.to_string());
     }
 
-    pub(crate) fn end_change(&mut self, end: ChangeOutcome) {
+    pub(crate) fn end_change(&mut self, outcome: ChangeOutcome) {
         self.change = None;
         self.voters_changed_at = self.now;
-        match end {
+        match outcome {
             ChangeOutcome::Accepted(next) => {
                 let previous = self.voter_state.voters.clone();
                 self.learn_voters(&next, &previous);
