--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -35,15 +35,17 @@
         if self.configuration_body.0 == version {
             if self.configuration_body.1[..] != body[..] {
                 // Consensus decides each version once, so this indicates a fault in the control plane.
-                log::error!("configuration version {version} was received with two different bodies");
+                log::error!(
+                    "configuration version {version} was received with two different bodies, keeping the first"
+                );
             }
             return;
         }
-        let read = current
+        let parsed = current
             .as_ref()
             .map_or_else(|| wv_configuration::Configuration::parse(&body), |current| current.parse_incremental(&body));
         // The control plane validates configurations; one that this node cannot parse is ignored.
-        let Ok(configuration) = read else {
+        let Ok(configuration) = parsed else {
             self.configuration_body = (version, body.into());
             return;
         };
@@ -78,7 +80,7 @@
     /// Closes idle connections above this node's share, which shrinks when nodes join, and unused ones where the share
     /// is small.
     fn close_excess_idle(&mut self) {
-        let over = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
+        let excess = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
             let is_unused = self.has_many_databases
                 && self.has_small_share(*key)
                 && pool.last_used_at + RECENT_USE_SMALL_SHARE_US < self.now;
@@ -89,14 +91,14 @@
             };
             pool.idle.iter().take(count).copied().collect::<Vec<u64>>()
         };
-        let over: Vec<u64> = self.pools.iter().flat_map(over).collect();
-        over.into_iter().for_each(|db| self.close_db(db));
+        let excess: Vec<u64> = self.pools.iter().flat_map(excess).collect();
+        excess.into_iter().for_each(|db| self.close_db(db));
     }
 
     /// Whether this node recently sent requests to the service's primary; always true with few databases.
     fn has_recent_writes(&self, service: u16, key: DatabaseKey) -> bool {
-        let span = if self.has_small_share(key) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
-        !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + span > self.now)
+        let window_us = if self.has_small_share(key) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
+        !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + window_us > self.now)
     }
 
     /// Probes databases that are silent on all connections by opening a new one: a slow database accepts it, an
--- a/crates/wv-control/src/configuration.rs
+++ b/crates/wv-control/src/configuration.rs
@@ -52,50 +52,50 @@
         self.admit_configuration(token, &configuration, body);
     }
 
-    pub(crate) fn quorum_done(&mut self, done: Completion) {
-        let Some(operation) = self.operations.remove(&done.token) else { return };
+    pub(crate) fn on_operation_completed(&mut self, completion: Completion) {
+        let Some(operation) = self.operations.remove(&completion.token) else { return };
         let operation = match operation {
             Operation::ClaimDuty(service, step) => {
-                return self.on_duty_claimed(service, step, done.outcome, &done.previous)
+                return self.on_duty_claimed(service, step, completion.outcome, &completion.previous)
             }
-            Operation::ConfirmPlatformCall(call) => return self.call_confirmed(*call, done.outcome),
-            Operation::ConfirmDuty(service, step) => return self.on_duty_confirmed(service, step, done.outcome),
+            Operation::ConfirmPlatformCall(call) => return self.call_confirmed(*call, completion.outcome),
+            Operation::ConfirmDuty(service, step) => return self.on_duty_confirmed(service, step, completion.outcome),
             Operation::SweepRegister => return,
-            Operation::CheckShardMap(token, shard) => return self.shard_map_read(token, &shard, done.outcome),
-            Operation::WriteOwner(service) => return self.on_owner_written(&service, done.outcome),
-            Operation::ShardRegister(shard, op) => return self.register_op_done(shard, op, done.outcome),
+            Operation::CheckShardMap(token, shard) => return self.shard_map_read(token, &shard, completion.outcome),
+            Operation::WriteOwner(service) => return self.on_owner_written(&service, completion.outcome),
+            Operation::ShardRegister(shard, op) => return self.register_op_done(shard, op, completion.outcome),
             operation => operation,
         };
-        if done.key == CONFIGURATION_KEY {
+        if completion.key == CONFIGURATION_KEY {
             if let OperationOutcome::Read(cell) | OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell) =
-                &done.outcome
+                &completion.outcome
             {
                 let is_new = cell.version > self.committed_version;
                 self.apply_committed(cell);
                 if is_new && matches!(operation, Operation::Propose(_)) {
-                    self.notify_committed(CONFIGURATION_KEY, done.ballot);
+                    self.notify_committed(CONFIGURATION_KEY, completion.ballot);
                 }
             }
         }
-        match (operation, done.outcome) {
+        match (operation, completion.outcome) {
             (Operation::Propose(proposal), OperationOutcome::Written(cell) | OperationOutcome::Unchanged(cell)) => {
-                self.proposal_decided(done.token, &proposal, &cell)
+                self.proposal_decided(completion.token, &proposal, &cell)
             }
             (Operation::ReadConfiguration, OperationOutcome::Read(cell))
                 if cell.version == 0 && cell.bytes.is_empty() =>
             {
-                self.respond(done.token, 404, "{\"cause\":\"no configuration has been accepted yet\"}")
+                self.respond(completion.token, 404, "{\"cause\":\"no configuration has been accepted yet\"}")
             }
             (Operation::ReadConfiguration, OperationOutcome::Read(cell)) => {
                 match self.compressor.decompress(&DecidedConfiguration::read(&cell).body, crate::core::BODY_MAX_BYTES) {
-                    Ok(body) => self.respond(done.token, 200, body),
-                    Err(error) => self.respond(done.token, 500, error_body(&error.to_string())),
+                    Ok(body) => self.respond(completion.token, 200, body),
+                    Err(error) => self.respond(completion.token, 500, error_body(&error.to_string())),
                 }
             }
             (Operation::SyncConfiguration(period), outcome) => {
                 self.on_configuration_read(period, matches!(outcome, OperationOutcome::Read(_)))
             }
-            (_, _) => self.respond(done.token, 503, "{\"cause\":\"no majority of the voters replied\"}"),
+            (_, _) => self.respond(completion.token, 503, "{\"cause\":\"no majority of the voters replied\"}"),
         }
     }
 
--- a/crates/wv-control/src/diskless.rs
+++ b/crates/wv-control/src/diskless.rs
@@ -62,8 +62,8 @@
                         return self.request_configuration(addr, self.committed_version);
                     }
                     let (current, _) = self.compressor.reference();
-                    let made = wv_compression::apply_delta(&current, &delta, crate::core::BODY_MAX_BYTES);
-                    made.map(|text| (version, self.compressor.compress(&text), text))
+                    let decoded = wv_compression::apply_delta(&current, &delta, crate::core::BODY_MAX_BYTES);
+                    decoded.map(|text| (version, self.compressor.compress(&text), text))
                 }
                 _ => continue,
             };
@@ -71,7 +71,7 @@
                 Ok((version, packed, text)) => self.apply_configuration(version, packed, &text),
                 // The delta does not apply to the body held here, so the full configuration is requested.
                 Err(error) => {
-                    log::error!("cannot decode the committed configuration: {error}");
+                    log::error!("cannot decode a configuration from {addr}, requesting it in full: {error}");
                     return self.request_configuration(addr, 0);
                 }
             }
--- a/crates/wv-control/src/health_reports.rs
+++ b/crates/wv-control/src/health_reports.rs
@@ -7,7 +7,7 @@
 /// Reports older than this are ignored, unless they say `Up`.
 const REPORT_VALIDITY_US: u64 = 9_000_000;
 /// Upper limit of the reports required to consider a database down; each access node monitors only what it uses.
-const MAX_WITNESSES: usize = 4;
+const MAX_REQUIRED_REPORTS: usize = 4;
 
 impl Core {
     /// Adds the lag of a stalled process to the age of fenced positions, since reports may have been queued meanwhile.
@@ -77,13 +77,13 @@
         reports.filter(is_live).map(move |(at, report)| (report, now - at))
     }
 
-    /// Whether a quarter of the access nodes, limited to between two and `MAX_WITNESSES`, report the database down. One
-    /// failed link is not enough, and one node that reports otherwise does not prevent it.
+    /// Whether a quarter of the access nodes, limited to between two and `MAX_REQUIRED_REPORTS`, report the database
+    /// down. One failed link is not enough, and one node that reports otherwise does not prevent it.
     pub(crate) fn is_down(&self, id: &str) -> bool {
         let is_bad = |report: &HealthReport| matches!(report.health, Health::Refused | Health::Unreachable);
         let down = self.reports(id).filter(|(report, _)| is_bad(report)).count();
         let nodes = self.membership.node_count();
-        down >= nodes.div_ceil(4).clamp(2, MAX_WITNESSES).min(nodes.max(1))
+        down >= nodes.div_ceil(4).clamp(2, MAX_REQUIRED_REPORTS).min(nodes.max(1))
     }
 
     /// For how long every reporting access node has been refused. A node that started later does not shorten this,
--- a/crates/wv-control/src/outages.rs
+++ b/crates/wv-control/src/outages.rs
@@ -9,7 +9,7 @@
 const MAX_TRACKED_DATABASES: usize = 4096;
 
 impl Core {
-    /// Records outages once enough access nodes report them, and recoveries on the first healthy report after an outage.
+    /// Records outages once enough access nodes report them, and a recovery on the first healthy report after one.
     pub(crate) fn track_outages(&mut self, reports: &[HealthReport]) {
         let now = self.now;
         for report in reports {
--- a/crates/wv-control/src/peers.rs
+++ b/crates/wv-control/src/peers.rs
@@ -128,8 +128,8 @@
         if !is_ready && is_starting {
             return;
         }
-        let awaiting = self.links.iter_mut().filter_map(|(id, link)| link.resume_from.take().map(|from| (*id, from)));
-        for (link, (incarnation, position)) in awaiting.collect::<Vec<_>>() {
+        let pending = self.links.iter_mut().filter_map(|(id, link)| link.resume_from.take().map(|from| (*id, from)));
+        for (link, (incarnation, position)) in pending.collect::<Vec<_>>() {
             if !is_ready {
                 self.send(link, Message::ControlHeartbeat { has_majority: false });
                 continue;
--- a/crates/wv-control/src/platform_calls.rs
+++ b/crates/wv-control/src/platform_calls.rs
@@ -66,9 +66,9 @@
         let step = self.duty_step(service);
         let request = self.track_request(service, &id, step);
         let wait = self.platform_calls.limiter.reserve(self.now);
-        let began = self.platform_calls.confirm_started.get(service).copied().unwrap_or(0);
-        if wait == 0 && began + CONFIRMATION_VALIDITY_US > self.now {
-            return self.call_platform(request, service, id, (fence, began));
+        let confirm_started = self.platform_calls.confirm_started.get(service).copied().unwrap_or(0);
+        if wait == 0 && confirm_started + CONFIRMATION_VALIDITY_US > self.now {
+            return self.call_platform(request, service, id, (fence, confirm_started));
         }
         self.platform_calls.queue.push(PlatformCall {
             request,
@@ -80,10 +80,10 @@
         self.effects.push(Effect::Wake { delay_us: wait.max(1) });
     }
 
-    fn call_platform(&mut self, request: u64, service: &str, id: String, (fence, began): (u64, u64)) {
+    fn call_platform(&mut self, request: u64, service: &str, id: String, (fence, confirm_started): (u64, u64)) {
         self.platform_calls.last_call = self.now;
         self.count_promotion_call(service);
-        let deadline_us = began + CONFIRMATION_VALIDITY_US;
+        let deadline_us = confirm_started + CONFIRMATION_VALIDITY_US;
         self.effects.push(Effect::PromoteDatabase { request, service: service.to_owned(), id, fence, deadline_us });
     }
 
@@ -101,11 +101,11 @@
     }
 
     pub(crate) fn call_confirmed(&mut self, call: PlatformCall, outcome: OperationOutcome) {
-        let began = self.platform_calls.confirm_started.get(&call.service).copied().unwrap_or(0);
+        let confirm_started = self.platform_calls.confirm_started.get(&call.service).copied().unwrap_or(0);
         let is_confirmed =
             self.holds_duty_register(&call.service, &outcome) && self.fences.get(&call.service) == Some(&call.fence);
-        if is_confirmed && began + CONFIRMATION_VALIDITY_US > self.now {
-            return self.call_platform(call.request, &call.service, call.id, (call.fence, began));
+        if is_confirmed && confirm_started + CONFIRMATION_VALIDITY_US > self.now {
+            return self.call_platform(call.request, &call.service, call.id, (call.fence, confirm_started));
         }
         self.call_not_sent(call.request);
     }
--- a/crates/wv-control/src/register_voter.rs
+++ b/crates/wv-control/src/register_voter.rs
@@ -69,8 +69,8 @@
                     .for_each(|vote| self.proposer.on_reply(&me, (requester, request), &key, vote, self.now));
             }
         }
-        let done = self.proposer.take_completions();
-        done.into_iter().for_each(|done| self.quorum_done(done));
+        let completions = self.proposer.take_completions();
+        completions.into_iter().for_each(|completion| self.on_operation_completed(completion));
         self.schedule_wake();
     }
 
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -117,7 +117,7 @@
         for owner in owners {
             match owner {
                 Ok(owner) => self.on_owner(owner),
-                Err(error) => log::warn!("cannot decode a stored shard owner: {error}"),
+                Err(error) => log::warn!("cannot decode a stored shard owner, ignoring it: {error}"),
             }
         }
     }
--- a/crates/wv-control/src/shard_registers.rs
+++ b/crates/wv-control/src/shard_registers.rs
@@ -142,8 +142,8 @@
                 self.register_written(&shard, op, matches!(outcome, OperationOutcome::Written(_)));
             }
             (_, _) => {
-                // A claim or read failed: another node holds a higher ballot, or no majority replied. Outstanding reads are
-                // ignored.
+                // A claim or read failed: another node holds a higher ballot, or no majority replied. Other reads in
+                // progress are ignored.
                 self.shards.get_mut(&shard).into_iter().for_each(|state| state.pending_reads = 0);
                 self.on_split_event(&shard, wv_shard_split::Event::Claimed(None));
             }
--- a/crates/wv-control/src/shard_requests.rs
+++ b/crates/wv-control/src/shard_requests.rs
@@ -37,9 +37,9 @@
             if points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
                 return Err("the times do not rise".to_owned());
             }
-            let mut brought = History::default();
-            points.into_iter().for_each(|(at, rows, bytes)| brought.record(at.saturating_mul(1_000_000), rows, bytes));
-            usage.history.merge(&brought);
+            let mut imported = History::default();
+            points.into_iter().for_each(|(at, rows, bytes)| imported.record(at.saturating_mul(1_000_000), rows, bytes));
+            usage.history.merge(&imported);
             usage.measured_at = 0;
             Ok(())
         });
--- a/crates/wv-control/src/shard_usage.rs
+++ b/crates/wv-control/src/shard_usage.rs
@@ -157,7 +157,7 @@
         if is_changed {
             match &advice {
                 Some(advice) => log::warn!(
-                    "forecast: shard {shard} reaches its warning level at {} at the earliest; split it between {} and {}",
+                    "forecast: shard {shard} reaches its warning level no earlier than {}; split it between {} and {}",
                     wv_calendar::format_utc(advice.early_us),
                     wv_calendar::format_utc(advice.window_start_us),
                     wv_calendar::format_utc(advice.window_end_us)
--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -153,7 +153,7 @@
     }
 
     /// Handles the replies to statements run on a database.
-    pub fn on_texts_run(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
+    pub fn on_statements_run(&mut self, run: u64, replies: Option<Vec<wv_shard_split::Reply>>, now: u64) {
         self.advance_clock(now);
         let found = self.shards.iter_mut().find_map(|(shard, state)| Some((shard.clone(), state.runs.remove(&run)?)));
         if let Some((shard, token)) = found {
--- a/crates/wv-control/src/statements.rs
+++ b/crates/wv-control/src/statements.rs
@@ -106,6 +106,6 @@
         statements: Vec<String>,
     ) {
         let replies = run_statements(&addr, &service, &id, &statements).await;
-        self.with_core(|core, now| core.on_texts_run(request, replies, now));
+        self.with_core(|core, now| core.on_statements_run(request, replies, now));
     }
 }
--- a/crates/wv-control/src/stored_table.rs
+++ b/crates/wv-control/src/stored_table.rs
@@ -86,7 +86,7 @@
         let value = nanoserde::SerBin::serialize_bin(&stored);
         if value.len() <= TABLE_MAX_BYTES {
             if let Err(error) = self.store.put_local(&table_key(), value) {
-                log::warn!("cannot store the table of databases: {error}");
+                log::warn!("cannot store the table of databases, keeping the previous one: {error}");
             }
         }
     }
--- a/crates/wv-control/src/voter_set.rs
+++ b/crates/wv-control/src/voter_set.rs
@@ -140,16 +140,16 @@
         if !is_change_begun && !self.are_members_voting() {
             return;
         }
-        let same = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
-        let next = self.planned_voters().or_else(|| is_change_begun.then(same));
+        let unchanged = || VoterSet { number: voters.number + 1, members: voters.members.clone() };
+        let next = self.planned_voters().or_else(|| is_change_begun.then(unchanged));
         let is_larger = |next: &VoterSet| next.members.len() > voters.members.len();
         let Some(next) = next
             .filter(|next| is_change_begun || !is_larger(next) || self.voters_changed_at + GROWTH_DELAY_US <= self.now)
         else {
             return;
         };
-        let own = self.address.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
-        let fence = (((self.max_successor_fence.max(self.voter_state.fence) >> 16) + 1) << 16) | own;
+        let address_bits = self.address.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) & 0xffff);
+        let fence = (((self.max_successor_fence.max(self.voter_state.fence) >> 16) + 1) << 16) | address_bits;
         log::warn!("proposing voter set {}: {}", next.number, next.addrs().collect::<Vec<_>>().join(" "));
         self.voters_changed_at = self.now;
         // Replies are matched by request number, not by fence: two incarnations of a node may choose the same fence.
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -243,7 +243,7 @@
                 self.run_own_statements(control, run, database, conn, &statements)
             }
             Event::StatementsDone { control, run, replies } => {
-                self.with_control(control, |core, now| core.on_texts_run(run, replies, now));
+                self.with_control(control, |core, now| core.on_statements_run(run, replies, now));
             }
         }
     }
