--- a/crates/wv-access/src/client.rs
+++ b/crates/wv-access/src/client.rs
@@ -30,8 +30,9 @@
             retry_window: None,
         };
         self.clients.insert(id, client);
-        let wait = self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.setup_timeout_us);
-        self.timers.schedule(self.now + wait, Timer::Setup { client: id });
+        let timeout_us =
+            self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.setup_timeout_us);
+        self.timers.schedule(self.now + timeout_us, Timer::Setup { client: id });
         id
     }
 
@@ -55,7 +56,7 @@
 
     /// Processes complete lines until a statement has to wait for a database.
     pub(crate) fn process_input(&mut self, id: u64) {
-        let bound = self
+        let max_line_bytes = self
             .configuration
             .as_ref()
             .map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |configuration| configuration.limits.max_line_bytes);
@@ -72,13 +73,13 @@
                 break;
             }
             let Some((line, len)) = split_line(&buf[at..]) else {
-                if buf.len() - at > bound {
+                if buf.len() - at > max_line_bytes {
                     self.close_with_error(id, ErrorCode::Oversize, "a message is over the bound");
                 }
                 break;
             };
             at += len;
-            if line.len() > bound {
+            if line.len() > max_line_bytes {
                 self.close_with_error(id, ErrorCode::Oversize, "a message is over the bound");
                 break;
             }
--- a/crates/wv-access/src/exec.rs
+++ b/crates/wv-access/src/exec.rs
@@ -138,13 +138,13 @@
     }
 
     /// Accepts clients until the process ends.
-    pub async fn accept(self, listener: tokio::net::TcpListener, clients_max: usize) {
+    pub async fn accept(self, listener: tokio::net::TcpListener, max_clients: usize) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 continue;
             };
-            if self.clients.borrow().len() >= clients_max {
+            if self.clients.borrow().len() >= max_clients {
                 continue;
             }
             wv_http::configure_stream(&stream, CLIENT_TCP_TIMEOUT);
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -13,7 +13,11 @@
         leaving.new_work_count += 1;
         let age_us = leaving.since.age_us(now);
         if age_us > self.drain.platform_drain_us && !std::mem::replace(&mut leaving.is_overdue_logged, true) {
-            log::error!("{} was sent new work {} ms after it began to drain", member.instance.id, age_us / 1000);
+            log::error!(
+                "database {} was sent new work {} ms after it began to drain",
+                member.instance.id,
+                age_us / 1000
+            );
         }
     }
 
--- a/crates/wv-access/src/run.rs
+++ b/crates/wv-access/src/run.rs
@@ -97,8 +97,9 @@
     let front = settings.front_addr.ok_or(AccessError::NoAddress("front"))?;
     let readiness = settings.readiness_addr.ok_or(AccessError::NoAddress("readiness"))?;
     // Nodes start at different control nodes, which spreads their sessions.
-    let spread = settings.node_name.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
-    let incarnation = wv_process::new_incarnation().wrapping_add(spread);
+    let name_hash =
+        settings.node_name.bytes().fold(0u64, |sum, byte| sum.wrapping_mul(131).wrapping_add(u64::from(byte)));
+    let incarnation = wv_process::new_incarnation().wrapping_add(name_hash);
     let system = System::new();
     system.block_on(async {
         let front_listener = wv_http::listen(front).map_err(|error| AccessError::Listen(front, error))?;
@@ -125,25 +126,25 @@
             forwarding_address: forwarding_addr.map(|addr| addr.to_string()).unwrap_or_default(),
         };
         let session_settings: SharedSettings = std::rc::Rc::new(std::cell::RefCell::new(session_settings));
-        let clients_max = settings.max_clients();
-        let probed = node.clone();
+        let max_clients = settings.max_clients();
+        let readiness_node = node.clone();
         tokio::task::spawn_local(wv_http::serve(
             ready_listener,
             BODY_MAX_BYTES,
             |_: &str, _: &str| None,
             move |call| {
-                let is_ready = probed.core.borrow().is_ready();
+                let is_ready = readiness_node.core.borrow().is_ready();
                 std::future::ready(match (call.path.as_str(), is_ready) {
-                    ("/recording", _) => recording_response(probed.core.borrow().recording()),
-                    ("/metrics", _) => metrics_response(probed.core.borrow().metrics()),
-                    ("/tenants", _) => wv_http::Response::json(200, probed.core.borrow().tenants_json()),
+                    ("/recording", _) => recording_response(readiness_node.core.borrow().recording()),
+                    ("/metrics", _) => metrics_response(readiness_node.core.borrow().metrics()),
+                    ("/tenants", _) => wv_http::Response::json(200, readiness_node.core.borrow().tenants_json()),
                     ("/readiness", true) => wv_http::Response::json(200, "{\"ready\":true}"),
                     ("/readiness", false) => wv_http::Response::json(503, "{\"ready\":false}"),
                     _ => wv_http::Response::json(404, "{\"cause\":\"no such path\"}"),
                 })
             },
         ));
-        tokio::task::spawn_local(node.clone().accept(front_listener, clients_max));
+        tokio::task::spawn_local(node.clone().accept(front_listener, max_clients));
         if let Some(addr) = forwarding_addr {
             let listener = wv_http::listen(addr).map_err(|error| AccessError::Listen(addr, error))?;
             tokio::task::spawn_local(node.clone().accept_peer_links(listener));
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -158,11 +158,11 @@
     /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
         let Some(connection) = self.connections.get(&db) else { return std::cmp::Ordering::Less };
-        let bound = self.required_term(connection.key);
-        if bound == 0 {
+        let required = self.required_term(connection.key);
+        if required == 0 {
             return std::cmp::Ordering::Equal;
         }
-        connection.term.cmp(&bound)
+        connection.term.cmp(&required)
     }
 
     /// Rechecks unused connections after the leader or slot map of a service changed: outdated ones are closed, and
--- a/crates/wv-control/src/exec.rs
+++ b/crates/wv-control/src/exec.rs
@@ -15,7 +15,7 @@
 
 type Queues = HashMap<u64, mpsc::Sender<Message>>;
 
-/// Shared by all tasks. Lock order: `core`, then `links`, then `responses`; none is held over an await.
+/// Shared by all tasks. Borrow order: `core`, then `links`, then `responses`; no borrow is held across an await.
 #[derive(Clone)]
 pub struct Node {
     pub core: Rc<RefCell<Core>>,
@@ -24,7 +24,7 @@
     internal_port: u16,
     pub(crate) name: String,
     pub(crate) platform: Option<wv_settings::PlatformApi>,
-    epoch: std::time::Instant,
+    started_at: std::time::Instant,
 }
 
 impl Node {
@@ -39,12 +39,12 @@
             links: Default::default(),
             responses: Default::default(),
             internal_port: settings.internal_port,
-            epoch: std::time::Instant::now(),
+            started_at: std::time::Instant::now(),
         }
     }
 
     pub fn now(&self) -> u64 {
-        self.epoch.elapsed().as_micros() as u64 + 1
+        self.started_at.elapsed().as_micros() as u64 + 1
     }
 
     pub fn with_core<T>(&self, event: impl FnOnce(&mut Core, u64) -> T) -> T {
--- a/crates/wv-control/src/lib.rs
+++ b/crates/wv-control/src/lib.rs
@@ -50,5 +50,5 @@
     #[error("cannot listen on {0}: {1}")]
     Listen(std::net::SocketAddr, std::io::Error),
     #[error(transparent)]
-    Reg(#[from] wv_consensus::RegisterError),
+    Register(#[from] wv_consensus::RegisterError),
 }
--- a/crates/wv-control/src/run.rs
+++ b/crates/wv-control/src/run.rs
@@ -55,10 +55,10 @@
                 core.tick(now);
                 core.set_epoch_us(epoch.map_or(0, |since| since.as_micros() as u64));
             });
-            let left_us = control.leaving_since.map_or(0, |since| control.node.now().saturating_sub(since));
-            let is_relieved = || control.node.core.borrow().may_exit();
-            if left_us > MAX_LEAVE_PERIODS * control.leave_period_us
-                || (left_us > control.leave_period_us && is_relieved())
+            let leaving_us = control.leaving_since.map_or(0, |since| control.node.now().saturating_sub(since));
+            let may_exit = || control.node.core.borrow().may_exit();
+            if leaving_us > MAX_LEAVE_PERIODS * control.leave_period_us
+                || (leaving_us > control.leave_period_us && may_exit())
             {
                 System::current().stop();
             }
@@ -103,7 +103,7 @@
     let seeds: Vec<String> = settings.seeds.iter().map(|seed| seed.to_string()).collect();
     if settings.initial_start && settings.tolerated_machine_failures as usize > seeds.len().saturating_sub(1) / 2 {
         log::error!(
-            "{} voters cannot tolerate the loss of {} machines",
+            "{} voters cannot tolerate the loss of {} machines, starting nevertheless",
             seeds.len(),
             settings.tolerated_machine_failures
         );
--- a/crates/wv-control/src/shard_owners.rs
+++ b/crates/wv-control/src/shard_owners.rs
@@ -149,8 +149,9 @@
             })
             .collect();
         let shard_count = |at: usize| {
-            let its = |service: &&String| owner(service).and_then(|current| partner_of(&current.node)) == Some(at);
-            configuration.shards.iter().filter(its).count()
+            let is_of_partner =
+                |service: &&String| owner(service).and_then(|current| partner_of(&current.node)) == Some(at);
+            configuration.shards.iter().filter(is_of_partner).count()
         };
         let partners: Vec<serde_json::Value> = configuration
             .partners
