--- a/crates/wv-access/src/client.rs
+++ b/crates/wv-access/src/client.rs
@@ -30,8 +30,9 @@
             retry_window: None,
         };
         self.clients.insert(id, client);
-        let wait = self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.setup_timeout_us);
-        self.timers.schedule(self.now + wait, Timer::Setup { client: id });
+        let timeout_us =
+            self.configuration.as_ref().map_or(3_000_000, |configuration| configuration.limits.setup_timeout_us);
+        self.timers.schedule(self.now + timeout_us, Timer::Setup { client: id });
         id
     }
 
@@ -55,7 +56,7 @@
 
     /// Processes complete lines until a statement has to wait for a database.
     pub(crate) fn process_input(&mut self, id: u64) {
-        let bound = self
+        let max_line_bytes = self
             .configuration
             .as_ref()
             .map_or(wv_wire_protocol::MAX_MESSAGE_BYTES, |configuration| configuration.limits.max_line_bytes);
@@ -72,13 +73,13 @@
                 break;
             }
             let Some((line, len)) = split_line(&buf[at..]) else {
-                if buf.len() - at > bound {
+                if buf.len() - at > max_line_bytes {
                     self.close_with_error(id, ErrorCode::Oversize, "a message is over the bound");
                 }
                 break;
             };
             at += len;
-            if line.len() > bound {
+            if line.len() > max_line_bytes {
                 self.close_with_error(id, ErrorCode::Oversize, "a message is over the bound");
                 break;
             }
@@ -131,12 +132,12 @@
     /// Completes or rejects the setups that waited for the first configuration.
     pub(crate) fn complete_pending_setups(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
-        let awaited: Vec<(u64, String)> = self
+        let pending_setups: Vec<(u64, String)> = self
             .clients
             .iter_mut()
             .filter_map(|(id, client)| client.pending_database.take().map(|name| (*id, name)))
             .collect();
-        for (id, database) in awaited {
+        for (id, database) in pending_setups {
             if configuration.route(&database).is_some() {
                 self.complete_setup(id, database);
                 self.process_input(id);
@@ -190,8 +191,8 @@
                 self.reply_result(id, is_ok);
             }
             Statement::Define { name, kind, body } => {
-                let shape = self.statements.intern(kind, body);
-                let is_ok = shape.is_some_and(|shape| client.session.define(name, shape).is_ok());
+                let statement_id = self.statements.intern(kind, body);
+                let is_ok = statement_id.is_some_and(|statement_id| client.session.define(name, statement_id).is_ok());
                 self.reply_result(id, is_ok);
             }
             Statement::Undefine { name } => {
@@ -202,15 +203,15 @@
                 }
             }
             Statement::Execute { name, arguments } => {
-                let Some(shape) = client.session.statement_id(name) else {
+                let Some(statement_id) = client.session.statement_id(name) else {
                     return self.reply_error(id, ErrorCode::Undefined, "no such name");
                 };
-                let verb = match self.statements.get(shape) {
+                let verb = match self.statements.get(statement_id) {
                     Some((wv_wire_protocol::StatementKind::Read, _)) => Verb::Read,
                     _ => Verb::Write,
                 };
-                let command = format!("EXECUTE w{shape} ");
-                self.open_request(id, query, &[command.as_bytes(), arguments], verb, Some(shape), &route);
+                let command = format!("EXECUTE w{statement_id} ");
+                self.open_request(id, query, &[command.as_bytes(), arguments], verb, Some(statement_id), &route);
             }
             Statement::Unknown => self.reply_error(id, ErrorCode::Malformed, "not understood"),
         }
--- a/crates/wv-access/src/maintenance.rs
+++ b/crates/wv-access/src/maintenance.rs
@@ -9,7 +9,7 @@
 const WARM_REPLICA_CONNECTIONS: u32 = 1;
 /// With more databases than this, idle connections are kept only to recently used primaries, one each, so that their
 /// failure is noticed and the number of connections follows the node's own traffic.
-const MANY_DATABASES: usize = 16;
+const MANY_DATABASES_THRESHOLD: usize = 16;
 const RECENT_USE_US: u64 = 30_000_000;
 /// The same where the node's connection share is small; idle connections are also closed after this, to free them for
 /// other nodes.
@@ -35,15 +35,17 @@
         if self.configuration_body.0 == version {
             if self.configuration_body.1[..] != body[..] {
                 // Consensus decides each version once, so this indicates a fault in the control plane.
-                log::error!("configuration version {version} was received with two different bodies");
+                log::error!(
+                    "configuration version {version} was received with two different bodies, keeping the first"
+                );
             }
             return;
         }
-        let read = current
+        let parsed = current
             .as_ref()
             .map_or_else(|| wv_configuration::Configuration::parse(&body), |current| current.parse_incremental(&body));
         // The control plane validates configurations; one that this node cannot parse is ignored.
-        let Ok(configuration) = read else {
+        let Ok(configuration) = parsed else {
             self.configuration_body = (version, body.into());
             return;
         };
@@ -78,7 +80,7 @@
     /// Closes idle connections above this node's share, which shrinks when nodes join, and unused ones where the share
     /// is small.
     fn close_excess_idle(&mut self) {
-        let over = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
+        let excess = |(key, pool): (&DatabaseKey, &crate::core::Pool)| {
             let is_unused = self.has_many_databases
                 && self.has_small_share(*key)
                 && pool.last_used_at + RECENT_USE_SMALL_SHARE_US < self.now;
@@ -89,14 +91,14 @@
             };
             pool.idle.iter().take(count).copied().collect::<Vec<u64>>()
         };
-        let over: Vec<u64> = self.pools.iter().flat_map(over).collect();
-        over.into_iter().for_each(|db| self.close_db(db));
+        let excess: Vec<u64> = self.pools.iter().flat_map(excess).collect();
+        excess.into_iter().for_each(|db| self.close_db(db));
     }
 
     /// Whether this node recently sent requests to the service's primary; always true with few databases.
     fn has_recent_writes(&self, service: u16, key: DatabaseKey) -> bool {
-        let span = if self.has_small_share(key) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
-        !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + span > self.now)
+        let window_us = if self.has_small_share(key) { RECENT_USE_SMALL_SHARE_US } else { RECENT_USE_US };
+        !self.has_many_databases || self.last_write_at.get(&service).is_some_and(|at| at + window_us > self.now)
     }
 
     /// Probes databases that are silent on all connections by opening a new one: a slow database accepts it, an
@@ -104,13 +106,13 @@
     fn probe_silent_databases(&mut self) {
         let now = self.now;
         let mut unresponsive: Vec<DatabaseKey> = Vec::new();
-        for db in self.dbs.values().filter(|db| db.phase == Phase::Busy) {
-            let is_waiting = db.pending.front().is_some_and(|expect| expect.sent_at + SILENCE_LIMIT_US < now);
-            let is_quiet = self
+        for db in self.connections.values().filter(|db| db.phase == Phase::Busy) {
+            let is_waiting = db.pending.front().is_some_and(|reply| reply.sent_at + SILENCE_LIMIT_US < now);
+            let is_silent = self
                 .pools
                 .get(&db.key)
                 .is_some_and(|pool| pool.last_data_at + SILENCE_LIMIT_US < now && pool.opening == 0);
-            if is_waiting && is_quiet && !unresponsive.contains(&db.key) {
+            if is_waiting && is_silent && !unresponsive.contains(&db.key) {
                 unresponsive.push(db.key);
             }
         }
@@ -124,13 +126,13 @@
 
     /// Closes connections whose internal statement was never answered; they would otherwise occupy the pool forever.
     fn close_unanswered(&mut self) {
-        let is_internal = |expect: &Pending| !matches!(expect.kind, Reply::Request { .. } | Reply::Begin { .. });
+        let is_internal = |reply: &Pending| !matches!(reply.kind, Reply::Request { .. } | Reply::Begin { .. });
         let is_overdue = |connection: &DbConnection| {
-            connection.pending.front().is_some_and(|expect| expect.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
+            connection.pending.front().is_some_and(|reply| reply.sent_at + INTERNAL_STATEMENT_TIMEOUT_US < self.now)
                 && connection.pending.iter().all(is_internal)
         };
         let overdue: Vec<u64> =
-            self.dbs.iter().filter(|(_, connection)| is_overdue(connection)).map(|(db, _)| *db).collect();
+            self.connections.iter().filter(|(_, connection)| is_overdue(connection)).map(|(db, _)| *db).collect();
         overdue.into_iter().for_each(|db| self.fail_db(db));
     }
 
@@ -140,15 +142,15 @@
             return;
         }
         let now = self.now;
-        self.has_many_databases =
-            self.health.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>() > MANY_DATABASES;
+        self.has_many_databases = self.health.iter().map(|(_, checker)| checker.databases().count()).sum::<usize>()
+            > MANY_DATABASES_THRESHOLD;
         let warm = if self.has_many_databases { 1 } else { WARM_PRIMARY_CONNECTIONS };
         let mut wanted: Vec<(DatabaseKey, u32)> = Vec::new();
         for (service, checker) in self.health.iter() {
             for (index, member) in checker.databases() {
                 let key = DatabaseKey { service, index };
                 let state = checker.state(index, now);
-                let is_next =
+                let is_being_promoted =
                     self.promoting.get(&service).is_some_and(|(until, id)| *until > now && *id == member.instance.id);
                 let is_same_zone = member.instance.zone == self.zone;
                 match state {
@@ -156,7 +158,9 @@
                         wanted.push((key, warm))
                     }
                     // Connections to the database being promoted are opened before it leads.
-                    State::Online if is_next && self.has_recent_writes(service, key) => wanted.push((key, warm)),
+                    State::Online if is_being_promoted && self.has_recent_writes(service, key) => {
+                        wanted.push((key, warm))
+                    }
                     State::Online if is_same_zone && !self.has_many_databases && !member.is_suspect() => {
                         wanted.push((key, WARM_REPLICA_CONNECTIONS))
                     }
--- a/crates/wv-access/src/metrics.rs
+++ b/crates/wv-access/src/metrics.rs
@@ -13,7 +13,11 @@
         leaving.new_work_count += 1;
         let age_us = leaving.since.age_us(now);
         if age_us > self.drain.platform_drain_us && !std::mem::replace(&mut leaving.is_overdue_logged, true) {
-            log::error!("{} was sent new work {} ms after it began to drain", member.instance.id, age_us / 1000);
+            log::error!(
+                "database {} was sent new work {} ms after it began to drain",
+                member.instance.id,
+                age_us / 1000
+            );
         }
     }
 
@@ -25,7 +29,7 @@
             self.held_configuration_version(),
         )?;
         page.add_gauge(("windvalve_sessions", "Open client sessions"), self.clients.len() as u64)?;
-        page.add_gauge(("windvalve_connections", "Connections to databases"), self.dbs.len() as u64)?;
+        page.add_gauge(("windvalve_connections", "Connections to databases"), self.connections.len() as u64)?;
         let members =
             || self.health.iter().flat_map(|(_, checker)| checker.databases().map(move |database| (checker, database)));
         let states = members().filter(|(_, (_, member))| !member.instance.gone).map(|(checker, (index, member))| {
--- a/crates/wv-access/src/request.rs
+++ b/crates/wv-access/src/request.rs
@@ -29,12 +29,13 @@
         query: &[u8],
         text: &[&[u8]],
         verb: Verb,
-        shape: Option<u32>,
+        statement_id: Option<u32>,
         route: &Rc<Route>,
     ) {
         let now = self.now;
         // Keys matter only for shards with a planned split.
-        let named = if self.has_planned_shards() { target_key_of(text, shape.is_some()) } else { Default::default() };
+        let target_key =
+            if self.has_planned_shards() { target_key_of(text, statement_id.is_some()) } else { Default::default() };
         let Some(client) = self.clients.get_mut(&id) else { return };
         let request = &mut client.request;
         request.sequence += 1;
@@ -43,19 +44,19 @@
         request.query_id.extend_from_slice(query);
         request.text.clear();
         text.iter().for_each(|part| request.text.extend_from_slice(part));
-        let time = answer_limit_us(route.expiry_us);
+        let limit_us = answer_limit_us(route.expiry_us);
         (request.verb, request.statement_id, request.opened_at, request.deadline) =
-            (Some(verb), shape, now, now + time);
-        let since = client
+            (Some(verb), statement_id, now, now + limit_us);
+        let retry_window = client
             .retry_window
             .filter(|(first, refused_at)| refused_at + RETRY_WINDOW_US > now && first + route.expiry_us > now);
-        client.retry_window = since;
-        request.client_deadline = since.map_or(now, |(first, _)| first) + time;
+        client.retry_window = retry_window;
+        request.client_deadline = retry_window.map_or(now, |(first, _)| first) + limit_us;
         (request.attempts, request.db, request.queue, request.last_code, request.is_streamed) =
             (0, None, None, None, false);
         (request.forwarded_session, request.is_local_only) = (None, false);
         request.route = Some(route.clone());
-        request.target_key = named;
+        request.target_key = target_key;
         request.waiting_since = now;
         request.first_byte_at = client.first_byte_at;
         request.refused_by.clear();
@@ -91,7 +92,7 @@
         [whole] => wv_wire_protocol::split_word(whole).1,
         _ => return Default::default(),
     };
-    let (thing, data) = wv_wire_protocol::split_word(rest);
-    let slot = (!thing.is_empty()).then(|| wv_internal_protocol::slot_for_key(thing));
-    crate::slots::RequestKey { key: thing.to_vec(), slot, write_bytes: data.len() as u32 }
+    let (key, data) = wv_wire_protocol::split_word(rest);
+    let slot = (!key.is_empty()).then(|| wv_internal_protocol::slot_for_key(key));
+    crate::slots::RequestKey { key: key.to_vec(), slot, write_bytes: data.len() as u32 }
 }
--- a/crates/wv-access/src/slots.rs
+++ b/crates/wv-access/src/slots.rs
@@ -6,7 +6,7 @@
 use wv_internal_protocol::{SlotMap, SplitPhase};
 
 /// For this long after a plan appears its shard is served without a slot map.
-const MAP_GRACE_US: u64 = 10_000_000;
+const SLOT_MAP_GRACE_US: u64 = 10_000_000;
 /// Maximum length of a chain of splits that is followed.
 const MAX_SPLIT_HOPS: usize = 8;
 
@@ -104,20 +104,20 @@
         }
         let Some(service) = self.service_for_request(id) else { return false };
         let Some(client) = self.clients.get(&id) else { return false };
-        let is_young = |since: &u64| *since + MAP_GRACE_US > self.now;
-        if self.slots.shards_without_map.get(&*service).is_some_and(|since| !is_young(since)) {
+        let is_within_grace = |since: &u64| *since + SLOT_MAP_GRACE_US > self.now;
+        if self.slots.shards_without_map.get(&*service).is_some_and(|since| !is_within_grace(since)) {
             return client.request.route_class() == 0;
         }
-        let (named, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
+        let (target_key, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service).filter(|_| is_write) else { return false };
-        let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
+        let is_moving = target_key.slot.is_some_and(|slot| shard.map.is_moving(slot));
         let is_blocked = is_moving
             && match shard.map.phase {
                 SplitPhase::Resting => false,
                 SplitPhase::Copying => shard.acked_attempt != shard.map.attempt,
                 SplitPhase::Sealed => true,
             };
-        let is_key_acked = named.key.is_empty() || shard.key_sampler.require_acked(&named.key);
+        let is_key_acked = target_key.key.is_empty() || shard.key_sampler.require_acked(&target_key.key);
         self.slots.is_report_due |= !is_key_acked && shard.key_sampler.is_report_due();
         is_blocked || !is_key_acked
     }
@@ -129,12 +129,12 @@
         }
         let Some(service) = self.service_for_request(id) else { return };
         let Some(client) = self.clients.get(&id) else { return };
-        let (named, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
+        let (target_key, is_write) = (&client.request.target_key, client.request.verb() == Verb::Write);
         let Some(shard) = self.slots.shards.get_mut(&*service) else { return };
-        let is_moving = named.slot.is_some_and(|slot| shard.map.is_moving(slot));
+        let is_moving = target_key.slot.is_some_and(|slot| shard.map.is_moving(slot));
         if is_write && is_moving && shard.map.phase == SplitPhase::Copying {
             let txn = client.txn.as_ref().map(|txn| txn.first_byte_at);
-            shard.dirty_keys.track_write(&named.key, id, client.request.sequence, txn);
+            shard.dirty_keys.track_write(&target_key.key, id, client.request.sequence, txn);
         }
     }
 
@@ -157,12 +157,12 @@
 
     /// Compares a connection's term with the one that the slot map requires: equal, older or newer.
     pub(crate) fn compare_term(&self, db: u64) -> std::cmp::Ordering {
-        let Some(connection) = self.dbs.get(&db) else { return std::cmp::Ordering::Less };
-        let bound = self.required_term(connection.key);
-        if bound == 0 {
+        let Some(connection) = self.connections.get(&db) else { return std::cmp::Ordering::Less };
+        let required = self.required_term(connection.key);
+        if required == 0 {
             return std::cmp::Ordering::Equal;
         }
-        connection.term.cmp(&bound)
+        connection.term.cmp(&required)
     }
 
     /// Rechecks unused connections after the leader or slot map of a service changed: outdated ones are closed, and
@@ -185,12 +185,12 @@
         // A replica's term is not one that it leads in; term 0 matches no slot map.
         let primary = wv_wire_protocol::parse_status(row).filter(|status| status.is_primary);
         let term = primary.map_or(0, |status| status.term);
-        self.dbs.get_mut(&db).into_iter().for_each(|connection| connection.term = term);
+        self.connections.get_mut(&db).into_iter().for_each(|connection| connection.term = term);
     }
 
     pub(crate) fn query_term(&mut self, db: u64) {
         let now = self.now;
-        let Some(connection) = self.dbs.get_mut(&db) else { return };
+        let Some(connection) = self.connections.get_mut(&db) else { return };
         wv_wire_protocol::write_query(&mut connection.out, b"-", &[b"ENQUIRY"]);
         connection.pending.push_back(crate::types::Pending { kind: Reply::Probe, sent_at: now, is_fenced: false });
         self.effects.push(crate::Effect::WriteDb(db));
--- a/crates/wv-control/src/departed.rs
+++ b/crates/wv-control/src/departed.rs
@@ -5,8 +5,8 @@
 use wv_internal_protocol::Instance;
 use wv_promotion::{DepartedDatabase, StatusError, StatusReply};
 
-/// Minimum intervals between status requests to a departed database, during the early period and after it. Most end
-/// soon, and observations of the primary count only from then on.
+/// Minimum intervals between status requests to a departed database, during the early period after it left and later.
+/// Most databases end soon after leaving, and only log positions observed after the end count.
 const EARLY_POLL_INTERVAL_US: u64 = 200_000;
 const POLL_INTERVAL_US: u64 = 500_000;
 const EARLY_PERIOD_US: u64 = 3_000_000;
@@ -31,12 +31,12 @@
 impl Core {
     /// The view of a departed database given to the promotion state machine. Its replacement started after it ended.
     pub(crate) fn departure_status(&self, instance: &Instance) -> DepartedDatabase {
-        let is_heir = |new: &&Instance| new.address == instance.address && new.id != instance.id;
-        let heir = self
+        let is_successor = |new: &&Instance| new.address == instance.address && new.id != instance.id;
+        let successor = self
             .table
             .service_instances(&instance.service)
             .filter(|new| !new.gone)
-            .find(is_heir)
+            .find(is_successor)
             .map(|new| new.id.clone());
         let departure = self.departures.get(&instance.id);
         let unreachable = departure
@@ -44,7 +44,7 @@
             .map(|unreachable| unreachable + UNREACHABLE_TIMEOUT_US)
             .filter(|end| *end <= self.now);
         let ended = departure.and_then(|departure| departure.ended_at).or(unreachable);
-        DepartedDatabase { stopped_for_us: ended.map(|ended| self.now.saturating_sub(ended)), successor: heir }
+        DepartedDatabase { stopped_for_us: ended.map(|ended| self.now.saturating_sub(ended)), successor }
     }
 
     /// Polls the databases that left under the current leader until they have ended, for services whose duty is held
@@ -57,8 +57,9 @@
                 let is_later = self.leader_changed_at.get(service).is_none_or(|led| departure.left_at >= *led);
                 is_later && self.membership.is_duty_holder(service)
             });
-            let gap = if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
-            departure.ended_at.is_none() && departure.polled_at + gap <= now && is_counted
+            let interval =
+                if departure.left_at + EARLY_PERIOD_US > now { EARLY_POLL_INTERVAL_US } else { POLL_INTERVAL_US };
+            departure.ended_at.is_none() && departure.polled_at + interval <= now && is_counted
         };
         let due: Vec<String> = self.departures.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         for id in due {
