--- a/crates/wv-replay/src/recording_report.rs
+++ b/crates/wv-replay/src/recording_report.rs
@@ -15,9 +15,8 @@
     pub node: String,
     pub dropped_us: u64,
     pub taken_over_us: Option<u64>,
-    /// Index of the node if it is an access node.
     pub access_node: Option<usize>,
-    /// The service of the node if it was its primary.
+    /// Set if the node was the primary of the service.
     pub service: Option<String>,
 }
 
@@ -38,7 +37,6 @@
     unclear: usize,
 }
 
-/// Latencies of one request kind in one phase.
 struct LatencyStats {
     histogram: Histogram<u64>,
     /// Requests that were not served within the latency target.
@@ -134,7 +132,6 @@
         browse_stats.map(|(_, stats)| stats.histogram.value_at_quantile(0.99)).max().unwrap_or(0)
     }
 
-    /// All violated invariants and latency limits.
     pub fn violations(&self) -> Vec<String> {
         let mut violations: Vec<String> = self.violations.clone();
         let hung = self.count(RequestOutcome::Hung) + self.count(RequestOutcome::Open);
@@ -170,18 +167,15 @@
         let mut out = String::new();
         for drop in &self.context.drops {
             let at = (drop.dropped_us - self.context.start_us) as f64 / 1e6;
-            let taken = drop
-                .taken_over_us
-                .filter(|taken| *taken < u64::MAX)
-                .map_or("never".to_owned(), |taken| format!("{} ms later", (taken - drop.dropped_us) / 1000));
+            let taken = drop.taken_over_us.filter(|taken| *taken < u64::MAX);
+            let taken =
+                taken.map_or("never".to_owned(), |taken| format!("{} ms later", (taken - drop.dropped_us) / 1000));
             out.push_str(&format!("{at:>10.3}  {} dropped; survivors had taken over {taken}\n", drop.node));
         }
         let waited = self.waited();
         if !self.context.drops.is_empty() {
-            out.push_str(&format!(
-                "\n{} requests were waiting then or came in the takeover; the worst:\n",
-                waited.len()
-            ));
+            let count = waited.len();
+            out.push_str(&format!("\n{count} requests were waiting then or came in the takeover; the worst:\n"));
             waited.iter().take(MAX_WAITED_SHOWN).for_each(|op| out.push_str(&format!("{}\n", self.format_line(op))));
         }
         out.push_str(
@@ -230,16 +224,12 @@
                 "tries": op.attempts, "askedAt": node(op.asked_node), "servedBy": node(op.served_node),
             })
         };
-        let drops: Vec<serde_json::Value> = self
-            .context
-            .drops
-            .iter()
-            .map(|drop| {
-                let taken = drop.taken_over_us.filter(|taken| *taken < u64::MAX);
-                serde_json::json!({ "node": drop.node, "at": (drop.dropped_us - self.context.start_us) as f64 / 1e6,
-                    "takenOverMs": taken.map(|taken| (taken - drop.dropped_us) / 1000) })
-            })
-            .collect();
+        let drop_row = |drop: &DropOutcome| {
+            let taken = drop.taken_over_us.filter(|taken| *taken < u64::MAX);
+            serde_json::json!({ "node": drop.node, "at": (drop.dropped_us - self.context.start_us) as f64 / 1e6,
+                "takenOverMs": taken.map(|taken| (taken - drop.dropped_us) / 1000) })
+        };
+        let drops: Vec<serde_json::Value> = self.context.drops.iter().map(drop_row).collect();
         let kinds: Vec<serde_json::Value> = self
             .latency_stats()
             .into_iter()
--- a/crates/wv-simulation/tests/control_plane.rs
+++ b/crates/wv-simulation/tests/control_plane.rs
@@ -5,247 +5,238 @@
 use scenario::{get_config, put_config};
 use wv_simulation::{Simulation, MS, S};
 
-fn restart(world: &mut Simulation, control: usize) {
-    world.kill_control(control);
-    world.start_control(control, false);
+fn restart(sim: &mut Simulation, control: usize) {
+    sim.kill_control(control);
+    sim.start_control(control, false);
 }
 
 #[gtest]
 fn given_old_repeated_and_invalid_configurations_then_only_a_newer_valid_one_takes_effect() {
-    let mut world = Simulation::configured(2, 3);
-    expect_that!(put_config(&mut world, 1, &Simulation::config(5)), eq(200));
-    expect_that!(put_config(&mut world, 2, &Simulation::config(3)), eq(200));
-    expect_that!(put_config(&mut world, 0, &Simulation::config(5)), eq(200));
-    expect_that!(put_config(&mut world, 0, b"{\"issue\": 9, \"routing\": ["), eq(400));
+    let mut sim = Simulation::configured(2, 3);
+    expect_that!(put_config(&mut sim, 1, &Simulation::config(5)), eq(200));
+    expect_that!(put_config(&mut sim, 2, &Simulation::config(3)), eq(200));
+    expect_that!(put_config(&mut sim, 0, &Simulation::config(5)), eq(200));
+    expect_that!(put_config(&mut sim, 0, b"{\"issue\": 9, \"routing\": ["), eq(400));
     let zero_expiry = String::from_utf8_lossy(&Simulation::config(9)).replace("\"expiryMs\":1000", "\"expiryMs\":0");
-    expect_that!(put_config(&mut world, 0, zero_expiry.as_bytes()), eq(400));
+    expect_that!(put_config(&mut sim, 0, zero_expiry.as_bytes()), eq(400));
     let unknown_service =
         String::from_utf8_lossy(&Simulation::config(2)).replace("\"destination\":\"s\"", "\"destination\":\"x\"");
-    expect_that!(put_config(&mut world, 0, unknown_service.as_bytes()), eq(400));
+    expect_that!(put_config(&mut sim, 0, unknown_service.as_bytes()), eq(400));
     let duplicate_host = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"p\"");
-    expect_that!(put_config(&mut world, 0, duplicate_host.as_bytes()), eq(400));
-    expect_that!(get_config(&mut world, 2), eq(&(200, Simulation::config(5))));
+    expect_that!(put_config(&mut sim, 0, duplicate_host.as_bytes()), eq(400));
+    expect_that!(get_config(&mut sim, 2), eq(&(200, Simulation::config(5))));
 }
 
 #[gtest]
 fn given_a_removed_route_then_new_sessions_are_rejected_and_an_open_transaction_completes() {
-    let mut world = Simulation::configured(2, 3);
-    let client = world.open_client(0, "b");
-    world.send_line(client, "QUERY a1 BEGIN READ");
+    let mut sim = Simulation::configured(2, 3);
+    let client = sim.open_client(0, "b");
+    sim.send_line(client, "QUERY a1 BEGIN READ");
     let text = String::from_utf8_lossy(&Simulation::config(2)).replace("\"host\":\"b\"", "\"host\":\"other\"");
-    expect_that!(put_config(&mut world, 0, text.as_bytes()), eq(200));
-    world.take_lines(client);
-    world.send_line(client, "QUERY a2 READ k");
-    world.run(200 * MS);
-    world.send_line(client, "QUERY a3 COMMIT");
-    world.run(200 * MS);
-    expect_that!(world.take_lines(client).iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2));
-    world.send_line(client, "QUERY a4 READ k");
-    expect_that!(world.take_lines(client)[0], starts_with("ERROR NODB"));
-    let late_client = world.open_client(1, "b");
-    expect_that!(world.take_lines(late_client)[0], starts_with("ERROR NODB"));
+    expect_that!(put_config(&mut sim, 0, text.as_bytes()), eq(200));
+    sim.take_lines(client);
+    sim.send_line(client, "QUERY a2 READ k");
+    sim.run(200 * MS);
+    sim.send_line(client, "QUERY a3 COMMIT");
+    sim.run(200 * MS);
+    expect_that!(sim.take_lines(client).iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2));
+    sim.send_line(client, "QUERY a4 READ k");
+    expect_that!(sim.take_lines(client)[0], starts_with("ERROR NODB"));
+    let late_client = sim.open_client(1, "b");
+    expect_that!(sim.take_lines(late_client)[0], starts_with("ERROR NODB"));
 }
 
 #[gtest]
 fn given_an_isolated_control_node_then_it_acknowledges_nothing_and_its_followers_move() {
-    let mut world = Simulation::configured(3, 3);
-    world.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
-    world.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
-    world.run(2 * S);
-    expect_that!(put_config(&mut world, 0, &Simulation::config(7)), eq(503));
-    expect_that!(put_config(&mut world, 1, &Simulation::config(8)), eq(200));
-    world.run(S);
+    let mut sim = Simulation::configured(3, 3);
+    sim.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
+    sim.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
+    sim.run(2 * S);
+    expect_that!(put_config(&mut sim, 0, &Simulation::config(7)), eq(503));
+    expect_that!(put_config(&mut sim, 1, &Simulation::config(8)), eq(200));
+    sim.run(S);
     let text = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
-    expect_that!(put_config(&mut world, 2, text.as_bytes()), eq(200));
-    world.run(2 * S);
+    expect_that!(put_config(&mut sim, 2, text.as_bytes()), eq(200));
+    sim.run(2 * S);
     for node in 0..3 {
-        let client = world.open_client(node, "c");
-        expect_that!(world.take_lines(client), elements_are![eq("IDLE I -")], "node {node}");
+        let client = sim.open_client(node, "c");
+        expect_that!(sim.take_lines(client), elements_are![eq("IDLE I -")], "node {node}");
     }
-    world.dropped_links.clear();
-    world.run(2 * S);
-    expect_that!(get_config(&mut world, 0).1, eq(text.as_bytes()));
+    sim.dropped_links.clear();
+    sim.run(2 * S);
+    expect_that!(get_config(&mut sim, 0).1, eq(text.as_bytes()));
 }
 
 #[gtest]
 fn given_a_power_loss_of_all_nodes_after_an_acknowledgement_then_the_configuration_is_kept() {
-    let mut world = Simulation::configured(2, 4);
-    expect_that!(put_config(&mut world, 3, &Simulation::config(12)), eq(200));
-    (0..4).for_each(|at| world.kill_control(at));
-    world.run(S);
-    (0..4).for_each(|at| world.start_control(at, false));
-    world.run(2 * S);
+    let mut sim = Simulation::configured(2, 4);
+    expect_that!(put_config(&mut sim, 3, &Simulation::config(12)), eq(200));
+    (0..4).for_each(|at| sim.kill_control(at));
+    sim.run(S);
+    (0..4).for_each(|at| sim.start_control(at, false));
+    sim.run(2 * S);
     for at in 0..4 {
-        expect_that!(get_config(&mut world, at), eq(&(200, Simulation::config(12))), "control {at}");
+        expect_that!(get_config(&mut sim, at), eq(&(200, Simulation::config(12))), "control {at}");
     }
 }
 
 #[gtest]
 fn given_a_voter_that_loses_its_disk_while_another_was_down_then_no_acknowledged_write_is_lost() {
     for (down, wiped) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-        let mut world = Simulation::configured(1, 3);
+        let mut sim = Simulation::configured(1, 3);
         // With one voter down only two disks hold the write; then one of those is lost.
-        world.kill_control(down);
-        world.run(2 * S);
+        sim.kill_control(down);
+        sim.run(2 * S);
         let writer = 3 - down - wiped;
-        expect_that!(put_config(&mut world, writer, &Simulation::config(20)), eq(200));
-        world.kill_control(wiped);
-        world.controls[wiped].files.files.borrow_mut().clear();
-        world.start_control(wiped, false);
-        world.start_control(down, false);
-        world.run(100 * MS);
+        expect_that!(put_config(&mut sim, writer, &Simulation::config(20)), eq(200));
+        sim.kill_control(wiped);
+        sim.controls[wiped].files.files.borrow_mut().clear();
+        sim.start_control(wiped, false);
+        sim.start_control(down, false);
+        sim.run(100 * MS);
         // The voter that was down and the empty one are a majority by count, but neither has the write.
-        world.kill_control(writer);
-        let early_read = get_config(&mut world, down);
+        sim.kill_control(writer);
+        let early_read = get_config(&mut sim, down);
         expect_that!(early_read.1, not(eq(&Simulation::config(1))), "down {down}, wiped {wiped}");
-        world.start_control(writer, false);
-        world.run(3 * S);
+        sim.start_control(writer, false);
+        sim.run(3 * S);
         for at in 0..3 {
-            expect_that!(
-                get_config(&mut world, at),
-                eq(&(200, Simulation::config(20))),
-                "down {down}, wiped {wiped}, read at {at}"
-            );
+            let response = get_config(&mut sim, at);
+            expect_that!(response, eq(&(200, Simulation::config(20))), "down {down}, wiped {wiped}, read at {at}");
         }
     }
 }
 
 #[gtest]
 fn given_a_torn_log_or_slot_then_earlier_synced_writes_are_recovered() {
-    let mut world = Simulation::configured(1, 3);
-    expect_that!(put_config(&mut world, 0, &Simulation::config(30)), eq(200));
+    let mut sim = Simulation::configured(1, 3);
+    expect_that!(put_config(&mut sim, 0, &Simulation::config(30)), eq(200));
     for at in 0..3 {
-        world.kill_control(at);
-        let files = world.controls[at].files.files.clone();
+        sim.kill_control(at);
+        let files = sim.controls[at].files.files.clone();
         files.borrow_mut().entry("log".to_owned()).or_default().extend_from_slice(&[200, 0, 0, 0, 1, 2, 3]);
         files.borrow_mut().insert("slot-a".to_owned(), vec![9; 40]);
     }
-    (0..3).for_each(|at| world.start_control(at, false));
-    world.run(2 * S);
-    expect_that!(get_config(&mut world, 1), eq(&(200, Simulation::config(30))));
+    (0..3).for_each(|at| sim.start_control(at, false));
+    sim.run(2 * S);
+    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(30))));
     // Writes after the torn tail survive another restart.
-    expect_that!(put_config(&mut world, 1, &Simulation::config(31)), eq(200));
-    (0..3).for_each(|at| restart(&mut world, at));
-    world.run(2 * S);
-    expect_that!(get_config(&mut world, 2), eq(&(200, Simulation::config(31))));
+    expect_that!(put_config(&mut sim, 1, &Simulation::config(31)), eq(200));
+    (0..3).for_each(|at| restart(&mut sim, at));
+    sim.run(2 * S);
+    expect_that!(get_config(&mut sim, 2), eq(&(200, Simulation::config(31))));
 }
 
 #[gtest]
 fn given_two_concurrent_configurations_with_one_version_then_all_nodes_agree_on_one() {
-    let mut world = Simulation::configured(1, 3);
+    let mut sim = Simulation::configured(1, 3);
     let one = Simulation::config(40);
     let other = String::from_utf8_lossy(&one).replace("\"targetMs\":800", "\"targetMs\":700").into_bytes();
-    let tokens = (world.call(0, "PUT", "/configuration", &one), world.call(2, "PUT", "/configuration", &other));
-    world.run(2 * S);
+    let tokens = (sim.call(0, "PUT", "/configuration", &one), sim.call(2, "PUT", "/configuration", &other));
+    sim.run(2 * S);
     // One is accepted and the other rejected, and repeats at any node get the same answers.
-    let codes = [tokens.0, tokens.1].map(|token| world.responses.get(&token).map_or(0, |ret| ret.0));
+    let codes = [tokens.0, tokens.1].map(|token| sim.responses.get(&token).map_or(0, |ret| ret.0));
     expect_that!(codes, any![eq([200, 409]), eq([409, 200])]);
-    let current = get_config(&mut world, 1).1;
+    let current = get_config(&mut sim, 1).1;
     expect_that!(current, eq(if codes[0] == 200 { &one } else { &other }));
     for at in 0..3 {
-        expect_that!([put_config(&mut world, at, &one), put_config(&mut world, at, &other)], eq(codes), "at {at}");
+        expect_that!([put_config(&mut sim, at, &one), put_config(&mut sim, at, &other)], eq(codes), "at {at}");
     }
-    expect_that!(get_config(&mut world, 0).1, eq(&current));
-    expect_that!(get_config(&mut world, 2).1, eq(&current));
+    expect_that!(get_config(&mut sim, 0).1, eq(&current));
+    expect_that!(get_config(&mut sim, 2).1, eq(&current));
 }
 
 #[gtest]
 fn given_late_or_malformed_heartbeats_then_the_newest_valid_state_is_kept() {
-    let mut world = Simulation::configured(1, 3);
+    let mut sim = Simulation::configured(1, 3);
     let heartbeat = |sequence: u64, state: &str| {
         format!("{{\"destination\":\"s\",\"address\":\"10.9.0.1:5001\",\"zone\":\"z0\",\"capacity\":10,\"state\":\"{state}\",\"dbRole\":\"primary\",\"sequence\":{sequence}}}")
     };
-    let call = |world: &mut Simulation, method: &str, path: &str, body: &str| {
-        let token = world.call(0, method, path, body.as_bytes());
-        world.run(300 * MS);
-        world.responses.get(&token).cloned().unwrap_or_default()
+    let call = |sim: &mut Simulation, method: &str, path: &str, body: &str| {
+        let token = sim.call(0, method, path, body.as_bytes());
+        sim.run(300 * MS);
+        sim.responses.get(&token).cloned().unwrap_or_default()
     };
-    expect_that!(call(&mut world, "PUT", "/instances/i-s0", "{\"destination\":1}").0, eq(400));
-    expect_that!(call(&mut world, "PUT", "/instances/i-s0", &heartbeat(900, "draining")).0, eq(200));
-    expect_that!(call(&mut world, "PUT", "/instances/i-s0", &heartbeat(5, "in_service")).0, eq(200));
+    expect_that!(call(&mut sim, "PUT", "/instances/i-s0", "{\"destination\":1}").0, eq(400));
+    expect_that!(call(&mut sim, "PUT", "/instances/i-s0", &heartbeat(900, "draining")).0, eq(200));
+    expect_that!(call(&mut sim, "PUT", "/instances/i-s0", &heartbeat(5, "in_service")).0, eq(200));
     // Another control node has received it too, and does not return to the older state.
-    let token = world.call(2, "GET", "/instances", b"");
-    let list = String::from_utf8_lossy(&world.responses[&token].1).into_owned();
+    let token = sim.call(2, "GET", "/instances", b"");
+    let list = String::from_utf8_lossy(&sim.responses[&token].1).into_owned();
     expect_that!(list, contains_substring("draining"));
-    expect_that!(call(&mut world, "DELETE", "/instances/i-s0", "").0, eq(200));
-    expect_that!(call(&mut world, "PUT", "/instances/i-s0", &heartbeat(950, "in_service")).0, eq(200));
-    let token = world.call(1, "GET", "/instances", b"");
-    expect_that!(String::from_utf8_lossy(&world.responses[&token].1), not(contains_substring("i-s0")));
+    expect_that!(call(&mut sim, "DELETE", "/instances/i-s0", "").0, eq(200));
+    expect_that!(call(&mut sim, "PUT", "/instances/i-s0", &heartbeat(950, "in_service")).0, eq(200));
+    let token = sim.call(1, "GET", "/instances", b"");
+    expect_that!(String::from_utf8_lossy(&sim.responses[&token].1), not(contains_substring("i-s0")));
 }
 
 #[gtest]
 fn given_an_access_node_that_switches_control_nodes_then_it_misses_no_change() {
     for (followed, extra) in (0..3).flat_map(|at| (1..6).map(move |extra| (at, extra))) {
-        let mut world = Simulation::configured(1, 3);
+        let mut sim = Simulation::configured(1, 3);
         let others: Vec<usize> = (0..3).filter(|at| *at != followed).collect();
         // The followed node has more changes than the others when it crashes: its feed positions are ahead of theirs.
         for other in &others {
-            world.dropped_links.insert((format!("c{followed}"), format!("c{other}")));
+            sim.dropped_links.insert((format!("c{followed}"), format!("c{other}")));
         }
         for at in 0..extra {
             let body = format!(
                 "{{\"destination\":\"s\",\"address\":\"10.9.9.{at}:1\",\"state\":\"in_service\",\"sequence\":1}}"
             );
-            world.call(followed, "PUT", &format!("/instances/extra{at}"), body.as_bytes());
+            sim.call(followed, "PUT", &format!("/instances/extra{at}"), body.as_bytes());
         }
-        world.run(50 * MS);
-        world.kill_control(followed);
-        world.dropped_links.clear();
+        sim.run(50 * MS);
+        sim.kill_control(followed);
+        sim.dropped_links.clear();
         let text = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
-        expect_that!(put_config(&mut world, others[0], text.as_bytes()), eq(200));
-        world.run(2 * S);
-        let client = world.open_client(0, "c");
-        expect_that!(
-            world.take_lines(client),
-            elements_are![eq("IDLE I -")],
-            "without control {followed}, {extra} ahead"
-        );
+        expect_that!(put_config(&mut sim, others[0], text.as_bytes()), eq(200));
+        sim.run(2 * S);
+        let client = sim.open_client(0, "c");
+        let lines = sim.take_lines(client);
+        expect_that!(lines, elements_are![eq("IDLE I -")], "without control {followed}, {extra} ahead");
     }
 }
 
 #[gtest]
 fn given_a_voter_with_a_full_disk_then_configuration_writes_and_promotions_continue() {
     for full in 0..3 {
-        let mut world = Simulation::configured(3, 3);
-        world.start_load(9, "p");
-        world.run(S);
-        world.controls[full].files.is_full.set(true);
+        let mut sim = Simulation::configured(3, 3);
+        sim.start_load(9, "p");
+        sim.run(S);
+        sim.controls[full].files.is_full.set(true);
         for at in 0..3 {
-            expect_that!(
-                put_config(&mut world, at, &Simulation::config(50 + at as u64)),
-                eq(200),
-                "full {full}, put at {at}"
-            );
+            let code = put_config(&mut sim, at, &Simulation::config(50 + at as u64));
+            expect_that!(code, eq(200), "full {full}, put at {at}");
         }
-        world.crash(0);
-        world.run(2 * S);
-        expect_that!(world.primary(), not(eq(0)), "full {full}");
-        world.controls[full].files.is_full.set(false);
-        world.kill_control((full + 1) % 3);
-        expect_that!(put_config(&mut world, (full + 2) % 3, &Simulation::config(60)), eq(200), "full {full}");
-        world.revive(0);
-        world.stop_load();
-        world.run(wv_simulation::SETTLE_US);
-        expect_that!(world.check_rules(), is_empty());
+        sim.crash(0);
+        sim.run(2 * S);
+        expect_that!(sim.primary(), not(eq(0)), "full {full}");
+        sim.controls[full].files.is_full.set(false);
+        sim.kill_control((full + 1) % 3);
+        expect_that!(put_config(&mut sim, (full + 2) % 3, &Simulation::config(60)), eq(200), "full {full}");
+        sim.revive(0);
+        sim.stop_load();
+        sim.run(wv_simulation::SETTLE_US);
+        expect_that!(sim.check_rules(), is_empty());
     }
 }
 
 #[gtest]
 fn given_a_write_on_a_single_disk_that_was_read_once_then_later_reads_return_it() {
-    let mut world = Simulation::configured(1, 3);
+    let mut sim = Simulation::configured(1, 3);
     // c0 loses the other voters as it sends the write: one disk holds it, and the operator receives 503.
-    let token = world.call(0, "PUT", "/configuration", &Simulation::config(70));
-    world.run(1100);
-    world.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
-    world.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
-    world.run(1500 * MS);
-    expect_that!(world.responses.get(&token).map(|ret| ret.0), some(eq(503)));
-    world.kill_control(2);
-    world.dropped_links.clear();
-    world.run(2 * S);
-    expect_that!(get_config(&mut world, 1), eq(&(200, Simulation::config(70))));
-    world.kill_control(0);
-    world.start_control(2, false);
-    world.run(2 * S);
-    expect_that!(get_config(&mut world, 1), eq(&(200, Simulation::config(70))));
+    let token = sim.call(0, "PUT", "/configuration", &Simulation::config(70));
+    sim.run(1100);
+    sim.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
+    sim.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
+    sim.run(1500 * MS);
+    expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(503)));
+    sim.kill_control(2);
+    sim.dropped_links.clear();
+    sim.run(2 * S);
+    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(70))));
+    sim.kill_control(0);
+    sim.start_control(2, false);
+    sim.run(2 * S);
+    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(70))));
 }
