--- a/crates/wv-replay/src/recording.rs
+++ b/crates/wv-replay/src/recording.rs
@@ -137,7 +137,7 @@
             let at_us =
                 seconds.filter(|found| (0.0..=1e6).contains(found)).ok_or_else(|| invalid("a time in seconds"))?;
             let (at_us, action) = ((at_us * 1e6).round() as u64, parse_action(&words[1..]).map_err(invalid)?);
-            if recording.events.last().is_some_and(|held| held.at_us > at_us) {
+            if recording.events.last().is_some_and(|last| last.at_us > at_us) {
                 return Err(RecordingError::TimeDecreased(file(), at));
             }
             let client = words[2].to_owned();
--- a/crates/wv-replay/src/recording_player.rs
+++ b/crates/wv-replay/src/recording_player.rs
@@ -59,7 +59,7 @@
 }
 
 struct Player<'a> {
-    world: Simulation,
+    sim: Simulation,
     nodes: Vec<String>,
     options: &'a PlaybackOptions,
     start_us: u64,
@@ -81,17 +81,17 @@
     if nodes.is_empty() || services.is_empty() {
         return Err(RecordingError::Invalid("the recording has no nodes or no sessions".to_owned()));
     }
-    let mut world = Simulation::with_services(nodes.len(), options.control_nodes, &services);
-    (world.key_count, world.rng) = (10_000, wv_simulation::Rng::new(options.seed));
-    world.databases.iter_mut().for_each(|base| base.statement_us = options.statement_us);
-    world.run(2 * S);
-    let token = world.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
-    world.run(WARM_UP_US - 2 * S);
-    if world.responses.get(&token).map(|ret| ret.0) != Some(200) {
+    let mut sim = Simulation::with_services(nodes.len(), options.control_nodes, &services);
+    (sim.key_count, sim.rng) = (10_000, wv_simulation::Rng::new(options.seed));
+    sim.databases.iter_mut().for_each(|database| database.statement_us = options.statement_us);
+    sim.run(2 * S);
+    let token = sim.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
+    sim.run(WARM_UP_US - 2 * S);
+    if sim.responses.get(&token).map(|ret| ret.0) != Some(200) {
         return Err(RecordingError::Invalid("the simulated fleet did not accept its configuration".to_owned()));
     }
-    let start_us = world.now;
-    let mut player = Player { world, nodes, options, start_us, drops: Vec::new() };
+    let start_us = sim.now;
+    let mut player = Player { sim, nodes, options, start_us, drops: Vec::new() };
     let targets: Vec<(NodeDrop, DropTarget)> = options
         .drops
         .iter()
@@ -100,10 +100,10 @@
     let end = player.schedule_traffic(recording, &services)?;
     player.run(&targets, end);
     let kind_names = recording.header.get("kinds").cloned().unwrap_or_default();
-    let run = std::mem::take(&mut player.world.workload);
-    let violations = player.world.check_rules();
-    let promotions = player.world.promotion_calls.iter().filter(|post| post.3 == Some(200)).count();
-    let unclear = player.world.oracle.indeterminate;
+    let run = std::mem::take(&mut player.sim.workload);
+    let violations = player.sim.check_rules();
+    let promotions = player.sim.promotion_calls.iter().filter(|post| post.3 == Some(200)).count();
+    let unclear = player.sim.oracle.indeterminate;
     let (nodes, drops, browse_limit_us) = (player.nodes, player.drops, options.browse_limit_us);
     let context = ReportContext { nodes, start_us, drops, kind_names, browse_limit_us };
     Ok(RecordingReport::new(run, context, violations, promotions, unclear))
@@ -116,15 +116,16 @@
             name.strip_prefix(letter).and_then(|rest| rest.parse::<usize>().ok()).filter(|at| *at < count)
         };
         let access = self.nodes.iter().position(|node| node == name).map(DropTarget::Access);
-        let base = || self.world.database_index(&format!("i-{name}")).map(DropTarget::Database);
-        let found = access.or_else(base).or_else(|| numbered('c', self.world.controls.len()).map(DropTarget::Control));
+        let database = || self.sim.database_index(&format!("i-{name}")).map(DropTarget::Database);
+        let found =
+            access.or_else(database).or_else(|| numbered('c', self.sim.controls.len()).map(DropTarget::Control));
         found.ok_or_else(|| {
-            let bases = self.world.databases.iter().map(|base| &base.id[2..]).collect::<Vec<&str>>();
+            let databases = self.sim.databases.iter().map(|database| &database.id[2..]).collect::<Vec<&str>>();
             let text = format!(
                 "unknown node {name:?}; access nodes: {}, control nodes: c0 to c{}, databases: {}",
                 self.nodes[..self.nodes.len().min(MAX_NAMES_LISTED)].join(" "),
-                self.world.controls.len().saturating_sub(1),
-                bases[..bases.len().min(MAX_NAMES_LISTED)].join(" ")
+                self.sim.controls.len().saturating_sub(1),
+                databases[..databases.len().min(MAX_NAMES_LISTED)].join(" ")
             );
             RecordingError::InvalidDrop(format!("{}@{}", drop.node, drop.at_us as f64 / 1e6), text)
         })
@@ -174,7 +175,7 @@
                 RecordedAction::Request(_) => {}
             }
         }
-        self.world.play_workload(traffic, &opens, &closes);
+        self.sim.play_workload(traffic, &opens, &closes);
         Ok(end)
     }
 
@@ -199,11 +200,11 @@
 
     /// Runs the simulation and records when dropped nodes have been taken over.
     fn run_until(&mut self, at: u64) {
-        while self.world.now < at {
+        while self.sim.now < at {
             let is_pending = self.drops.iter().any(|outcome| outcome.taken_over_us.is_none());
-            let step = if is_pending { POLL_INTERVAL_US } else { at - self.world.now };
-            self.world.run(step.min(at - self.world.now));
-            let now = self.world.now;
+            let step = if is_pending { POLL_INTERVAL_US } else { at - self.sim.now };
+            self.sim.run(step.min(at - self.sim.now));
+            let now = self.sim.now;
             let taken_over: Vec<bool> = self.drops.iter().map(|outcome| self.is_taken_over(outcome)).collect();
             for (outcome, is_over) in self.drops.iter_mut().zip(taken_over) {
                 if outcome.taken_over_us.is_none() && (is_over || outcome.dropped_us + TAKEOVER_TIMEOUT_US <= now) {
@@ -218,33 +219,32 @@
         match target {
             DropTarget::Access(which) => {
                 access_node = Some(which);
-                self.world.kill_access(which);
+                self.sim.kill_access(which);
             }
-            DropTarget::Control(which) => self.world.kill_control(which),
+            DropTarget::Control(which) => self.sim.kill_control(which),
             DropTarget::Database(which) => {
-                let base = &self.world.databases[which];
-                service = base.is_primary.then(|| base.service.clone());
-                self.world.crash(which);
+                let database = &self.sim.databases[which];
+                service = database.is_primary.then(|| database.service.clone());
+                self.sim.crash(which);
             }
         }
-        let dropped_us = self.world.now;
+        let dropped_us = self.sim.now;
         self.drops.push(DropOutcome { node: node.to_owned(), dropped_us, taken_over_us: None, access_node, service });
     }
 
     fn restart(&mut self, target: DropTarget) {
         match target {
-            DropTarget::Access(which) => self.world.start_access(which),
-            DropTarget::Control(which) => self.world.start_control(which, false),
-            DropTarget::Database(which) => self.world.revive(which),
+            DropTarget::Access(which) => self.sim.start_access(which),
+            DropTarget::Control(which) => self.sim.start_control(which, false),
+            DropTarget::Database(which) => self.sim.revive(which),
         }
     }
 
     /// Whether the sessions of a lost access node have moved, the service of a lost primary has a primary again, and
     /// every running access node follows a running control node.
     fn is_taken_over(&self, outcome: &DropOutcome) -> bool {
-        let has_primary = outcome.service.as_ref().is_none_or(|service| {
-            self.world.databases.iter().any(|base| base.service == *service && base.is_primary && base.is_up)
-        });
-        has_primary && self.world.is_access_connected() && self.world.has_moved_sessions(outcome.access_node)
+        let mut primaries = self.sim.databases.iter().filter(|database| database.is_primary && database.is_up);
+        let has_primary = outcome.service.as_ref().is_none_or(|name| primaries.any(|primary| primary.service == *name));
+        has_primary && self.sim.is_access_connected() && self.sim.has_moved_sessions(outcome.access_node)
     }
 }
--- a/crates/wv-replay/src/recording_report.rs
+++ b/crates/wv-replay/src/recording_report.rs
@@ -65,9 +65,9 @@
         RecordingReport { run, context, violations, promotions, unclear }
     }
 
-    fn label(&self, op: &Request) -> String {
-        let is_bounded = self.run.sessions[op.session].is_bounded;
-        let key = match op.kind {
+    fn label(&self, req: &Request) -> String {
+        let is_bounded = self.run.sessions[req.session].is_bounded;
+        let key = match req.kind {
             _ if is_bounded => "browse",
             RequestKind::Read => "read",
             RequestKind::Write => "write",
@@ -79,55 +79,55 @@
     }
 
     /// The phase of a request: before the first drop, during a takeover, or after it.
-    fn phase(&self, op: &Request) -> &'static str {
+    fn phase(&self, req: &Request) -> &'static str {
         let Some(first) = self.context.drops.first() else { return "all" };
         let is_during = |drop: &DropOutcome| {
             let taken = drop.taken_over_us.unwrap_or(u64::MAX);
-            op.at < taken && (op.at >= drop.dropped_us || op.done_us > drop.dropped_us)
+            req.at < taken && (req.at >= drop.dropped_us || req.done_us > drop.dropped_us)
         };
         match self.context.drops.iter().any(is_during) {
             true => "during",
-            false if op.at < first.dropped_us => "before",
+            false if req.at < first.dropped_us => "before",
             false => "after",
         }
     }
 
     /// Requests that were pending at a drop or arrived during a takeover, worst first.
     fn waited(&self) -> Vec<&Request> {
-        let mut ops: Vec<&Request> = self.run.requests.iter().filter(|op| self.phase(op) == "during").collect();
-        ops.sort_by_key(|op| {
-            (std::cmp::Reverse((op.outcome != RequestOutcome::Served, op.done_us.saturating_sub(op.at))), op.at)
+        let mut affected: Vec<&Request> = self.run.requests.iter().filter(|req| self.phase(req) == "during").collect();
+        affected.sort_by_key(|req| {
+            (std::cmp::Reverse((req.outcome != RequestOutcome::Served, req.done_us.saturating_sub(req.at))), req.at)
         });
-        ops
+        affected
     }
 
     fn latency_stats(&self) -> BTreeMap<(String, &'static str), LatencyStats> {
         let mut all: BTreeMap<(String, &'static str), LatencyStats> = BTreeMap::new();
-        for op in &self.run.requests {
+        for req in &self.run.requests {
             let empty = || LatencyStats {
                 histogram: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("fixed bounds that fit"),
                 target_missed: 0,
                 ends: BTreeMap::new(),
             };
-            let stats = all.entry((self.label(op), self.phase(op))).or_insert_with(empty);
-            let took = op.done_us.saturating_sub(op.at);
-            *stats.ends.entry(op.outcome).or_default() += 1;
-            let target_us = if self.run.sessions[op.session].is_bounded { BROWSE_TARGET_US } else { WORK_TARGET_US };
-            stats.target_missed += u64::from(op.outcome != RequestOutcome::Served || took > target_us);
+            let stats = all.entry((self.label(req), self.phase(req))).or_insert_with(empty);
+            let took = req.done_us.saturating_sub(req.at);
+            *stats.ends.entry(req.outcome).or_default() += 1;
+            let target_us = if self.run.sessions[req.session].is_bounded { BROWSE_TARGET_US } else { WORK_TARGET_US };
+            stats.target_missed += u64::from(req.outcome != RequestOutcome::Served || took > target_us);
             stats.histogram.saturating_record(took.max(1));
         }
         all
     }
 
     fn count(&self, end: RequestOutcome) -> usize {
-        self.run.requests.iter().filter(|op| op.outcome == end).count()
+        self.run.requests.iter().filter(|req| req.outcome == end).count()
     }
 
     /// The highest 99th percentile latency of browse requests in any phase.
     fn browse_p99_us(&self) -> u64 {
         let stats = self.latency_stats();
         let browse =
-            self.run.requests.iter().find(|op| self.run.sessions[op.session].is_bounded).map(|op| self.label(op));
+            self.run.requests.iter().find(|req| self.run.sessions[req.session].is_bounded).map(|req| self.label(req));
         let browse_stats = stats.iter().filter(|((name, _), _)| Some(name) == browse.as_ref());
         browse_stats.map(|(_, stats)| stats.histogram.value_at_quantile(0.99)).max().unwrap_or(0)
     }
@@ -140,26 +140,23 @@
         }
         let limit_us = self.context.browse_limit_us.unwrap_or(BROWSE_TARGET_US);
         if self.browse_p99_us() > limit_us {
-            violations.push(format!(
-                "SLOW: browsing took {} ms at the 99th, {} are tolerated",
-                self.browse_p99_us() / 1000,
-                limit_us / 1000
-            ));
+            let (p99_ms, limit_ms) = (self.browse_p99_us() / 1000, limit_us / 1000);
+            violations.push(format!("SLOW: browsing took {p99_ms} ms at the 99th, {limit_ms} are tolerated"));
         }
         violations
     }
 
-    fn format_line(&self, op: &Request) -> String {
+    fn format_line(&self, req: &Request) -> String {
         let node = |at: Option<usize>| at.map_or("-", |at| self.context.nodes[at].as_str());
         format!(
             "{:>10.3}  {:<14} {:>7.1} ms  {:<8} {} tries, asked at {}, served by {}",
-            (op.at - self.context.start_us) as f64 / 1e6,
-            self.label(op),
-            op.done_us.saturating_sub(op.at) as f64 / 1e3,
-            outcome_text(op.outcome),
-            op.attempts,
-            node(op.asked_node),
-            node(op.served_node)
+            (req.at - self.context.start_us) as f64 / 1e6,
+            self.label(req),
+            req.done_us.saturating_sub(req.at) as f64 / 1e3,
+            outcome_text(req.outcome),
+            req.attempts,
+            node(req.contacted_node),
+            node(req.served_node)
         )
     }
 
@@ -176,7 +173,7 @@
         if !self.context.drops.is_empty() {
             let count = waited.len();
             out.push_str(&format!("\n{count} requests were waiting then or came in the takeover; the worst:\n"));
-            waited.iter().take(MAX_WAITED_SHOWN).for_each(|op| out.push_str(&format!("{}\n", self.format_line(op))));
+            waited.iter().take(MAX_WAITED_SHOWN).for_each(|req| out.push_str(&format!("{}\n", self.format_line(req))));
         }
         out.push_str(
             "\nkind            part       count   median     90th     99th      max ms  outside aim  \
@@ -216,12 +213,13 @@
     }
 
     pub fn to_json(&self) -> String {
-        let row = |op: &Request| {
+        let row = |req: &Request| {
             let node = |at: Option<usize>| at.map(|at| self.context.nodes[at].as_str());
             serde_json::json!({
-                "at": (op.at - self.context.start_us) as f64 / 1e6, "kind": self.label(op), "part": self.phase(op),
-                "ms": op.done_us.saturating_sub(op.at) as f64 / 1e3, "outcome": outcome_text(op.outcome).to_lowercase(),
-                "tries": op.attempts, "askedAt": node(op.asked_node), "servedBy": node(op.served_node),
+                "at": (req.at - self.context.start_us) as f64 / 1e6, "kind": self.label(req), "part": self.phase(req),
+                "ms": req.done_us.saturating_sub(req.at) as f64 / 1e3,
+                "outcome": outcome_text(req.outcome).to_lowercase(), "tries": req.attempts,
+                "askedAt": node(req.contacted_node), "servedBy": node(req.served_node),
             })
         };
         let drop_row = |drop: &DropOutcome| {
--- a/crates/wv-replay/src/scenario_player.rs
+++ b/crates/wv-replay/src/scenario_player.rs
@@ -70,7 +70,7 @@
     until_us: Option<u64>,
     service: Option<&str>,
 ) -> Result<ScenarioReport, ReplayError> {
-    if let Some(name) = service.filter(|name| !scenario.services.iter().any(|held| held == name)) {
+    if let Some(name) = service.filter(|name| !scenario.services.iter().any(|known| known == name)) {
         return Err(ReplayError::Unknown { line: 0, kind: "service", name: name.to_owned() });
     }
     let mut sim = Simulation::with_services(scenario.access_nodes, scenario.control_nodes, &scenario.services);
--- a/crates/wv-replay/src/seed_search.rs
+++ b/crates/wv-replay/src/seed_search.rs
@@ -67,10 +67,10 @@
         for answer in &self.history.responses {
             let order = &self.history.updates[answer.update];
             let valid = if order.is_valid { "order" } else { "invalid order" };
-            let (sent, heard) = (answer.sent_us as f64 / 1e6, answer.received_us as f64 / 1e6);
+            let (sent, received) = (answer.sent_us as f64 / 1e6, answer.received_us as f64 / 1e6);
             let (number, status) = (order.version, answer.status);
             out.push_str(&format!(
-                "{heard:>10.3}  {valid} {number} (content {}), sent at {sent:.3}, is answered with {status} by {}\n",
+                "{received:>10.3}  {valid} {number} (content {}), sent at {sent:.3}, is answered with {status} by {}\n",
                 answer.update, answer.control
             ));
         }
--- a/crates/wv-replay/tests/recordings.rs
+++ b/crates/wv-replay/tests/recordings.rs
@@ -168,17 +168,17 @@
 
 #[gtest]
 fn given_a_recording_node_then_its_recording_has_sessions_and_request_kinds_but_no_statement_text() {
-    let mut world = wv_simulation::Simulation::configured(1, 3);
-    world.access[0].core.iter_mut().for_each(|core| core.set_recording(8, 77, 5_000_000));
-    let client = world.open_client(0, "p");
+    let mut sim = wv_simulation::Simulation::configured(1, 3);
+    sim.access[0].core.iter_mut().for_each(|core| core.set_recording(8, 77, 5_000_000));
+    let client = sim.open_client(0, "p");
     for text in
         ["q1 WRITE secretthing secretdata", "q2 BEGIN", "q3 READ secretthing", "q4 WRITE secretthing x", "q5 COMMIT"]
     {
-        world.send_line(client, &format!("QUERY {text}"));
-        world.run(100 * wv_simulation::MS);
+        sim.send_line(client, &format!("QUERY {text}"));
+        sim.run(100 * wv_simulation::MS);
     }
-    world.close_client(client);
-    let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
+    sim.close_client(client);
+    let text = sim.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, not(contains_substring("secret")));
     let recording = Recording::parse("a0", &text).expect("valid recording");
     let kinds: Vec<&RecordedAction> = recording.events.iter().map(|event| &event.action).collect();
@@ -199,10 +199,10 @@
     expect_that!(report.violations(), is_empty());
     // Events beyond the buffer size are counted as lost.
     (0..6).for_each(|_| {
-        let client = world.open_client(0, "b");
-        world.close_client(client);
+        let client = sim.open_client(0, "b");
+        sim.close_client(client);
     });
-    let text = world.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
+    let text = sim.access[0].core.as_ref().map(|core| core.recording()).unwrap_or_default();
     expect_that!(text, contains_substring("lost=8"));
     expect_that!(Recording::parse("a0", &text), ok(anything()));
 }
--- a/crates/wv-simulation/examples/standin.rs
+++ b/crates/wv-simulation/examples/standin.rs
@@ -25,7 +25,7 @@
     stream.read_to_end(&mut Vec::new()).map(|_| ())
 }
 
-fn serve(stream: TcpStream, conn: u64, database: &Shared) -> std::io::Result<()> {
+fn serve(stream: TcpStream, connection_id: u64, database: &Shared) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
     for line in BufReader::new(stream).lines() {
@@ -33,8 +33,8 @@
         let words: Vec<&str> = line.splitn(3, ' ').collect();
         let Ok(mut instance) = database.lock() else { break };
         let text = match words[..] {
-            ["SETUP", _, _] => instance.set_up(conn),
-            ["QUERY", id, text] => match instance.execute_standalone(conn, id, text) {
+            ["SETUP", _, _] => instance.set_up(connection_id),
+            ["QUERY", id, text] => match instance.execute_standalone(connection_id, id, text) {
                 StandaloneReply::Text(text) => text,
                 StandaloneReply::UnknownConnection => break,
             },
@@ -44,7 +44,7 @@
         out.write_all(text.as_bytes())?;
     }
     if let Ok(mut instance) = database.lock() {
-        instance.conns.remove(&conn);
+        instance.connections.remove(&connection_id);
     }
     Ok(())
 }
@@ -66,9 +66,9 @@
         }
         std::thread::sleep(std::time::Duration::from_secs(1));
     });
-    for (conn, stream) in listener.incoming().enumerate() {
+    for (connection_id, stream) in listener.incoming().enumerate() {
         let (stream, database) = (stream?, database.clone());
-        std::thread::spawn(move || serve(stream, conn as u64, &database));
+        std::thread::spawn(move || serve(stream, connection_id as u64, &database));
     }
     Ok(())
 }
--- a/crates/wv-simulation/examples/standins.rs
+++ b/crates/wv-simulation/examples/standins.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn serve(stream: TcpStream, conn: u64, databases: &Shared, at: usize) -> std::io::Result<()> {
+fn serve(stream: TcpStream, connection_id: u64, databases: &Shared, at: usize) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
     for line in BufReader::new(stream).lines() {
@@ -59,8 +59,8 @@
         let words: Vec<&str> = line.splitn(3, ' ').collect();
         let mut all = lock(databases);
         let text = match words[..] {
-            ["SETUP", ..] => all[at].set_up(conn),
-            ["QUERY", id, text] => match all[at].execute_standalone(conn, id, text) {
+            ["SETUP", ..] => all[at].set_up(connection_id),
+            ["QUERY", id, text] => match all[at].execute_standalone(connection_id, id, text) {
                 StandaloneReply::Text(text) => text,
                 StandaloneReply::UnknownConnection => break,
             },
@@ -70,7 +70,7 @@
         drop(all);
         out.write_all(text.as_bytes())?;
     }
-    lock(databases)[at].conns.remove(&conn);
+    lock(databases)[at].connections.remove(&connection_id);
     Ok(())
 }
 
@@ -85,7 +85,7 @@
         all.iter().filter(|database| database.service == service).map(|database| database.term).max().unwrap_or(1) + 1;
     for (other, database) in all.iter_mut().enumerate().filter(|(_, database)| database.service == service) {
         if database.is_primary {
-            database.conns.values_mut().for_each(|conn| conn.is_deposed = true);
+            database.connections.values_mut().for_each(|connection| connection.is_deposed = true);
         }
         (database.is_primary, database.term) = (other == at, term);
         database.truncate_to(&log);
@@ -121,10 +121,10 @@
 ) -> std::io::Result<()> {
     let (listener, databases) = (TcpListener::bind(addr)?, databases.clone());
     std::thread::spawn(move || {
-        for (conn, stream) in (0..).zip(listener.incoming()) {
+        for (connection_id, stream) in (0..).zip(listener.incoming()) {
             let (databases, handle) = (databases.clone(), handle.clone());
             if let Ok(stream) = stream {
-                std::thread::spawn(move || handle(stream, conn, databases));
+                std::thread::spawn(move || handle(stream, connection_id, databases));
             }
         }
     });
@@ -144,7 +144,9 @@
     for at in 0..count {
         let addr = SocketAddr::new(first.ip(), first.port() + at as u16).to_string();
         lock(&databases)[at].addr = addr.clone();
-        listen(&addr, &databases, move |stream, conn, databases| drop(serve(stream, conn, &databases, at)))?;
+        listen(&addr, &databases, move |stream, connection_id, databases| {
+            drop(serve(stream, connection_id, &databases, at))
+        })?;
         let shared = databases.clone();
         std::thread::spawn(move || loop {
             if let Err(error) = send_heartbeat(control, &shared, at) {
--- a/crates/wv-simulation/src/clients.rs
+++ b/crates/wv-simulation/src/clients.rs
@@ -100,9 +100,9 @@
     }
 
     /// Checks that session values and prepared statements on the connection are those of the statement's client.
-    pub(crate) fn check_session(&mut self, database: usize, conn: u64, id: &str, text: &str) {
+    pub(crate) fn check_session(&mut self, database: usize, connection_id: u64, id: &str, text: &str) {
         let Some(expectation) = self.expectations.get(id).cloned() else { return };
-        let Some(connection) = self.databases[database].conns.get(&conn) else { return };
+        let Some(connection) = self.databases[database].connections.get(&connection_id) else { return };
         if connection.values != expectation.values {
             self.oracle.violations.push(format!("PINNED: {id} ran with session values {:?}", connection.values));
         }
--- a/crates/wv-simulation/src/control_nodes.rs
+++ b/crates/wv-simulation/src/control_nodes.rs
@@ -1,4 +1,4 @@
-//! Starts and kills control nodes and applies the actions of their cores.
+//! Starts and kills control nodes and applies the effects of their cores.
 use crate::nodes::LinkEnd;
 use crate::simulation::{Event, Simulation, LINK_DELAY_US};
 use crate::MS;
@@ -49,18 +49,18 @@
         let now = self.now;
         let core = self.controls[at].core.as_mut()?;
         let ret = event(core, now);
-        let actions = core.take_effects();
-        // Power was lost during a write: actions that depend on it are discarded.
+        let effects = core.take_effects();
+        // Power was lost during a write: effects that depend on it are discarded.
         if self.controls[at].disk_faults.is_powered_off() {
             self.power_off_control(at, 0);
             return None;
         }
-        actions.into_iter().for_each(|action| self.apply_control_action(at, action));
+        effects.into_iter().for_each(|effect| self.apply_control_effect(at, effect));
         Some(ret)
     }
 
-    fn apply_control_action(&mut self, at: usize, action: ControlEffect) {
-        match action {
+    fn apply_control_effect(&mut self, at: usize, effect: ControlEffect) {
+        match effect {
             ControlEffect::Send { link, msg } => {
                 self.log_owner_change(&msg);
                 if let Some(to) = self.controls[at].far_ends.get(&link).copied() {
--- a/crates/wv-simulation/src/database.rs
+++ b/crates/wv-simulation/src/database.rs
@@ -52,7 +52,7 @@
     pub statement_us: u64,
     pub overload_crashes: u32,
     pub sequence: u64,
-    pub conns: BTreeMap<u64, Connection>,
+    pub connections: BTreeMap<u64, Connection>,
     /// Number of further statements that run but whose replies are lost.
     pub lost_replies: u32,
     pub is_congested: bool,
@@ -97,7 +97,7 @@
             statement_us: 3000,
             overload_crashes: 0,
             sequence: 0,
-            conns: BTreeMap::new(),
+            connections: BTreeMap::new(),
             lost_replies: 0,
             is_congested: false,
             busy_limit: None,
@@ -107,8 +107,8 @@
         }
     }
 
-    fn error(&mut self, conn: u64, code: ErrorCode, is_fatal: bool) -> Outcome {
-        let state = self.conns.get_mut(&conn).map_or(b'I', |connection| {
+    fn error(&mut self, connection_id: u64, code: ErrorCode, is_fatal: bool) -> Outcome {
+        let state = self.connections.get_mut(&connection_id).map_or(b'I', |connection| {
             if is_fatal && connection.state == b'T' {
                 connection.state = b'E';
             }
@@ -125,62 +125,62 @@
             self.received_position(),
             self.suspended,
             self.busy.len(),
-            self.conns.len()
+            self.connections.len()
         );
         self.complete_lines(&row, "-", b'I')
     }
 
-    pub fn execute(&mut self, conn: u64, text: &str) -> Outcome {
+    pub fn execute(&mut self, connection_id: u64, text: &str) -> Outcome {
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
-        let Some(state) = self.conns.get(&conn).map(|connection| connection.state) else {
+        let Some(state) = self.connections.get(&connection_id).map(|connection| connection.state) else {
             return Outcome::Reply(String::new());
         };
         if state == b'E' && verb != "ABORT" && verb != "COMMIT" {
-            return self.error(conn, ErrorCode::Malformed, false);
+            return self.error(connection_id, ErrorCode::Malformed, false);
         }
         if verb == "MINPOS" {
             let (word, remaining) = split_word(rest.as_bytes());
             let pos = LogPosition::parse(word).unwrap_or_default();
             if !self.has_applied(pos) {
-                return self.error(conn, ErrorCode::Lagging, true);
+                return self.error(connection_id, ErrorCode::Lagging, true);
             }
             let remaining = String::from_utf8_lossy(remaining).into_owned();
-            return self.execute(conn, &remaining);
+            return self.execute(connection_id, &remaining);
         }
-        let is_read_write = self.conns.get(&conn).is_some_and(|connection| connection.is_read_write);
-        let was_demoted = self.conns.get(&conn).is_some_and(|connection| connection.is_deposed);
+        let is_read_write = self.connections.get(&connection_id).is_some_and(|connection| connection.is_read_write);
+        let was_demoted = self.connections.get(&connection_id).is_some_and(|connection| connection.is_deposed);
         let is_deposed = state == b'T' && is_read_write && (!self.is_primary || was_demoted);
         match verb {
             "BEGIN" if rest.is_empty() && (!self.is_primary || was_demoted) => {
-                self.error(conn, ErrorCode::ReadOnly, true)
+                self.error(connection_id, ErrorCode::ReadOnly, true)
             }
-            "BEGIN" => self.update_connection(conn, |connection| {
+            "BEGIN" => self.update_connection(connection_id, |connection| {
                 (connection.state, connection.is_read_write) = (b'T', rest.is_empty())
             }),
-            "ABORT" => self.update_connection(conn, |connection| {
+            "ABORT" => self.update_connection(connection_id, |connection| {
                 connection.state = b'I';
                 connection.writes.clear();
             }),
             "COMMIT" => {
-                let Some(connection) = self.conns.get_mut(&conn) else { return Outcome::Status };
+                let Some(connection) = self.connections.get_mut(&connection_id) else { return Outcome::Status };
                 let writes = std::mem::take(&mut connection.writes);
                 let is_failed = std::mem::replace(&mut connection.state, b'I') == b'E';
                 if is_failed {
-                    return self.error(conn, ErrorCode::Aborted, false);
+                    return self.error(connection_id, ErrorCode::Aborted, false);
                 }
                 if is_deposed && !writes.is_empty() {
-                    return self.error(conn, ErrorCode::ReadOnly, false);
+                    return self.error(connection_id, ErrorCode::ReadOnly, false);
                 }
                 Outcome::Commit(writes)
             }
-            _ if is_deposed => self.error(conn, ErrorCode::ReadOnly, true),
+            _ if is_deposed => self.error(connection_id, ErrorCode::ReadOnly, true),
             "ASSIGN" => {
                 let (name, value) = rest.split_once(' ').unwrap_or((rest, ""));
-                self.update_connection(conn, |connection| {
+                self.update_connection(connection_id, |connection| {
                     connection.values.insert(name.to_owned(), value.to_owned());
                 })
             }
-            "CLEAR" => self.update_connection(conn, |connection| {
+            "CLEAR" => self.update_connection(connection_id, |connection| {
                 connection.values.clear();
                 connection.prepared.clear();
             }),
@@ -188,26 +188,26 @@
                 let mut words = rest.split(' ');
                 let mut word = || words.next().unwrap_or_default().to_owned();
                 let (name, kind, shape) = (word(), word(), word());
-                self.update_connection(conn, |connection| {
+                self.update_connection(connection_id, |connection| {
                     connection.prepared.insert(name, (kind == "WRITE", shape));
                 })
             }
             "EXECUTE" => {
                 let (name, row) = rest.split_once(' ').unwrap_or((rest, ""));
                 match self
-                    .conns
-                    .get(&conn)
+                    .connections
+                    .get(&connection_id)
                     .and_then(|connection| connection.prepared.get(name))
                     .map(|connection| connection.0)
                 {
-                    Some(true) => self.write(conn, state, row),
+                    Some(true) => self.write(connection_id, state, row),
                     Some(false) => self.read(row),
-                    None => self.error(conn, ErrorCode::Undefined, true),
+                    None => self.error(connection_id, ErrorCode::Undefined, true),
                 }
             }
-            "READ" | "WRITE" if self.is_congested => self.error(conn, ErrorCode::Congested, true),
+            "READ" | "WRITE" if self.is_congested => self.error(connection_id, ErrorCode::Congested, true),
             "READ" => self.read(rest),
-            "WRITE" => self.write(conn, state, rest),
+            "WRITE" => self.write(connection_id, state, rest),
             "ENQUIRY" => Outcome::Status,
             "SUSPEND" => {
                 self.suspended = rest.parse().unwrap_or(0);
@@ -217,12 +217,12 @@
                 self.suspended = 0;
                 Outcome::Status
             }
-            _ => self.error(conn, ErrorCode::Malformed, true),
+            _ => self.error(connection_id, ErrorCode::Malformed, true),
         }
     }
 
-    fn update_connection(&mut self, conn: u64, change: impl FnOnce(&mut Connection)) -> Outcome {
-        let state = self.conns.get_mut(&conn).map_or(b'I', |connection| {
+    fn update_connection(&mut self, connection_id: u64, change: impl FnOnce(&mut Connection)) -> Outcome {
+        let state = self.connections.get_mut(&connection_id).map_or(b'I', |connection| {
             change(connection);
             connection.state
         });
@@ -234,9 +234,9 @@
         Outcome::Read(row.unwrap_or_default())
     }
 
-    fn write(&mut self, conn: u64, state: u8, row: &str) -> Outcome {
-        if !self.is_primary || self.conns.get(&conn).is_some_and(|connection| connection.is_deposed) {
-            return self.error(conn, ErrorCode::ReadOnly, true);
+    fn write(&mut self, connection_id: u64, state: u8, row: &str) -> Outcome {
+        if !self.is_primary || self.connections.get(&connection_id).is_some_and(|connection| connection.is_deposed) {
+            return self.error(connection_id, ErrorCode::ReadOnly, true);
         }
         let (key, data) = row.split_once(' ').unwrap_or((row, ""));
         let write = Write { tag: String::new(), key: key.to_owned(), value: data.to_owned() };
--- a/crates/wv-simulation/src/database_faults.rs
+++ b/crates/wv-simulation/src/database_faults.rs
@@ -7,7 +7,7 @@
     /// Ends the database process; its connections are reset.
     pub fn crash(&mut self, database: usize) {
         self.databases[database].is_up = false;
-        self.databases[database].conns.clear();
+        self.databases[database].connections.clear();
         self.databases[database].busy.clear();
         self.pending_commits.retain(|(at, _, _, _)| *at != database);
         self.disconnect_all(database, LINK_DELAY_US, ConnectionLoss::Closed);
@@ -15,7 +15,7 @@
 
     /// Resets all connections while the database keeps running.
     pub fn reset_connections(&mut self, database: usize) {
-        self.databases[database].conns.clear();
+        self.databases[database].connections.clear();
         self.databases[database].busy.clear();
         self.disconnect_all(database, LINK_DELAY_US, ConnectionLoss::Closed);
     }
@@ -23,14 +23,14 @@
     /// Makes the database's host stop answering; connections time out.
     pub fn make_unreachable(&mut self, database: usize) {
         self.databases[database].is_unreachable = true;
-        self.databases[database].conns.clear();
+        self.databases[database].connections.clear();
         self.pending_commits.retain(|(at, _, _, _)| *at != database);
         self.disconnect_all(database, 900 * MS, ConnectionLoss::Unreachable);
     }
 
     fn disconnect_all(&mut self, database: usize, after: u64, lost: ConnectionLoss) {
         let keys: Vec<(usize, u64)> =
-            self.db_conns.iter().filter(|(_, at)| at.0 == database).map(|(key, _)| *key).collect();
+            self.database_connections.iter().filter(|(_, at)| at.0 == database).map(|(key, _)| *key).collect();
         for (access, db) in keys {
             let incarnation = self.access[access].incarnation;
             self.schedule(after, Event::DbEnd { access, db, lost, incarnation });
--- a/crates/wv-simulation/src/database_log.rs
+++ b/crates/wv-simulation/src/database_log.rs
@@ -81,23 +81,26 @@
 
 impl Database {
     /// Opens a connection.
-    pub fn set_up(&mut self, conn: u64) -> String {
-        self.conns.insert(conn, crate::Connection { state: b'I', ..Default::default() });
+    pub fn set_up(&mut self, connection_id: u64) -> String {
+        self.connections.insert(connection_id, crate::Connection { state: b'I', ..Default::default() });
         self.idle_line(b'I')
     }
 
     /// Executes a statement without replication: commits are acknowledged at once.
-    pub fn execute_standalone(&mut self, conn: u64, id: &str, text: &str) -> StandaloneReply {
-        if !self.conns.contains_key(&conn) {
+    pub fn execute_standalone(&mut self, connection_id: u64, id: &str, text: &str) -> StandaloneReply {
+        if !self.connections.contains_key(&connection_id) {
             return StandaloneReply::UnknownConnection;
         }
         let stamp = format!("stamp.{}.{id}", self.id);
-        let outcome = self.execute(conn, text);
-        let state = self.conns.get(&conn).map_or(b'I', |connection| connection.state);
+        let outcome = self.execute(connection_id, text);
+        let state = self.connections.get(&connection_id).map_or(b'I', |connection| connection.state);
         StandaloneReply::Text(match outcome {
             Outcome::Buffer(write) => {
                 let write = Write { tag: id.to_owned(), ..write };
-                self.conns.get_mut(&conn).into_iter().for_each(|connection| connection.writes.push(write.clone()));
+                self.connections
+                    .get_mut(&connection_id)
+                    .into_iter()
+                    .for_each(|connection| connection.writes.push(write.clone()));
                 self.complete_lines("", &stamp, state)
             }
             Outcome::Reply(reply) => reply,
--- a/crates/wv-simulation/src/database_service.rs
+++ b/crates/wv-simulation/src/database_service.rs
@@ -24,12 +24,14 @@
         };
         match (lost, database) {
             (None, Some(database)) => {
-                self.next_conn += 1;
-                let conn = self.next_conn;
-                self.databases[database].conns.insert(conn, Connection { state: b'I', ..Connection::default() });
+                self.next_connection_id += 1;
+                let connection_id = self.next_connection_id;
+                self.databases[database]
+                    .connections
+                    .insert(connection_id, Connection { state: b'I', ..Connection::default() });
                 self.databases[database].setup_count += 1;
-                self.db_conns.insert((access, db), (database, conn));
-                self.conn_of.insert((database, conn), (access, db));
+                self.database_connections.insert((access, db), (database, connection_id));
+                self.connection_owners.insert((database, connection_id), (access, db));
                 self.schedule(LINK_DELAY_US * 2, Event::DbOpened { access, db, incarnation });
                 self.check_overload(database);
             }
@@ -51,17 +53,17 @@
 
     /// Removes an access node's database connection from both indexes.
     pub(crate) fn remove_connection(&mut self, key: (usize, u64)) -> Option<(usize, u64)> {
-        let end = self.db_conns.remove(&key)?;
-        self.conn_of.remove(&end);
+        let end = self.database_connections.remove(&key)?;
+        self.connection_owners.remove(&end);
         Some(end)
     }
 
-    pub(crate) fn connection_owner(&self, database: usize, conn: u64) -> Option<(usize, u64)> {
-        self.conn_of.get(&(database, conn)).copied()
+    pub(crate) fn connection_owner(&self, database: usize, connection_id: u64) -> Option<(usize, u64)> {
+        self.connection_owners.get(&(database, connection_id)).copied()
     }
 
-    fn send_to_access(&mut self, database: usize, conn: u64, text: String, after: u64) {
-        let Some((access, db)) = self.connection_owner(database, conn) else { return };
+    fn send_to_access(&mut self, database: usize, connection_id: u64, text: String, after: u64) {
+        let Some((access, db)) = self.connection_owner(database, connection_id) else { return };
         let incarnation = self.access[access].incarnation;
         let name = self.access[access].name.clone();
         if !self.databases[database].is_unreachable && !self.is_dropped(&name, &self.databases[database].id.clone()) {
@@ -69,13 +71,13 @@
         }
     }
 
-    pub(crate) fn on_database_data(&mut self, database: usize, conn: u64, bytes: &[u8]) {
+    pub(crate) fn on_database_data(&mut self, database: usize, connection_id: u64, bytes: &[u8]) {
         let mut at = 0;
         while let Some((line, len)) = split_line(&bytes[at..]) {
             at += len;
             if !self.databases[database].is_up
                 || self.databases[database].is_unreachable
-                || !self.databases[database].conns.contains_key(&conn)
+                || !self.databases[database].connections.contains_key(&connection_id)
             {
                 return;
             }
@@ -84,84 +86,85 @@
                     let id = String::from_utf8_lossy(who).split(' ').nth(1).map(str::to_owned);
                     let is_expected = id.as_deref() == Some(self.databases[database].id.as_str());
                     let text = if is_expected { "IDLE I 1.0\r\n" } else { "ERROR WRONGNODE no\r\n" };
-                    self.send_to_access(database, conn, text.to_owned(), 12 * MS);
+                    self.send_to_access(database, connection_id, text.to_owned(), 12 * MS);
                 }
                 // Windvalve's own statements carry the id `-`, which clients may not use.
                 _ => {
                     let text = String::from_utf8_lossy(line).into_owned();
                     let mut words = text.splitn(3, ' ');
                     let (_, id, text) = (words.next(), words.next().unwrap_or("-"), words.next().unwrap_or_default());
-                    self.run_statement(database, conn, id, text);
+                    self.run_statement(database, connection_id, id, text);
                 }
             }
         }
     }
 
-    fn run_statement(&mut self, database: usize, conn: u64, id: &str, text: &str) {
+    fn run_statement(&mut self, database: usize, connection_id: u64, id: &str, text: &str) {
         let is_own = id == "-";
         if !is_own {
             *self.oracle.executions.entry(id.to_owned()).or_default() += 1;
-            self.check_drain(database, conn, id);
-            self.databases[database].busy.insert(conn);
+            self.check_drain(database, connection_id, id);
+            self.databases[database].busy.insert(connection_id);
             self.check_overload(database);
-            self.check_session(database, conn, id, text);
+            self.check_session(database, connection_id, id, text);
         }
         if is_own && text == "BEGIN" {
             self.databases[database]
-                .conns
-                .get_mut(&conn)
+                .connections
+                .get_mut(&connection_id)
                 .into_iter()
                 .for_each(|connection| connection.has_run_statement = false);
         }
-        let outcome = self.databases[database].execute(conn, text);
+        let outcome = self.databases[database].execute(connection_id, text);
         let is_lost = !is_own && self.databases[database].lost_replies > 0;
         if is_lost {
             self.databases[database].lost_replies -= 1;
         }
-        let state = self.databases[database].conns.get(&conn).map_or(b'I', |connection| connection.state);
+        let state =
+            self.databases[database].connections.get(&connection_id).map_or(b'I', |connection| connection.state);
         let stamp = format!("stamp.{}.{id}", self.databases[database].id);
         match outcome {
             Outcome::Buffer(write) => {
                 let write = Write { tag: id.to_owned(), ..write };
                 self.databases[database]
-                    .conns
-                    .get_mut(&conn)
+                    .connections
+                    .get_mut(&connection_id)
                     .into_iter()
                     .for_each(|connection| connection.writes.push(write.clone()));
                 let text = self.databases[database].complete_lines("", &stamp, state);
-                self.finish_statement(database, conn, text, is_lost);
+                self.finish_statement(database, connection_id, text, is_lost);
             }
-            Outcome::Reply(text) => self.finish_statement(database, conn, text, is_lost),
+            Outcome::Reply(text) => self.finish_statement(database, connection_id, text, is_lost),
             Outcome::Status => {
                 let text = self.databases[database].status_lines();
-                self.finish_statement(database, conn, text, is_lost);
+                self.finish_statement(database, connection_id, text, is_lost);
             }
             Outcome::Read(rows) => {
                 self.check_read(database, id);
                 let text = self.databases[database].complete_lines(&rows, &stamp, state);
-                self.finish_statement(database, conn, text, is_lost);
+                self.finish_statement(database, connection_id, text, is_lost);
             }
             Outcome::Commit(writes) => {
                 let is_single = text != "COMMIT";
                 let with_tag = |write: Write| if is_single { Write { tag: id.to_owned(), ..write } } else { write };
                 let writes = writes.into_iter().map(with_tag).collect();
-                self.commit(database, conn, writes, &stamp, is_lost);
+                self.commit(database, connection_id, writes, &stamp, is_lost);
             }
         }
     }
 
-    fn finish_statement(&mut self, database: usize, conn: u64, text: String, is_lost: bool) {
+    fn finish_statement(&mut self, database: usize, connection_id: u64, text: String, is_lost: bool) {
         let duration_us = self.databases[database].statement_us;
-        self.schedule(duration_us, Event::StatementDone { database, conn });
+        self.schedule(duration_us, Event::StatementDone { database, connection_id });
         if !is_lost {
-            self.send_to_access(database, conn, text, duration_us);
+            self.send_to_access(database, connection_id, text, duration_us);
         }
     }
 
-    fn commit(&mut self, database: usize, conn: u64, writes: Vec<Write>, stamp: &str, is_lost: bool) {
+    fn commit(&mut self, database: usize, connection_id: u64, writes: Vec<Write>, stamp: &str, is_lost: bool) {
         if writes.is_empty() {
             let text = self.databases[database].complete_lines("", stamp, b'I');
-            return self.finish_statement(database, conn, text, is_lost);
+            return self.finish_statement(database, connection_id, text, is_lost);
         }
         let service = self.databases[database].service.clone();
         for (at, write) in (self.databases[database].log.len()..).zip(&writes) {
@@ -170,7 +173,7 @@
         self.databases[database].append(writes);
         let (len, pos) = (self.databases[database].log.len(), self.databases[database].received_position());
         let stamp = if is_lost { String::new() } else { stamp.to_owned() };
-        self.pending_commits.push((database, pos, conn, stamp));
+        self.pending_commits.push((database, pos, connection_id, stamp));
         let replicas: Vec<usize> = (0..self.databases.len()).filter(|at| self.is_replica_of(database, *at)).collect();
         // Without replicas the commit is acknowledged at once.
         if replicas.is_empty() {
@@ -184,9 +187,9 @@
             .into_iter()
             .partition(|(database, pos, _, _)| *database == from && *pos <= received);
         self.pending_commits = rest;
-        for (database, _, conn, stamp) in done {
+        for (database, _, connection_id, stamp) in done {
             let text = self.databases[database].complete_lines("", &stamp, b'I');
-            self.finish_statement(database, conn, text, stamp.is_empty());
+            self.finish_statement(database, connection_id, text, stamp.is_empty());
         }
     }
 
@@ -222,7 +225,7 @@
         {
             // Connections to the old primary accept no more writes, even if it is promoted again.
             if instance.is_primary && at != database {
-                instance.conns.values_mut().for_each(|conn| conn.is_deposed = true);
+                instance.connections.values_mut().for_each(|connection| connection.is_deposed = true);
             }
             instance.is_primary = at == database;
             instance.term = term;
--- a/crates/wv-simulation/src/drain_check.rs
+++ b/crates/wv-simulation/src/drain_check.rs
@@ -77,17 +77,17 @@
     }
 
     /// Called for each client statement that reaches a database.
-    pub(crate) fn check_drain(&mut self, database: usize, conn: u64, id: &str) {
+    pub(crate) fn check_drain(&mut self, database: usize, connection_id: u64, id: &str) {
         let instance = &mut self.databases[database];
-        let is_new = instance.conns.get_mut(&conn).is_some_and(|conn| {
-            let is_continued = std::mem::replace(&mut conn.has_run_statement, true);
-            conn.state == b'I' || !is_continued
+        let is_new = instance.connections.get_mut(&connection_id).is_some_and(|connection| {
+            let is_continued = std::mem::replace(&mut connection.has_run_statement, true);
+            connection.state == b'I' || !is_continued
         });
         let database_id = instance.id.clone();
         let Some(acknowledged) = self.drain_tracker.acknowledged.get(&database_id).copied().filter(|_| is_new) else {
             return;
         };
-        let Some((access, _)) = self.connection_owner(database, conn) else { return };
+        let Some((access, _)) = self.connection_owner(database, connection_id) else { return };
         let elapsed_us = self.now - acknowledged;
         if elapsed_us > DRAIN_BOUND_US
             && self.is_fault_free(access)
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -19,7 +19,7 @@
     },
     DbIn {
         database: usize,
-        conn: u64,
+        connection_id: u64,
         bytes: Vec<u8>,
     },
     DbOut {
@@ -74,7 +74,7 @@
     },
     StatementDone {
         database: usize,
-        conn: u64,
+        connection_id: u64,
     },
     LoadStep {
         client: usize,
@@ -105,7 +105,7 @@
         control: usize,
         run: u64,
         database: usize,
-        conn: u64,
+        connection_id: u64,
         statements: Vec<String>,
     },
     StatementsDone {
@@ -186,7 +186,7 @@
                 self.with_access(access, |core, now| core.db_lost(db, lost, now));
             }
             Event::DbOpened { .. } | Event::DbOut { .. } | Event::DbEnd { .. } => {}
-            Event::DbIn { database, conn, bytes } => self.on_database_data(database, conn, &bytes),
+            Event::DbIn { database, connection_id, bytes } => self.on_database_data(database, connection_id, &bytes),
             Event::Replicate { from, to, len } => self.replicate(from, to, len),
             Event::Apply { database, len } => {
                 self.databases[database].apply(len);
@@ -211,8 +211,8 @@
                 self.with_control(control, |core, now| core.on_promotion_response(request, code, now));
             }
             Event::Promote { database } => self.promote(database),
-            Event::StatementDone { database, conn } => {
-                self.databases[database].busy.remove(&conn);
+            Event::StatementDone { database, connection_id } => {
+                self.databases[database].busy.remove(&connection_id);
             }
             Event::ControlCall { control, incarnation, token, method, path, body }
                 if self.controls[control].incarnation == incarnation =>
@@ -239,8 +239,8 @@
             Event::RequestDeadline { request } => self.on_request_deadline(request),
             Event::RequestRetry { session, attempt } => self.retry_request(session, attempt),
             Event::ClientLine { client, line } => self.send_line(client, &line),
-            Event::RunStatements { control, run, database, conn, statements } => {
-                self.run_own_statements(control, run, database, conn, &statements)
+            Event::RunStatements { control, run, database, connection_id, statements } => {
+                self.run_own_statements(control, run, database, connection_id, &statements)
             }
             Event::StatementsDone { control, run, replies } => {
                 self.with_control(control, |core, now| core.on_texts_run(run, replies, now));
--- a/crates/wv-simulation/src/freeze.rs
+++ b/crates/wv-simulation/src/freeze.rs
@@ -19,7 +19,7 @@
         self.frozen_controls.insert(at);
     }
 
-    /// Thaws the node; deferred events are handled after the caller's current actions.
+    /// Thaws the node; deferred events are handled after the caller's current effects.
     pub fn thaw_control(&mut self, at: usize) {
         self.frozen_controls.remove(&at);
         self.record_fault(&self.controls[at].name.clone());
@@ -40,7 +40,9 @@
             Event::Delayed(event) => return self.is_deferred(event),
             Event::AccessMaintenance(at) | Event::AccessTimer(at) | Event::AccessSession(at) => Some(*at),
             Event::DbOpened { access, .. } | Event::DbOut { access, .. } | Event::DbEnd { access, .. } => Some(*access),
-            Event::DbIn { database, conn, .. } => self.connection_owner(*database, *conn).map(|(access, _)| access),
+            Event::DbIn { database, connection_id, .. } => {
+                self.connection_owner(*database, *connection_id).map(|(access, _)| access)
+            }
             Event::LinkMessage { to: crate::nodes::LinkEnd::Access { at, .. }, .. } => Some(*at),
             Event::PeerLinkUp { at, .. } | Event::PeerLinkDown { at, .. } | Event::PeerMessage { at, .. } => Some(*at),
             Event::ClientLine { client, .. } => Some(self.clients[*client].node),
--- a/crates/wv-simulation/src/nemesis/databases.rs
+++ b/crates/wv-simulation/src/nemesis/databases.rs
@@ -10,17 +10,17 @@
 
 impl Runner {
     pub(super) fn apply_database_fault(&mut self, event: &Event, index: usize) {
-        let is_up = self.world.databases[index].is_up && !self.world.databases[index].is_unreachable;
+        let is_up = self.sim.databases[index].is_up && !self.sim.databases[index].is_unreachable;
         match event.kind {
-            EventKind::Crash => self.world.crash(index),
-            EventKind::Unreachable => self.world.make_unreachable(index),
-            EventKind::ReplicationLag => self.world.databases[index].apply_lag_us = event.amount * MS,
-            EventKind::ResetConnections => self.world.reset_connections(index),
+            EventKind::Crash => self.sim.crash(index),
+            EventKind::Unreachable => self.sim.make_unreachable(index),
+            EventKind::ReplicationLag => self.sim.databases[index].apply_lag_us = event.amount * MS,
+            EventKind::ResetConnections => self.sim.reset_connections(index),
             // A database that is down cannot announce its removal.
             EventKind::Drain if is_up => {
                 let delay_us = DRAIN_US + self.rng.below(EXTRA_DRAIN_MAX_US);
-                self.world.databases[index].is_draining = true;
-                self.world.heartbeat(index);
+                self.sim.databases[index].is_draining = true;
+                self.sim.heartbeat(index);
                 self.defer(delay_us, Deferred::SendDelete(index));
                 self.defer(delay_us + 30 * MS, Deferred::StopDatabase(index));
             }
@@ -34,17 +34,17 @@
 
     /// Adds a database with a copy of the log of the primary, or else of the most recent database.
     pub(super) fn add_database(&mut self) {
-        let index = self.world.databases.len();
-        let mut base = Database::new("s", index);
-        let source = self.world.databases.iter().filter(|candidate| !candidate.is_removed).max_by_key(|candidate| {
+        let index = self.sim.databases.len();
+        let mut database = Database::new("s", index);
+        let source = self.sim.databases.iter().filter(|candidate| !candidate.is_removed).max_by_key(|candidate| {
             let is_primary = candidate.is_primary && candidate.is_up;
             (is_primary, candidate.received_position())
         });
         if let Some(source) = source {
-            (base.log, base.term) = (source.log.clone(), source.term);
+            (database.log, database.term) = (source.log.clone(), source.term);
         }
-        base.apply(base.log.len());
-        self.world.databases.push(base);
-        self.world.schedule(10 * MS, crate::simulation::Event::Heartbeat { database: index });
+        database.apply(database.log.len());
+        self.sim.databases.push(database);
+        self.sim.schedule(10 * MS, crate::simulation::Event::Heartbeat { database: index });
     }
 }
--- a/crates/wv-simulation/src/nemesis/faults.rs
+++ b/crates/wv-simulation/src/nemesis/faults.rs
@@ -10,12 +10,12 @@
     /// Looks up a node such as `a0` or `c1`; none if the schedule names a node that does not exist.
     pub(super) fn find_node(&self, name: &str) -> Option<NodeId> {
         let parse_index = |prefix| name.strip_prefix(prefix).and_then(|rest: &str| rest.parse::<usize>().ok());
-        let access = parse_index('a').filter(|index| *index < self.world.access.len()).map(NodeId::Access);
-        access.or_else(|| parse_index('c').filter(|index| *index < self.world.controls.len()).map(NodeId::Control))
+        let access = parse_index('a').filter(|index| *index < self.sim.access.len()).map(NodeId::Access);
+        access.or_else(|| parse_index('c').filter(|index| *index < self.sim.controls.len()).map(NodeId::Control))
     }
 
     fn find_database(&self, name: &str) -> Option<usize> {
-        self.world.database_index(&format!("i-{name}")).filter(|index| !self.world.databases[*index].is_removed)
+        self.sim.database_index(&format!("i-{name}")).filter(|index| !self.sim.databases[*index].is_removed)
     }
 
     /// The name of a node or database in blocked links.
@@ -24,10 +24,10 @@
     }
 
     fn other_endpoints(&self, names: &[String], is_core_only: bool) -> Vec<String> {
-        let controls = self.world.controls.iter().map(|node| node.name.clone());
-        let access = self.world.access.iter().map(|node| node.name.clone()).filter(|_| !is_core_only);
-        let bases = self.world.databases.iter().map(|database| database.id.clone()).filter(|_| !is_core_only);
-        controls.chain(access).chain(bases).filter(|name| !names.contains(name)).collect()
+        let controls = self.sim.controls.iter().map(|node| node.name.clone());
+        let access = self.sim.access.iter().map(|node| node.name.clone()).filter(|_| !is_core_only);
+        let databases = self.sim.databases.iter().map(|database| database.id.clone()).filter(|_| !is_core_only);
+        controls.chain(access).chain(databases).filter(|name| !names.contains(name)).collect()
     }
 
     /// The directed links that an event blocks.
@@ -52,19 +52,19 @@
     }
 
     pub(super) fn begin_event(&mut self, event: &Event) {
-        self.world.log_event(format!("nemesis: {event}"));
+        self.sim.log_event(format!("nemesis: {event}"));
         if event.kind.is_operator_action() {
             return self.perform_operator_action(event);
         }
         self.defer(event.duration_ms * MS, Deferred::EndEvent(event.clone()));
         let links = self.links_to_block(event);
-        links.iter().for_each(|(from, to)| self.world.add_partition(from, to));
+        links.iter().for_each(|(from, to)| self.sim.add_partition(from, to));
         if event.kind != EventKind::PermanentPartition {
             self.blocked_links.insert((event.at_ms, event.to_string()), links);
         }
         match event.kind {
-            EventKind::PlatformOutage => self.world.is_platform_down = true,
-            EventKind::SlowPromotion => self.world.promotion_delay_us = 2 * S,
+            EventKind::PlatformOutage => self.sim.is_platform_down = true,
+            EventKind::SlowPromotion => self.sim.promotion_delay_us = 2 * S,
             EventKind::LostResponses => self.operators.is_losing_responses = true,
             EventKind::DelayedDuplicates => self.operators.is_duplicating = true,
             _ => {}
@@ -81,51 +81,51 @@
     }
 
     fn apply_control_fault(&mut self, event: &Event, index: usize, draw: u64) {
-        let name = self.world.controls[index].name.clone();
+        let name = self.sim.controls[index].name.clone();
         let is_first = event.targets.first() == Some(&name);
         match event.kind {
-            EventKind::Freeze => self.world.freeze_control(index),
-            EventKind::Slow => self.world.set_event_delay(NodeId::Control(index), event.amount * MS),
+            EventKind::Freeze => self.sim.freeze_control(index),
+            EventKind::Slow => self.sim.set_event_delay(NodeId::Control(index), event.amount * MS),
             EventKind::Kill | EventKind::LoseDisk | EventKind::Replace => {
                 self.kill(&name, event.kind == EventKind::Replace);
                 if event.kind == EventKind::LoseDisk {
-                    self.world.controls[index].files.files.borrow_mut().clear();
+                    self.sim.controls[index].files.files.borrow_mut().clear();
                 }
             }
             EventKind::PowerLoss => {
                 self.stopped_nodes.insert(name);
-                self.world.thaw_control(index);
-                self.world.power_off_control(index, draw);
+                self.sim.thaw_control(index);
+                self.sim.power_off_control(index, draw);
             }
             EventKind::TornWrite => {
                 self.stopped_nodes.insert(name);
-                self.world.controls[index].disk_faults.tear_next_write(draw);
+                self.sim.controls[index].disk_faults.tear_next_write(draw);
             }
             EventKind::Decommission => {
-                self.world.with_control(index, |core, now| core.begin_shutdown(now));
+                self.sim.with_control(index, |core, now| core.begin_shutdown(now));
                 self.defer(TERMINATION_GRACE_US.min(event.duration_ms * MS / 2), Deferred::KillProcess(name, true));
             }
-            EventKind::DiskStall => self.world.controls[index].disk_faults.set_hanging(),
-            EventKind::DiskFull => self.world.controls[index].disk_faults.set_full(draw),
+            EventKind::DiskStall => self.sim.controls[index].disk_faults.set_hanging(),
+            EventKind::DiskFull => self.sim.controls[index].disk_faults.set_full(draw),
             EventKind::ClockStep => {
                 let step = (event.amount * MS) as i64;
-                self.world.controls[index].clock_offset_us += if event.amount % 2 == 1 { -step } else { step };
+                self.sim.controls[index].clock_offset_us += if event.amount % 2 == 1 { -step } else { step };
             }
             EventKind::ResetLinks if is_first => {
-                event.targets[1..].iter().for_each(|other| self.world.reset_links(index, other));
+                event.targets[1..].iter().for_each(|other| self.sim.reset_links(index, other));
             }
             _ => {}
         }
     }
 
     fn apply_access_fault(&mut self, event: &Event, index: usize) {
-        let name = self.world.access[index].name.clone();
+        let name = self.sim.access[index].name.clone();
         match event.kind {
-            EventKind::Freeze => self.world.freeze_access(index),
-            EventKind::Slow => self.world.set_event_delay(NodeId::Access(index), event.amount * MS),
+            EventKind::Freeze => self.sim.freeze_access(index),
+            EventKind::Slow => self.sim.set_event_delay(NodeId::Access(index), event.amount * MS),
             EventKind::Kill | EventKind::PowerLoss | EventKind::LoseDisk => self.kill(&name, false),
             EventKind::Terminate => {
-                self.world.terminate_access(index);
+                self.sim.terminate_access(index);
                 self.defer(TERMINATION_GRACE_US.min(event.duration_ms * MS / 2), Deferred::KillProcess(name, false));
             }
             _ => {}
@@ -139,27 +139,27 @@
         self.stopped_nodes.insert(name.to_owned());
         match self.find_node(name) {
             Some(NodeId::Control(index)) => {
-                self.world.thaw_control(index);
-                self.world.kill_control(index);
-                let node = &self.world.controls[index];
+                self.sim.thaw_control(index);
+                self.sim.kill_control(index);
+                let node = &self.sim.controls[index];
                 // The kernel completes the write that was in progress.
                 node.disk_faults.clear(&node.files);
             }
             Some(NodeId::Access(index)) => {
-                self.world.thaw_access(index);
-                self.world.kill_access(index);
+                self.sim.thaw_access(index);
+                self.sim.kill_access(index);
             }
             None => {}
         }
     }
 
     pub(super) fn start_control(&mut self, index: usize) {
-        let name = self.world.controls[index].name.clone();
+        let name = self.sim.controls[index].name.clone();
         self.stopped_nodes.remove(&name);
-        if self.world.controls[index].core.is_none() && !self.removed_nodes.contains(&name) {
-            let node = &self.world.controls[index];
+        if self.sim.controls[index].core.is_none() && !self.removed_nodes.contains(&name) {
+            let node = &self.sim.controls[index];
             node.disk_faults.clear(&node.files);
-            self.world.start_control(index, false);
+            self.sim.start_control(index, false);
         }
     }
 
@@ -168,22 +168,22 @@
             Deferred::EndEvent(event) => self.end_event(&event),
             Deferred::KillProcess(name, is_permanent) => self.kill(&name, is_permanent),
             Deferred::SendDelete(database) => {
-                self.world.departed.insert(database);
+                self.sim.departed.insert(database);
                 self.send_delete(database);
             }
             Deferred::StopDatabase(database) => {
-                self.world.databases[database].is_removed = true;
-                self.world.crash(database);
+                self.sim.databases[database].is_removed = true;
+                self.sim.crash(database);
             }
         }
     }
 
     fn end_event(&mut self, event: &Event) {
         let links = self.blocked_links.remove(&(event.at_ms, event.to_string())).unwrap_or_default();
-        links.iter().for_each(|(from, to)| self.world.remove_partition(from, to));
+        links.iter().for_each(|(from, to)| self.sim.remove_partition(from, to));
         match event.kind {
-            EventKind::PlatformOutage => self.world.is_platform_down = false,
-            EventKind::SlowPromotion => self.world.promotion_delay_us = 300 * MS,
+            EventKind::PlatformOutage => self.sim.is_platform_down = false,
+            EventKind::SlowPromotion => self.sim.promotion_delay_us = 300 * MS,
             EventKind::LostResponses => self.operators.is_losing_responses = false,
             EventKind::DelayedDuplicates => self.operators.is_duplicating = false,
             EventKind::Drain | EventKind::Deregister => event.targets.iter().for_each(|_| self.add_database()),
@@ -193,24 +193,24 @@
         for name in &event.targets {
             match (self.find_node(name), self.find_database(name)) {
                 (Some(NodeId::Control(index)), _) => match event.kind {
-                    EventKind::Freeze => self.world.thaw_control(index),
-                    EventKind::Slow => self.world.set_event_delay(NodeId::Control(index), 0),
+                    EventKind::Freeze => self.sim.thaw_control(index),
+                    EventKind::Slow => self.sim.set_event_delay(NodeId::Control(index), 0),
                     EventKind::Kill | EventKind::LoseDisk | EventKind::PowerLoss | EventKind::TornWrite => {
                         self.start_control(index)
                     }
                     _ => {}
                 },
                 (Some(NodeId::Access(index)), _) => match event.kind {
-                    EventKind::Freeze => self.world.thaw_access(index),
-                    EventKind::Slow => self.world.set_event_delay(NodeId::Access(index), 0),
+                    EventKind::Freeze => self.sim.thaw_access(index),
+                    EventKind::Slow => self.sim.set_event_delay(NodeId::Access(index), 0),
                     EventKind::Kill | EventKind::PowerLoss | EventKind::LoseDisk | EventKind::Terminate => {
-                        self.world.restart_access(index)
+                        self.sim.restart_access(index)
                     }
                     _ => {}
                 },
                 (None, Some(index)) => match event.kind {
-                    EventKind::Crash | EventKind::Unreachable => self.world.revive(index),
-                    EventKind::ReplicationLag => self.world.databases[index].apply_lag_us = 20 * MS,
+                    EventKind::Crash | EventKind::Unreachable => self.sim.revive(index),
+                    EventKind::ReplicationLag => self.sim.databases[index].apply_lag_us = 20 * MS,
                     _ => {}
                 },
                 (None, None) => {}
@@ -218,7 +218,7 @@
             if let (Some(NodeId::Control(index)), EventKind::DiskStall | EventKind::DiskFull | EventKind::TornWrite) =
                 (self.find_node(name), event.kind)
             {
-                let node = &self.world.controls[index];
+                let node = &self.sim.controls[index];
                 node.disk_faults.clear(&node.files);
             }
         }
@@ -228,8 +228,8 @@
     fn add_control(&mut self) {
         // The operator's node list may be outdated: with fewer than three nodes up, it also has stopped ones.
         let (running, stopped): (Vec<usize>, Vec<usize>) =
-            (0..self.world.controls.len()).partition(|index| self.world.controls[*index].core.is_some());
+            (0..self.sim.controls.len()).partition(|index| self.sim.controls[*index].core.is_some());
         let seeds: Vec<usize> = running.into_iter().chain(stopped).take(3).collect();
-        self.world.add_control(&seeds);
+        self.sim.add_control(&seeds);
     }
 }
--- a/crates/wv-simulation/src/nemesis/operator.rs
+++ b/crates/wv-simulation/src/nemesis/operator.rs
@@ -111,27 +111,27 @@
         self.tasks.iter().map(|task| task.update).collect()
     }
 
-    pub fn read(&mut self, world: &mut Simulation, removed: &BTreeSet<String>) {
-        if let Some(index) = self.pick_control(world, removed) {
-            self.call(world, CallKind::Read, index, b"", 0);
+    pub fn read(&mut self, sim: &mut Simulation, removed: &BTreeSet<String>) {
+        if let Some(index) = self.pick_control(sim, removed) {
+            self.call(sim, CallKind::Read, index, b"", 0);
         }
     }
 
-    pub fn read_from(&mut self, world: &mut Simulation, control: usize) {
-        self.call(world, CallKind::Read, control, b"", 0);
+    pub fn read_from(&mut self, sim: &mut Simulation, control: usize) {
+        self.call(sim, CallKind::Read, control, b"", 0);
     }
 
     /// A random control node that has not been removed.
-    fn pick_control(&mut self, world: &Simulation, removed: &BTreeSet<String>) -> Option<usize> {
-        let is_listed = |index: &usize| !removed.contains(&world.controls[*index].name);
-        let listed: Vec<usize> = (0..world.controls.len()).filter(is_listed).collect();
+    fn pick_control(&mut self, sim: &Simulation, removed: &BTreeSet<String>) -> Option<usize> {
+        let is_listed = |index: &usize| !removed.contains(&sim.controls[*index].name);
+        let listed: Vec<usize> = (0..sim.controls.len()).filter(is_listed).collect();
         listed.get(self.rng.below(listed.len() as u64) as usize).copied()
     }
 
-    fn call(&mut self, world: &mut Simulation, kind: CallKind, index: usize, body: &[u8], redirects: u32) -> u64 {
+    fn call(&mut self, sim: &mut Simulation, kind: CallKind, index: usize, body: &[u8], redirects: u32) -> u64 {
         let method = if matches!(kind, CallKind::Read) { "GET" } else { "PUT" };
-        let sent_us = world.now;
-        let token = world.call(index, method, "/configuration", body);
+        let sent_us = sim.now;
+        let token = sim.call(index, method, "/configuration", body);
         if token > 0 {
             self.calls.push(Call { kind, token, control: index, sent_us, redirects });
         }
@@ -139,28 +139,28 @@
     }
 
     /// Handles completed calls, and sends updates that are due.
-    pub fn poll(&mut self, world: &mut Simulation, history: &mut History, removed: &BTreeSet<String>) {
+    pub fn poll(&mut self, sim: &mut Simulation, history: &mut History, removed: &BTreeSet<String>) {
         let (completed, waiting): (Vec<Call>, Vec<Call>) =
-            std::mem::take(&mut self.calls).into_iter().partition(|call| world.responses.contains_key(&call.token));
+            std::mem::take(&mut self.calls).into_iter().partition(|call| sim.responses.contains_key(&call.token));
         self.calls = waiting;
         for call in completed {
-            let (status, body) = world.responses.remove(&call.token).unwrap_or_default();
-            self.on_response(world, history, &call, status, &body);
+            let (status, body) = sim.responses.remove(&call.token).unwrap_or_default();
+            self.on_response(sim, history, &call, status, &body);
         }
-        self.send_due(world, history, removed);
+        self.send_due(sim, history, removed);
     }
 
-    fn on_response(&mut self, world: &mut Simulation, history: &mut History, call: &Call, status: u16, body: &[u8]) {
-        let (now, control) = (world.now, world.controls[call.control].name.clone());
+    fn on_response(&mut self, sim: &mut Simulation, history: &mut History, call: &Call, status: u16, body: &[u8]) {
+        let (now, control) = (sim.now, sim.controls[call.control].name.clone());
         if status == 307 && call.redirects < REDIRECTS_MAX {
             let location = String::from_utf8_lossy(body).into_owned();
             let addr = location.trim_start_matches("http://").split('/').next().unwrap_or_default().to_owned();
-            let Some(to) = world.controls.iter().position(|node| node.addr == addr) else { return };
+            let Some(to) = sim.controls.iter().position(|node| node.addr == addr) else { return };
             let body = match call.kind {
                 CallKind::PutUpdate(update) | CallKind::Duplicate(update) => history.updates[update].body.clone(),
                 CallKind::Read => Vec::new(),
             };
-            let token = self.call(world, call.kind, to, &body, call.redirects + 1);
+            let token = self.call(sim, call.kind, to, &body, call.redirects + 1);
             let task = self.tasks.iter_mut().find(|task| task.awaited_token == call.token && call.token > 0);
             task.into_iter().for_each(|task| task.awaited_token = token);
             return;
@@ -203,13 +203,13 @@
         task.next_us = Some(now + (RETRY_DELAY_US << task.attempts.min(4)));
     }
 
-    fn send_due(&mut self, world: &mut Simulation, history: &History, removed: &BTreeSet<String>) {
-        let now = world.now;
+    fn send_due(&mut self, sim: &mut Simulation, history: &History, removed: &BTreeSet<String>) {
+        let now = sim.now;
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.duplicates).into_iter().partition(|entry| entry.0 <= now);
         self.duplicates = later;
         for (_, index, update) in due {
-            self.call(world, CallKind::Duplicate(update), index, &history.updates[update].body, 0);
+            self.call(sim, CallKind::Duplicate(update), index, &history.updates[update].body, 0);
         }
         for index in 0..self.tasks.len() {
             if self.tasks[index].next_us.is_none_or(|next_us| next_us > now) {
@@ -218,15 +218,15 @@
             // Retries go to any node.
             let to = match self.tasks[index].attempts {
                 0 => Some(self.tasks[index].control),
-                _ => self.pick_control(world, removed),
+                _ => self.pick_control(sim, removed),
             };
             let Some(to) = to else { continue };
             let update = self.tasks[index].update;
             if self.is_duplicating && self.rng.chance(60) {
-                let (after, to) = (self.rng.below(3 * S), self.pick_control(world, removed).unwrap_or(to));
+                let (after, to) = (self.rng.below(3 * S), self.pick_control(sim, removed).unwrap_or(to));
                 self.duplicates.push((now + after, to, update));
             }
-            let token = self.call(world, CallKind::PutUpdate(update), to, &history.updates[update].body, 0);
+            let token = self.call(sim, CallKind::PutUpdate(update), to, &history.updates[update].body, 0);
             let task = &mut self.tasks[index];
             task.attempts += 1;
             (task.awaited_token, task.next_us) = (token, None);
--- a/crates/wv-simulation/src/nemesis/recovery.rs
+++ b/crates/wv-simulation/src/nemesis/recovery.rs
@@ -13,7 +13,7 @@
 impl Runner {
     /// Creates a valid update and sends it, first to the named control node.
     pub(super) fn send_update(&mut self, name: &str) -> usize {
-        let (now, version) = (self.world.now, self.operators.next_version());
+        let (now, version) = (self.sim.now, self.operators.next_version());
         let update = self.operators.create_update(&mut self.history, version, 0, now);
         self.send_to(update, name, 0);
         update
@@ -24,12 +24,12 @@
             Some(crate::NodeId::Control(index)) => index,
             _ => 0,
         };
-        let at_us = self.world.now + delay_us;
+        let at_us = self.sim.now + delay_us;
         self.operators.send(update, index, at_us);
     }
 
     pub(super) fn perform_operator_action(&mut self, event: &Event) {
-        let now = self.world.now;
+        let now = self.sim.now;
         let target = |index: usize| event.targets.get(index).or(event.targets.first()).cloned().unwrap_or_default();
         match event.kind {
             EventKind::Update => {
@@ -69,19 +69,19 @@
 
     /// Checks that the fleet recovers once all faults have ended; unlimited faults promise no recovery.
     pub(super) fn check_recovery(&mut self, fault_bound: FaultBound) {
-        self.world.log_event("nemesis: all faults ended");
+        self.sim.log_event("nemesis: all faults ended");
         self.advance(CONTACT_TIMEOUT_US);
-        let is_running = |index: &usize| self.world.controls[*index].core.is_some();
-        let running: Vec<usize> = (0..self.world.controls.len()).filter(is_running).collect();
+        let is_running = |index: &usize| self.sim.controls[*index].core.is_some();
+        let running: Vec<usize> = (0..self.sim.controls.len()).filter(is_running).collect();
         if fault_bound == FaultBound::Unlimited {
-            running.into_iter().for_each(|index| self.operators.read_from(&mut self.world, index));
+            running.into_iter().for_each(|index| self.operators.read_from(&mut self.sim, index));
             return self.advance(2 * S);
         }
         for index in &running {
-            let name = self.world.controls[*index].name.clone();
-            let (started_us, update) = (self.world.now, self.send_update(&name));
+            let name = self.sim.controls[*index].name.clone();
+            let (started_us, update) = (self.sim.now, self.send_update(&name));
             while self.history.acknowledgements(update).next().is_none()
-                && self.world.now < started_us + ACKNOWLEDGE_TIMEOUT_US
+                && self.sim.now < started_us + ACKNOWLEDGE_TIMEOUT_US
             {
                 self.advance(10 * MS);
             }
@@ -100,7 +100,7 @@
             }
         }
         self.advance(APPLY_TIMEOUT_US);
-        let newest_version = self.history.newest_acknowledged(self.world.now);
+        let newest_version = self.history.newest_acknowledged(self.sim.now);
         self.check_convergence(&running, newest_version);
         self.check_service();
         let unfinished_updates = self.operators.unfinished_updates();
@@ -117,7 +117,7 @@
     /// Checks that all nodes have the newest version and agree on one voter set.
     fn check_convergence(&mut self, running: &[usize], newest_version: u64) {
         let stale: Vec<String> = self
-            .world
+            .sim
             .access
             .iter()
             .filter(|node| {
@@ -137,7 +137,7 @@
             );
         }
         let reads_before = self.history.reads.len();
-        running.iter().for_each(|index| self.operators.read_from(&mut self.world, *index));
+        running.iter().for_each(|index| self.operators.read_from(&mut self.sim, *index));
         self.advance(S);
         let reads_completed = self.history.reads.len() - reads_before;
         if reads_completed < running.len() {
@@ -146,12 +146,12 @@
                 format!("{reads_completed} of {} nodes answered a configuration read", running.len()),
             );
         }
-        let tokens: Vec<u64> = running.iter().map(|index| self.world.call(*index, "GET", "/voters", b"")).collect();
+        let tokens: Vec<u64> = running.iter().map(|index| self.sim.call(*index, "GET", "/voters", b"")).collect();
         self.advance(200 * MS);
         let voter_sets: Vec<String> = tokens
             .iter()
             .map(|token| {
-                self.world.responses.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
+                self.sim.responses.get(token).map_or(String::new(), |ret| String::from_utf8_lossy(&ret.1).into())
             })
             .collect();
         let set_numbers: std::collections::BTreeSet<Option<u64>> =
@@ -159,7 +159,7 @@
         let voters = voter_sets.iter().map(|voter_set| voter_set.matches("\"votes\"").count()).max().unwrap_or(0);
         let members = voter_sets.iter().map(|voter_set| voter_set.matches("\"address\"").count()).max().unwrap_or(0);
         // The voters must tolerate as many further losses as a set of all running core nodes would.
-        let core = running.iter().filter(|index| self.world.controls[**index].has_disk).count().min(7);
+        let core = running.iter().filter(|index| self.sim.controls[**index].has_disk).count().min(7);
         let tolerated_faults = core.saturating_sub(1) / 2;
         if set_numbers.len() != 1 || members % 2 == 0 || voters < members / 2 + 1 + tolerated_faults {
             self.record_failure(
@@ -171,13 +171,13 @@
 
     /// Checks that clients are served on both routes.
     fn check_service(&mut self) {
-        let before = [self.world.route_counts("p"), self.world.route_counts("b")];
+        let before = [self.sim.route_counts("p"), self.sim.route_counts("b")];
         self.advance(2 * S);
-        let after = [self.world.route_counts("p"), self.world.route_counts("b")];
+        let after = [self.sim.route_counts("p"), self.sim.route_counts("b")];
         for (route, (before, after)) in ["p", "b"].iter().zip(before.iter().zip(after.iter())) {
             let (done, failed) = (after.0 - before.0, after.1 - before.1);
             if done < 10 || failed > done / 4 {
-                let states = self.world.status_lines().join("; ");
+                let states = self.sim.status_lines().join("; ");
                 self.record_failure(
                     "not-served",
                     format!("route {route}: {done} operations succeeded and {failed} failed within 2 s; {states}"),
--- a/crates/wv-simulation/src/nemesis/run.rs
+++ b/crates/wv-simulation/src/nemesis/run.rs
@@ -21,7 +21,7 @@
 }
 
 pub(super) struct Runner {
-    pub world: Simulation,
+    pub sim: Simulation,
     pub rng: Rng,
     pub history: History,
     pub operators: OperatorClients,
@@ -44,16 +44,16 @@
 /// Runs a schedule and the recovery checks after it, and returns the history.
 pub fn run(schedule: &Schedule) -> History {
     let tolerated_faults = (schedule.core_nodes.min(7) - 1) / 2;
-    let mut world = Simulation::with_tolerance(
+    let mut sim = Simulation::with_tolerance(
         schedule.access_nodes,
         schedule.core_nodes,
         &["s".to_owned()],
         tolerated_faults.max(1),
     );
-    world.has_link_timeouts = true;
-    world.rng = Rng::new(schedule.seed ^ 0x5eed);
+    sim.has_link_timeouts = true;
+    sim.rng = Rng::new(schedule.seed ^ 0x5eed);
     (0..schedule.diskless_nodes).for_each(|_| {
-        world.add_diskless_control();
+        sim.add_diskless_control();
     });
     let mut runner = Runner {
         operators: OperatorClients::new(schedule.seed),
@@ -68,24 +68,24 @@
         observed: BTreeMap::new(),
         next_read_us: 0,
         next_restart_us: 0,
-        world,
+        sim,
     };
     runner.advance(2 * S);
     runner.send_update("c0");
     runner.advance(S);
-    runner.world.start_load(4, "p");
-    runner.world.start_load(2, "b");
+    runner.sim.start_load(4, "p");
+    runner.sim.start_load(2, "b");
     runner.advance(2 * S);
-    let start_us = runner.world.now;
+    let start_us = runner.sim.now;
     for event in &schedule.events {
         let at_us = start_us + event.at_ms * MS;
-        runner.advance(at_us.saturating_sub(runner.world.now));
+        runner.advance(at_us.saturating_sub(runner.sim.now));
         runner.rng = Rng::new(schedule.seed ^ event.at_ms);
         runner.begin_event(event);
     }
     // Lets the events that are still active end.
     while let Some(((end_us, _), _)) = runner.pending.last_key_value() {
-        let remaining_us = end_us.saturating_sub(runner.world.now);
+        let remaining_us = end_us.saturating_sub(runner.sim.now);
         runner.advance(remaining_us + POLL_INTERVAL_US);
     }
     runner.check_recovery(schedule.fault_bound);
@@ -95,17 +95,17 @@
 impl Runner {
     pub(super) fn defer(&mut self, after_us: u64, action: Deferred) {
         self.sequence += 1;
-        self.pending.insert((self.world.now + after_us, self.sequence), action);
+        self.pending.insert((self.sim.now + after_us, self.sequence), action);
     }
 
     /// Advances the virtual time and performs the deferred actions that become due.
     pub(super) fn advance(&mut self, us: u64) {
-        let end = self.world.now + us;
-        while self.world.now < end {
+        let end = self.sim.now + us;
+        while self.sim.now < end {
             let due = self.pending.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
-            let next = (self.world.now + POLL_INTERVAL_US).min(end).min(due.max(self.world.now));
-            self.world.run(next - self.world.now);
-            while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= self.world.now) {
+            let next = (self.sim.now + POLL_INTERVAL_US).min(end).min(due.max(self.sim.now));
+            self.sim.run(next - self.sim.now);
+            while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= self.sim.now) {
                 let action = entry.remove();
                 self.perform(action);
             }
@@ -115,13 +115,13 @@
 
     /// Polls responses, records versions and primaries, and restarts control nodes that failed to start.
     fn observe(&mut self) {
-        let now = self.world.now;
-        self.operators.poll(&mut self.world, &mut self.history, &self.removed_nodes);
+        let now = self.sim.now;
+        self.operators.poll(&mut self.sim, &mut self.history, &self.removed_nodes);
         if self.next_read_us <= now {
             self.next_read_us = now + READ_INTERVAL_US;
-            self.operators.read(&mut self.world, &self.removed_nodes);
+            self.operators.read(&mut self.sim, &self.removed_nodes);
         }
-        for (index, node) in self.world.access.iter().enumerate() {
+        for (index, node) in self.sim.access.iter().enumerate() {
             let Some(core) = node.core.as_ref() else { continue };
             let version = core.held_configuration_version();
             if self.observed.insert((index, node.incarnation), version) != Some(version) {
@@ -130,8 +130,8 @@
                 self.history.observed_versions.push(observation);
             }
         }
-        for base in self.world.databases.iter().filter(|base| base.is_primary && base.is_up) {
-            let primary = (base.service.clone(), base.term, base.id.clone());
+        for database in self.sim.databases.iter().filter(|database| database.is_primary && database.is_up) {
+            let primary = (database.service.clone(), database.term, database.id.clone());
             if !self.history.primaries.contains(&primary) {
                 self.history.primaries.push(primary);
             }
@@ -139,22 +139,22 @@
         self.retry_deletes();
         if self.next_restart_us <= now {
             self.next_restart_us = now + RESTART_INTERVAL_US;
-            let is_stopped = |index: &usize| self.world.controls[*index].core.is_none();
+            let is_stopped = |index: &usize| self.sim.controls[*index].core.is_none();
             let is_intended = |index: &usize| {
-                let name = &self.world.controls[*index].name;
+                let name = &self.sim.controls[*index].name;
                 self.stopped_nodes.contains(name) || self.removed_nodes.contains(name)
             };
             let stopped: Vec<usize> =
-                (0..self.world.controls.len()).filter(is_stopped).filter(|index| !is_intended(index)).collect();
+                (0..self.sim.controls.len()).filter(is_stopped).filter(|index| !is_intended(index)).collect();
             stopped.into_iter().for_each(|index| self.start_control(index));
         }
     }
 
     /// Repeats the DELETE of each removed database until it is acknowledged.
     fn retry_deletes(&mut self) {
-        let now = self.world.now;
+        let now = self.sim.now;
         for (database, token, sent_us) in std::mem::take(&mut self.pending_deletes) {
-            let is_acknowledged = self.world.responses.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
+            let is_acknowledged = self.sim.responses.get(&token).is_some_and(|ret| ret.0 / 100 == 2);
             match sent_us + 300 * MS <= now {
                 _ if is_acknowledged => {}
                 true => self.send_delete(database),
@@ -164,38 +164,39 @@
     }
 
     pub(super) fn send_delete(&mut self, database: usize) {
-        let path = format!("/instances/{}", self.world.databases[database].id);
-        let is_running = |index: &usize| self.world.controls[*index].core.is_some();
-        let running: Vec<usize> = (0..self.world.controls.len()).filter(is_running).collect();
+        let path = format!("/instances/{}", self.sim.databases[database].id);
+        let is_running = |index: &usize| self.sim.controls[*index].core.is_some();
+        let running: Vec<usize> = (0..self.sim.controls.len()).filter(is_running).collect();
         let to = running.get(self.rng.below(running.len() as u64) as usize).copied();
-        let token = to.map_or(0, |to| self.world.call(to, "DELETE", &path, b""));
-        self.pending_deletes.push((database, token, self.world.now));
+        let token = to.map_or(0, |to| self.sim.call(to, "DELETE", &path, b""));
+        self.pending_deletes.push((database, token, self.sim.now));
     }
 
     fn finish(mut self) -> History {
-        self.world.stop_load();
+        self.sim.stop_load();
         self.advance(crate::SETTLE_US);
-        let (done, failed) = self.world.load_counts();
+        let (done, failed) = self.sim.load_counts();
         (self.history.done, self.history.failed) = (done, failed);
         // Without a primary there is no log to compare with; the recovery checks report that case.
-        let has_primary = self.world.databases.iter().any(|base| base.is_primary);
+        let has_primary = self.sim.databases.iter().any(|database| database.is_primary);
         self.history.statement_violations = match has_primary {
-            true => self.world.check_rules(),
-            false => std::mem::take(&mut self.world.oracle.violations),
-        };
-        let platform_calls = self.world.promotion_calls.iter().zip(&self.world.promotion_callers);
-        let to_call = |((service, id, fence, code), (at, control, life)): (&(String, String, u64, Option<u16>), &_)| {
-            PlatformCall {
-                at_us: *at,
-                holder: (*control, *life),
-                service: service.clone(),
-                instance_id: id.clone(),
-                fencing_token: *fence,
-                status: *code,
-            }
+            true => self.sim.check_rules(),
+            false => std::mem::take(&mut self.sim.oracle.violations),
         };
+        let platform_calls = self.sim.promotion_calls.iter().zip(&self.sim.promotion_callers);
+        let to_call =
+            |((service, id, fence, code), (at, control, incarnation)): (&(String, String, u64, Option<u16>), &_)| {
+                PlatformCall {
+                    at_us: *at,
+                    holder: (*control, *incarnation),
+                    service: service.clone(),
+                    instance_id: id.clone(),
+                    fencing_token: *fence,
+                    status: *code,
+                }
+            };
         self.history.platform_calls = platform_calls.map(to_call).collect();
-        self.history.timeline = std::mem::take(&mut self.world.event_log);
+        self.history.timeline = std::mem::take(&mut self.sim.event_log);
         self.history
     }
 }
--- a/crates/wv-simulation/src/nodes.rs
+++ b/crates/wv-simulation/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Access and control nodes; starts and stops access nodes and applies the actions of their cores.
+//! Access and control nodes; starts and stops access nodes and applies the effects of their cores.
 use crate::simulation::{Event, Simulation, LINK_DELAY_US};
 use crate::{MS, S};
 use std::collections::BTreeMap;
@@ -110,10 +110,10 @@
         let disconnected = self.clients.iter().filter(|client| client.node == at).filter(is_notified);
         let disconnected: Vec<u64> = disconnected.filter_map(|client| client.id).collect();
         disconnected.into_iter().for_each(|id| self.on_client_closed(at, id));
-        let keys: Vec<(usize, u64)> = self.db_conns.keys().filter(|key| key.0 == at).copied().collect();
+        let keys: Vec<(usize, u64)> = self.database_connections.keys().filter(|key| key.0 == at).copied().collect();
         for key in keys {
-            if let Some((database, conn)) = self.remove_connection(key) {
-                self.databases[database].conns.remove(&conn);
+            if let Some((database, connection_id)) = self.remove_connection(key) {
+                self.databases[database].connections.remove(&connection_id);
             }
         }
     }
@@ -126,7 +126,7 @@
         let now = self.now;
         let core = self.access[at].core.as_mut()?;
         let ret = event(core, now);
-        let actions = core.take_effects();
+        let effects = core.take_effects();
         let next = core.next_timer_at();
         let health_reports = if core.has_health_reports() {
             core.take_health_reports(wv_access::ReportScope::Changes)
@@ -134,7 +134,7 @@
             Vec::new()
         };
         let split_reports = if core.has_health_reports() { core.take_split_reports(false) } else { Vec::new() };
-        actions.into_iter().for_each(|action| self.apply_access_action(at, action));
+        effects.into_iter().for_each(|effect| self.apply_access_effect(at, effect));
         if let Some(next) = next.filter(|next| *next < self.access[at].timer_us) {
             self.access[at].timer_us = next;
             self.schedule(next.saturating_sub(now), Event::AccessTimer(at));
@@ -148,8 +148,8 @@
         Some(ret)
     }
 
-    fn apply_access_action(&mut self, at: usize, action: AccessEffect) {
-        match action {
+    fn apply_access_effect(&mut self, at: usize, effect: AccessEffect) {
+        match effect {
             AccessEffect::DialPeer { link, address: place } => self.dial_peer(at, link, &place),
             AccessEffect::SendToPeer { link, message: msg } => self.send_to_peer(at, link, msg),
             AccessEffect::WriteClient(id) => {
@@ -170,16 +170,16 @@
                 let core = self.access[at].core.as_mut();
                 let out = core.and_then(|core| core.db_output(db)).map(std::mem::take).unwrap_or_default();
                 let name = self.access[at].name.clone();
-                if let Some((database, conn)) = self.db_conns.get(&(at, db)).copied() {
+                if let Some((database, connection_id)) = self.database_connections.get(&(at, db)).copied() {
                     if !self.is_dropped(&name, &self.databases[database].id.clone()) {
-                        self.schedule(LINK_DELAY_US, Event::DbIn { database, conn, bytes: out });
+                        self.schedule(LINK_DELAY_US, Event::DbIn { database, connection_id, bytes: out });
                     }
                 }
             }
             AccessEffect::CloseDb(db) => {
-                if let Some((database, conn)) = self.remove_connection((at, db)) {
-                    self.databases[database].conns.remove(&conn);
-                    self.databases[database].busy.remove(&conn);
+                if let Some((database, connection_id)) = self.remove_connection((at, db)) {
+                    self.databases[database].connections.remove(&connection_id);
+                    self.databases[database].busy.remove(&connection_id);
                 }
             }
             AccessEffect::OpenDb { db, addr } => self.open_db(at, db, &addr),
--- a/crates/wv-simulation/src/oracle.rs
+++ b/crates/wv-simulation/src/oracle.rs
@@ -1,4 +1,4 @@
-//! Consistency checks over what the simulated databases executed and what clients were told.
+//! Consistency checks over what the simulated databases executed and what clients received.
 use crate::Database;
 use std::collections::BTreeMap;
 
--- a/crates/wv-simulation/src/partitions.rs
+++ b/crates/wv-simulation/src/partitions.rs
@@ -82,14 +82,14 @@
             Event::LinkMessage { to: end, .. } | Event::LinkDown { end } => {
                 Some((self.end_name(self.opposite_end(*end)?), self.end_name(*end)))
             }
-            Event::DbIn { database, conn, .. } => {
-                let (access, _) = self.connection_owner(*database, *conn)?;
+            Event::DbIn { database, connection_id, .. } => {
+                let (access, _) = self.connection_owner(*database, *connection_id)?;
                 Some((self.access[access].name.clone(), self.databases[*database].id.clone()))
             }
             Event::DbOpened { access, db, .. }
             | Event::DbOut { access, db, .. }
             | Event::DbEnd { access, db, lost: ConnectionLoss::Closed, .. } => {
-                let (database, _) = self.db_conns.get(&(*access, *db))?;
+                let (database, _) = self.database_connections.get(&(*access, *db))?;
                 Some((self.databases[*database].id.clone(), self.access[*access].name.clone()))
             }
             _ => None,
@@ -153,7 +153,7 @@
 
     fn connection_of(&self, event: &Event) -> Option<(usize, u64)> {
         match event {
-            Event::DbIn { database, conn, .. } => self.connection_owner(*database, *conn),
+            Event::DbIn { database, connection_id, .. } => self.connection_owner(*database, *connection_id),
             Event::DbOpened { access, db, .. } | Event::DbOut { access, db, .. } => Some((*access, *db)),
             _ => None,
         }
@@ -168,9 +168,9 @@
         if self.access[access].incarnation != incarnation || !self.blocked_events.iter().any(has_timed_out) {
             return;
         }
-        if let Some((database, conn)) = self.remove_connection((access, db)) {
-            self.databases[database].conns.remove(&conn);
-            self.databases[database].busy.remove(&conn);
+        if let Some((database, connection_id)) = self.remove_connection((access, db)) {
+            self.databases[database].connections.remove(&connection_id);
+            self.databases[database].busy.remove(&connection_id);
         }
         self.schedule(0, Event::DbEnd { access, db, lost: ConnectionLoss::Unreachable, incarnation });
     }
--- a/crates/wv-simulation/src/split_checks.rs
+++ b/crates/wv-simulation/src/split_checks.rs
@@ -22,14 +22,14 @@
             // Without a connection no statement was sent: the empty list of replies says so.
             return self.schedule(100 * MS, Event::StatementsDone { control, run, replies: Some(Vec::new()) });
         };
-        self.next_conn += 1;
-        let conn = self.next_conn;
-        self.databases[database].conns.insert(conn, Connection { state: b'I', ..Connection::default() });
+        self.next_connection_id += 1;
+        let connection_id = self.next_connection_id;
+        self.databases[database].connections.insert(connection_id, Connection { state: b'I', ..Connection::default() });
         let statements = statements.to_vec();
         let is_copy = statements.last().is_some_and(|text| text == "COMMIT");
         self.schedule(
             if is_copy { self.copy_delay_us } else { self.statements_delay_us },
-            Event::RunStatements { control, run, database, conn, statements },
+            Event::RunStatements { control, run, database, connection_id, statements },
         );
     }
 
@@ -38,12 +38,12 @@
         control: usize,
         run: u64,
         database: usize,
-        conn: u64,
+        connection_id: u64,
         statements: &[String],
     ) {
         let mut replies = Vec::new();
         for text in statements {
-            let Some(reply) = self.run_own_statement(database, conn, text) else {
+            let Some(reply) = self.run_own_statement(database, connection_id, text) else {
                 return self.schedule(LINK_DELAY_US, Event::StatementsDone { control, run, replies: None });
             };
             let is_over = reply.code.is_some();
@@ -53,24 +53,24 @@
             }
         }
         // Closing the connection rolls back an open transaction.
-        self.databases[database].conns.remove(&conn);
+        self.databases[database].connections.remove(&connection_id);
         let wait = LINK_DELAY_US + STATEMENT_US * statements.len() as u64;
         self.schedule(wait, Event::StatementsDone { control, run, replies: Some(replies) });
     }
 
-    fn run_own_statement(&mut self, database: usize, conn: u64, text: &str) -> Option<Reply> {
-        if !self.databases[database].is_up || !self.databases[database].conns.contains_key(&conn) {
+    fn run_own_statement(&mut self, database: usize, connection_id: u64, text: &str) -> Option<Reply> {
+        if !self.databases[database].is_up || !self.databases[database].connections.contains_key(&connection_id) {
             return None;
         }
-        let output = match self.databases[database].execute(conn, text) {
+        let output = match self.databases[database].execute(connection_id, text) {
             Outcome::Reply(output) => output,
             Outcome::Status => self.databases[database].status_lines(),
             Outcome::Read(rows) => self.databases[database].complete_lines(&rows, "own", b'T'),
             Outcome::Buffer(write) => {
                 let write = Write { tag: "-".to_owned(), ..write };
                 self.databases[database]
-                    .conns
-                    .get_mut(&conn)
+                    .connections
+                    .get_mut(&connection_id)
                     .into_iter()
                     .for_each(|connection| connection.writes.push(write.clone()));
                 self.databases[database].complete_lines("", "own", b'T')
--- a/crates/wv-simulation/src/workload.rs
+++ b/crates/wv-simulation/src/workload.rs
@@ -34,7 +34,7 @@
     pub session: usize,
     pub kind: RequestKind,
     pub deadline: u64,
-    pub asked_node: Option<usize>,
+    pub contacted_node: Option<usize>,
     pub served_node: Option<usize>,
     pub done_us: u64,
     pub outcome: RequestOutcome,
@@ -95,13 +95,13 @@
     }
 
     pub fn add_request(&mut self, at: u64, session: usize, kind: RequestKind, deadline: u64) {
-        let (asked_node, served_node) = (None, None);
+        let (contacted_node, served_node) = (None, None);
         self.requests.push(Request {
             at,
             session,
             kind,
             deadline,
-            asked_node,
+            contacted_node,
             served_node,
             done_us: 0,
             outcome: RequestOutcome::Open,
@@ -189,7 +189,7 @@
     pub(crate) fn on_request_arrival(&mut self, request: usize) {
         let session = self.workload.requests[request].session;
         let client = self.workload.sessions[session].client;
-        self.workload.requests[request].asked_node = client.map(|client| self.clients[client].node);
+        self.workload.requests[request].contacted_node = client.map(|client| self.clients[client].node);
         self.workload.sessions[session].queue.push_back(request);
         let wait = self.workload.requests[request].deadline.saturating_sub(self.now);
         self.schedule(wait, Event::RequestDeadline { request });
--- a/crates/wv-simulation/tests/control_startup.rs
+++ b/crates/wv-simulation/tests/control_startup.rs
@@ -7,68 +7,68 @@
 
 #[gtest]
 fn given_a_single_control_node_then_it_is_its_own_majority() {
-    let mut world = Simulation::configured(2, 1);
+    let mut sim = Simulation::configured(2, 1);
     expect_that!(
-        call_timed(&mut world, 0, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "in_service", 1)),
+        call_timed(&mut sim, 0, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "in_service", 1)),
         eq((200, 0))
     );
     expect_that!(
-        call_timed(&mut world, 0, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "draining", 2)),
+        call_timed(&mut sim, 0, ("PUT", "/instances/i-x"), &heartbeat("10.9.0.1:1", "draining", 2)),
         eq((200, 0))
     );
-    expect_that!(call_timed(&mut world, 0, ("DELETE", "/instances/i-x"), b""), eq((200, 0)));
-    world.freeze_control(0);
-    world.run(20 * S);
-    world.thaw_control(0);
-    expect_that!(call_timed(&mut world, 0, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
-    world.run(3 * S);
-    expect_that!(all_access_nodes_serve(&mut world, "c"), eq(true));
+    expect_that!(call_timed(&mut sim, 0, ("DELETE", "/instances/i-x"), b""), eq((200, 0)));
+    sim.freeze_control(0);
+    sim.run(20 * S);
+    sim.thaw_control(0);
+    expect_that!(call_timed(&mut sim, 0, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+    sim.run(3 * S);
+    expect_that!(all_access_nodes_serve(&mut sim, "c"), eq(true));
 }
 
 #[gtest]
 fn given_a_first_start_in_any_order_then_all_control_nodes_catch_up() {
     for round in 0..12u64 {
-        let mut world = Simulation::new(3, 5);
-        (0..5).for_each(|at| world.kill_control(at));
-        world.controls.iter().for_each(|control| control.files.files.borrow_mut().clear());
-        let start = world.now;
-        let mut starts: Vec<(u64, usize)> = (0..5).map(|at| (world.rng.below(300 + round) * MS, at)).collect();
+        let mut sim = Simulation::new(3, 5);
+        (0..5).for_each(|at| sim.kill_control(at));
+        sim.controls.iter().for_each(|control| control.files.files.borrow_mut().clear());
+        let start = sim.now;
+        let mut starts: Vec<(u64, usize)> = (0..5).map(|at| (sim.rng.below(300 + round) * MS, at)).collect();
         starts.sort_unstable();
         for (delay_us, at) in starts {
-            world.run((start + delay_us).saturating_sub(world.now));
-            world.start_control(at, true);
+            sim.run((start + delay_us).saturating_sub(sim.now));
+            sim.start_control(at, true);
         }
-        world.run(S);
-        expect_that!((0..5).filter(|at| is_caught_up(&world, *at)).count(), eq(5), "round {round}");
+        sim.run(S);
+        expect_that!((0..5).filter(|at| is_caught_up(&sim, *at)).count(), eq(5), "round {round}");
         expect_that!(
-            call_timed(&mut world, (round % 5) as usize, PUT_CONFIG, &Simulation::config(1)).0,
+            call_timed(&mut sim, (round % 5) as usize, PUT_CONFIG, &Simulation::config(1)).0,
             eq(200),
             "round {round}"
         );
-        world.run(2 * S);
-        expect_that!(all_access_nodes_serve(&mut world, "b"), eq(true), "round {round}");
+        sim.run(2 * S);
+        expect_that!(all_access_nodes_serve(&mut sim, "b"), eq(true), "round {round}");
     }
 }
 
 #[gtest]
 fn given_all_control_nodes_restarted_at_once_or_in_turn_then_all_catch_up() {
     for (offset, interval_ms) in [0, 40, 333, 1500].into_iter().enumerate() {
-        let mut world = Simulation::configured(4, 5);
-        expect_that!(call_timed(&mut world, 1, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
-        world.run(S);
-        (0..5).for_each(|at| world.kill_control(at));
-        world.run(3 * S);
+        let mut sim = Simulation::configured(4, 5);
+        expect_that!(call_timed(&mut sim, 1, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+        sim.run(S);
+        (0..5).for_each(|at| sim.kill_control(at));
+        sim.run(3 * S);
         for at in 0..5 {
-            world.start_control((at + offset) % 5, false);
-            world.run(interval_ms * MS);
+            sim.start_control((at + offset) % 5, false);
+            sim.run(interval_ms * MS);
         }
         // Access nodes continue to serve with the configuration they have.
-        expect_that!(all_access_nodes_serve(&mut world, "c"), eq(true));
-        world.run(2 * S);
-        expect_that!((0..5).filter(|at| is_caught_up(&world, *at)).count(), eq(5), "{interval_ms} ms apart");
-        expect_that!(world.followed_controls(), each(some(anything())));
-        expect_that!(call_timed(&mut world, 4, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200));
-        world.run(2 * S);
-        expect_that!(all_access_nodes_serve(&mut world, "d"), eq(true));
+        expect_that!(all_access_nodes_serve(&mut sim, "c"), eq(true));
+        sim.run(2 * S);
+        expect_that!((0..5).filter(|at| is_caught_up(&sim, *at)).count(), eq(5), "{interval_ms} ms apart");
+        expect_that!(sim.followed_controls(), each(some(anything())));
+        expect_that!(call_timed(&mut sim, 4, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200));
+        sim.run(2 * S);
+        expect_that!(all_access_nodes_serve(&mut sim, "d"), eq(true));
     }
 }
--- a/crates/wv-simulation/tests/drain_timeout.rs
+++ b/crates/wv-simulation/tests/drain_timeout.rs
@@ -6,78 +6,78 @@
 use wv_simulation::{Simulation, DRAIN_BOUND_US, MS, S};
 
 /// The database reports `draining`.
-fn start_drain(world: &mut Simulation, db: usize) {
-    world.databases[db].is_draining = true;
-    world.run(1300 * MS);
+fn start_drain(sim: &mut Simulation, db: usize) {
+    sim.databases[db].is_draining = true;
+    sim.run(1300 * MS);
 }
 
 #[gtest]
 fn given_a_draining_primary_with_unreachable_replicas_then_it_gets_no_new_work_after_the_timeout() {
-    let mut world = serving_under_load(4, 3);
-    world.make_unreachable(1);
-    world.make_unreachable(2);
-    start_drain(&mut world, 0);
-    world.run(DRAIN_BOUND_US + 3 * S);
-    expect_that!(world.primary(), eq(0), "no replica can be promoted");
-    expect_that!(finish_and_check(&mut world), is_empty());
+    let mut sim = serving_under_load(4, 3);
+    sim.make_unreachable(1);
+    sim.make_unreachable(2);
+    start_drain(&mut sim, 0);
+    sim.run(DRAIN_BOUND_US + 3 * S);
+    expect_that!(sim.primary(), eq(0), "no replica can be promoted");
+    expect_that!(finish_and_check(&mut sim), is_empty());
 }
 
 #[gtest]
 fn given_a_draining_database_without_replicas_then_it_gets_no_new_work_after_the_timeout() {
-    let mut world = serving_under_load(4, 3);
+    let mut sim = serving_under_load(4, 3);
     for db in [1, 2] {
-        world.databases[db].is_removed = true;
-        let id = world.databases[db].id.clone();
-        world.call(db, "DELETE", &format!("/instances/{id}"), b"");
-        world.crash(db);
+        sim.databases[db].is_removed = true;
+        let id = sim.databases[db].id.clone();
+        sim.call(db, "DELETE", &format!("/instances/{id}"), b"");
+        sim.crash(db);
     }
-    world.run(4 * S);
-    start_drain(&mut world, 0);
-    world.run(DRAIN_BOUND_US + 3 * S);
-    expect_that!(finish_and_check(&mut world), is_empty());
+    sim.run(4 * S);
+    start_drain(&mut sim, 0);
+    sim.run(DRAIN_BOUND_US + 3 * S);
+    expect_that!(finish_and_check(&mut sim), is_empty());
 }
 
 #[gtest]
 fn given_a_successor_lost_during_a_drain_then_the_third_database_is_promoted_within_the_timeout() {
-    let mut world = serving_under_load(4, 3);
-    start_drain(&mut world, 0);
-    let successor = world.primary();
+    let mut sim = serving_under_load(4, 3);
+    start_drain(&mut sim, 0);
+    let successor = sim.primary();
     expect_that!(successor, not(eq(0)));
     // Of the two replicas only the draining one receives; the other falls behind.
     let third = 3 - successor;
-    world.databases[third].is_log_blocked = true;
-    world.run(S);
-    world.make_unreachable(successor);
-    world.run(2500 * MS);
-    expect_that!(world.primary(), eq(0), "it alone has all acknowledged writes");
-    world.databases[third].is_log_blocked = false;
-    world.run(1500 * MS);
-    expect_that!(world.primary(), eq(third), "it has caught up and replaces the draining database");
-    world.run(DRAIN_BOUND_US);
-    expect_that!(finish_and_check(&mut world), is_empty());
+    sim.databases[third].is_log_blocked = true;
+    sim.run(S);
+    sim.make_unreachable(successor);
+    sim.run(2500 * MS);
+    expect_that!(sim.primary(), eq(0), "it alone has all acknowledged writes");
+    sim.databases[third].is_log_blocked = false;
+    sim.run(1500 * MS);
+    expect_that!(sim.primary(), eq(third), "it has caught up and replaces the draining database");
+    sim.run(DRAIN_BOUND_US);
+    expect_that!(finish_and_check(&mut sim), is_empty());
 }
 
 /// Drains a primary without a successor and runs `fault` right after the acknowledgement; returns the violations.
 fn drain_without_successor(fault: impl FnOnce(&mut Simulation)) -> Vec<String> {
-    let mut world = serving_under_load(4, 3);
-    world.make_unreachable(1);
-    world.make_unreachable(2);
-    start_drain(&mut world, 0);
-    fault(&mut world);
-    world.run(DRAIN_BOUND_US + 4 * S);
-    finish_and_check(&mut world)
+    let mut sim = serving_under_load(4, 3);
+    sim.make_unreachable(1);
+    sim.make_unreachable(2);
+    start_drain(&mut sim, 0);
+    fault(&mut sim);
+    sim.run(DRAIN_BOUND_US + 4 * S);
+    finish_and_check(&mut sim)
 }
 
 #[gtest]
 fn given_a_power_loss_of_all_nodes_after_a_drain_is_acknowledged_then_the_timeout_still_applies() {
     for delay_ms in [0, 30, 120, 700, 2500] {
-        let violations = drain_without_successor(|world| {
-            world.run(delay_ms * MS);
-            (0..3).for_each(|at| world.power_off_control(at, delay_ms));
-            (0..4).for_each(|at| world.kill_access(at));
-            world.run(300 * MS);
-            (0..3).for_each(|at| world.start_control(at, false));
-            (0..4).for_each(|at| world.start_access(at));
+        let violations = drain_without_successor(|sim| {
+            sim.run(delay_ms * MS);
+            (0..3).for_each(|at| sim.power_off_control(at, delay_ms));
+            (0..4).for_each(|at| sim.kill_access(at));
+            sim.run(300 * MS);
+            (0..3).for_each(|at| sim.start_control(at, false));
+            (0..4).for_each(|at| sim.start_access(at));
         });
         expect_that!(violations, is_empty(), "{delay_ms} ms after");
     }
@@ -85,12 +85,12 @@
 
 #[gtest]
 fn given_control_nodes_killed_in_turn_then_the_drain_timeout_is_not_restarted() {
-    let violations = drain_without_successor(|world| {
+    let violations = drain_without_successor(|sim| {
         for at in 0..3 {
-            world.kill_control(at);
-            world.run(200 * MS);
-            world.start_control(at, false);
-            world.run(1200 * MS);
+            sim.kill_control(at);
+            sim.run(200 * MS);
+            sim.start_control(at, false);
+            sim.run(1200 * MS);
         }
     });
     expect_that!(violations, is_empty());
@@ -99,25 +99,25 @@
 #[gtest]
 fn given_an_access_node_paused_during_a_drain_then_the_timeout_applies_once_it_reconnects() {
     for pause_s in [1, 3, 5, 6, 8] {
-        let mut world = serving_under_load(4, 3);
-        world.make_unreachable(1);
-        world.make_unreachable(2);
-        world.freeze_access(0);
-        start_drain(&mut world, 0);
-        world.run(pause_s * S);
-        world.thaw_access(0);
-        world.run(DRAIN_BOUND_US + 4 * S);
-        expect_that!(finish_and_check(&mut world), is_empty(), "resumed after {pause_s} s");
+        let mut sim = serving_under_load(4, 3);
+        sim.make_unreachable(1);
+        sim.make_unreachable(2);
+        sim.freeze_access(0);
+        start_drain(&mut sim, 0);
+        sim.run(pause_s * S);
+        sim.thaw_access(0);
+        sim.run(DRAIN_BOUND_US + 4 * S);
+        expect_that!(finish_and_check(&mut sim), is_empty(), "resumed after {pause_s} s");
     }
 }
 
 #[gtest]
 fn given_a_control_node_paused_during_a_drain_then_the_timeout_applies_at_its_followers() {
     for at in 0..3 {
-        let violations = drain_without_successor(|world| {
-            world.freeze_control(at);
-            world.run(2500 * MS);
-            world.thaw_control(at);
+        let violations = drain_without_successor(|sim| {
+            sim.freeze_control(at);
+            sim.run(2500 * MS);
+            sim.thaw_control(at);
         });
         expect_that!(violations, is_empty(), "c{at}");
     }
@@ -126,71 +126,71 @@
 #[gtest]
 fn given_a_control_partition_during_a_drain_then_the_timeout_applies_on_both_sides() {
     for isolated in 0..3 {
-        let mut world = serving_under_load(4, 3);
-        world.make_unreachable(1);
-        world.make_unreachable(2);
+        let mut sim = serving_under_load(4, 3);
+        sim.make_unreachable(1);
+        sim.make_unreachable(2);
         let others: Vec<usize> = (0..3).filter(|at| *at != isolated).collect();
         for other in &others {
             let (one, other) = (format!("c{isolated}"), format!("c{other}"));
-            world.add_partition(&one, &other);
-            world.add_partition(&other, &one);
+            sim.add_partition(&one, &other);
+            sim.add_partition(&other, &one);
         }
-        start_drain(&mut world, 0);
-        world.run(3 * S);
+        start_drain(&mut sim, 0);
+        sim.run(3 * S);
         for other in &others {
             let (one, other) = (format!("c{isolated}"), format!("c{other}"));
-            world.remove_partition(&one, &other);
-            world.remove_partition(&other, &one);
+            sim.remove_partition(&one, &other);
+            sim.remove_partition(&other, &one);
         }
-        world.run(DRAIN_BOUND_US + 2 * S);
-        expect_that!(finish_and_check(&mut world), is_empty(), "c{isolated} isolated");
+        sim.run(DRAIN_BOUND_US + 2 * S);
+        expect_that!(finish_and_check(&mut sim), is_empty(), "c{isolated} isolated");
     }
 }
 
 #[gtest]
 fn given_a_primary_that_deregisters_without_draining_then_the_reachable_replica_is_promoted() {
-    let mut world = serving_under_load(4, 3);
-    world.make_unreachable(2);
-    world.run(S);
-    let id = world.databases[0].id.clone();
+    let mut sim = serving_under_load(4, 3);
+    sim.make_unreachable(2);
+    sim.run(S);
+    let id = sim.databases[0].id.clone();
     // It continues to serve and sends no more heartbeats.
-    world.departed.insert(0);
-    world.call(1, "DELETE", &format!("/instances/{id}"), b"");
-    world.run(3 * S);
-    expect_that!(world.primary(), eq(1));
-    let done = world.load_counts().0;
-    world.run(S);
-    expect_that!(world.load_counts().0, gt(done + 50));
-    expect_that!(finish_and_check(&mut world), is_empty());
+    sim.departed.insert(0);
+    sim.call(1, "DELETE", &format!("/instances/{id}"), b"");
+    sim.run(3 * S);
+    expect_that!(sim.primary(), eq(1));
+    let done = sim.load_counts().0;
+    sim.run(S);
+    expect_that!(sim.load_counts().0, gt(done + 50));
+    expect_that!(finish_and_check(&mut sim), is_empty());
 }
 
 #[gtest]
 fn given_an_unreachable_replica_ahead_of_the_candidate_then_the_draining_primary_is_not_replaced() {
-    let mut world = serving_under_load(4, 3);
+    let mut sim = serving_under_load(4, 3);
     // The candidate receives nothing; the other replica becomes unreachable with all writes.
-    world.databases[1].is_log_blocked = true;
-    world.run(S);
-    world.make_unreachable(2);
-    start_drain(&mut world, 0);
-    world.run(5 * S);
-    expect_that!(world.primary(), eq(0));
-    expect_that!(world.promotion_calls, is_empty());
+    sim.databases[1].is_log_blocked = true;
+    sim.run(S);
+    sim.make_unreachable(2);
+    start_drain(&mut sim, 0);
+    sim.run(5 * S);
+    expect_that!(sim.primary(), eq(0));
+    expect_that!(sim.promotion_calls, is_empty());
     expect_that!(
-        world.event_log.iter().any(|(_, text)| text.contains("YIELD")),
+        sim.event_log.iter().any(|(_, text)| text.contains("YIELD")),
         eq(false),
         "a primary that yields would stop replicating"
     );
     // Once replication resumes, the candidate has all writes.
-    world.databases[1].is_log_blocked = false;
-    world.run(3 * S);
-    expect_that!(world.primary(), eq(1));
-    expect_that!(finish_and_check(&mut world), is_empty());
+    sim.databases[1].is_log_blocked = false;
+    sim.run(3 * S);
+    expect_that!(sim.primary(), eq(1));
+    expect_that!(finish_and_check(&mut sim), is_empty());
 }
 
 #[gtest]
 fn given_a_drain_timeout_longer_than_the_platforms_then_the_violation_is_detected() {
-    let violations = drain_without_successor(|world| {
-        for node in &mut world.access {
+    let violations = drain_without_successor(|sim| {
+        for node in &mut sim.access {
             node.core.iter_mut().for_each(|core| core.set_drain_timeouts(100 * S, 100 * S));
         }
     });
--- a/crates/wv-simulation/tests/isolation/mod.rs
+++ b/crates/wv-simulation/tests/isolation/mod.rs
@@ -10,21 +10,21 @@
 }
 
 /// The status of a call, 0 if no response arrived, and its duration in microseconds.
-pub fn call_timed(world: &mut Simulation, at: usize, (method, path): (&str, &str), body: &[u8]) -> (u16, u64) {
-    let start = world.now;
-    let token = world.call(at, method, path, body);
-    while !world.responses.contains_key(&token) && world.now < start + S {
-        world.run(5 * MS);
+pub fn call_timed(sim: &mut Simulation, at: usize, (method, path): (&str, &str), body: &[u8]) -> (u16, u64) {
+    let start = sim.now;
+    let token = sim.call(at, method, path, body);
+    while !sim.responses.contains_key(&token) && sim.now < start + S {
+        sim.run(5 * MS);
     }
-    (world.responses.get(&token).map_or(0, |ret| ret.0), world.now - start)
+    (sim.responses.get(&token).map_or(0, |ret| ret.0), sim.now - start)
 }
 
 pub const PUT_CONFIG: (&str, &str) = ("PUT", "/configuration");
 
-pub fn get_text(world: &mut Simulation, at: usize, path: &str) -> (u16, String) {
-    let token = world.call(at, "GET", path, b"");
-    world.run(950 * MS);
-    let (status, body) = world.responses.get(&token).cloned().unwrap_or_default();
+pub fn get_text(sim: &mut Simulation, at: usize, path: &str) -> (u16, String) {
+    let token = sim.call(at, "GET", path, b"");
+    sim.run(950 * MS);
+    let (status, body) = sim.responses.get(&token).cloned().unwrap_or_default();
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -44,34 +44,34 @@
 pub const CUT_DIRECTIONS: [CutDirection; 3] = [CutDirection::Both, CutDirection::Inbound, CutDirection::Outbound];
 
 /// Cuts control node `at` off from the other control nodes in the given direction.
-pub fn cut_off(world: &mut Simulation, at: usize, direction: CutDirection) {
-    for other in (0..world.controls.len()).filter(|other| *other != at) {
+pub fn cut_off(sim: &mut Simulation, at: usize, direction: CutDirection) {
+    for other in (0..sim.controls.len()).filter(|other| *other != at) {
         let (one, other) = (format!("c{at}"), format!("c{other}"));
         match direction {
-            CutDirection::Both => world.dropped_links.insert((one, other)),
-            CutDirection::Inbound => world.dropped_one_way.insert((other, one)),
-            CutDirection::Outbound => world.dropped_one_way.insert((one, other)),
+            CutDirection::Both => sim.dropped_links.insert((one, other)),
+            CutDirection::Inbound => sim.dropped_one_way.insert((other, one)),
+            CutDirection::Outbound => sim.dropped_one_way.insert((one, other)),
         };
     }
 }
 
-pub fn restore_links(world: &mut Simulation) {
-    world.dropped_links.clear();
-    world.dropped_one_way.clear();
+pub fn restore_links(sim: &mut Simulation) {
+    sim.dropped_links.clear();
+    sim.dropped_one_way.clear();
 }
 
-pub fn has_majority(world: &Simulation, at: usize) -> bool {
-    world.controls[at].core.as_ref().is_some_and(|core| core.has_majority())
+pub fn has_majority(sim: &Simulation, at: usize) -> bool {
+    sim.controls[at].core.as_ref().is_some_and(|core| core.has_majority())
 }
 
-pub fn is_caught_up(world: &Simulation, at: usize) -> bool {
-    world.controls[at].core.as_ref().is_some_and(|core| core.is_caught_up())
+pub fn is_caught_up(sim: &Simulation, at: usize) -> bool {
+    sim.controls[at].core.as_ref().is_some_and(|core| core.is_caught_up())
 }
 
 /// Whether every access node accepts new sessions for `host`.
-pub fn all_access_nodes_serve(world: &mut Simulation, host: &str) -> bool {
-    (0..world.access.len()).all(|node| {
-        let client = world.open_client(node, host);
-        world.take_lines(client).first().is_some_and(|line| line == "IDLE I -")
+pub fn all_access_nodes_serve(sim: &mut Simulation, host: &str) -> bool {
+    (0..sim.access.len()).all(|node| {
+        let client = sim.open_client(node, host);
+        sim.take_lines(client).first().is_some_and(|line| line == "IDLE I -")
     })
 }
--- a/crates/wv-simulation/tests/request_forwarding.rs
+++ b/crates/wv-simulation/tests/request_forwarding.rs
@@ -2,41 +2,41 @@
 use googletest::prelude::*;
 use wv_simulation::{Simulation, MS, S};
 
-/// Two access nodes and one shard; returns the world, the owner and the other node.
+/// Two access nodes and one shard; returns the simulation, the owner and the other node.
 fn two_node_fleet() -> (Simulation, usize, usize) {
-    let mut world = Simulation::new(2, 3);
-    world.run(2 * S);
+    let mut sim = Simulation::new(2, 3);
+    sim.run(2 * S);
     let mut value: serde_json::Value =
         serde_json::from_slice(&Simulation::config(1)).expect("the default configuration is valid JSON");
     value["partners"] = serde_json::json!([{"label": "all", "portion": 1, "nodes": ["a*"]}]);
-    world.call(1, "PUT", "/configuration", value.to_string().as_bytes());
-    world.run(5 * S);
-    let owners = world.access[0].core.as_ref().map(|core| core.shard_owners()).unwrap_or_default();
+    sim.call(1, "PUT", "/configuration", value.to_string().as_bytes());
+    sim.run(5 * S);
+    let owners = sim.access[0].core.as_ref().map(|core| core.shard_owners()).unwrap_or_default();
     let owner = usize::from(owners.iter().any(|(_, node, _)| node == "a1"));
-    (world, owner, 1 - owner)
+    (sim, owner, 1 - owner)
 }
 
 #[gtest]
 fn given_a_forwarded_write_that_ran_when_the_owner_crashes_then_it_is_not_resent() {
-    let (mut world, owner, other) = two_node_fleet();
-    let client = world.open_client(other, "p");
-    world.send_line(client, "QUERY w1 WRITE k d");
-    world.run(200 * MS);
-    expect_that!(world.take_lines(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
+    let (mut sim, owner, other) = two_node_fleet();
+    let client = sim.open_client(other, "p");
+    sim.send_line(client, "QUERY w1 WRITE k d");
+    sim.run(200 * MS);
+    expect_that!(sim.take_lines(client).iter().any(|line| line.starts_with("COMPLETE stamp")), eq(true));
     // The write has run and its response is in transit when the owner is killed.
-    world.databases[0].statement_us = 100 * MS;
-    world.send_line(client, "QUERY w2 WRITE k d");
-    world.run(50 * MS);
-    world.kill_access(owner);
-    world.run(S);
-    expect_that!(world.take_lines(client)[0], starts_with("ERROR INDETERM"));
-    expect_that!(world.databases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
+    sim.databases[0].statement_us = 100 * MS;
+    sim.send_line(client, "QUERY w2 WRITE k d");
+    sim.run(50 * MS);
+    sim.kill_access(owner);
+    sim.run(S);
+    expect_that!(sim.take_lines(client)[0], starts_with("ERROR INDETERM"));
+    expect_that!(sim.databases[0].log.iter().filter(|entry| entry.write.tag == "w2").count(), eq(1));
 }
 
 #[gtest]
 fn given_a_node_that_is_not_the_owner_then_it_rejects_forwarded_requests_without_forwarding_them() {
-    let (mut world, _, other) = two_node_fleet();
-    let core = world.access[other].core.as_mut().expect("the node is running");
+    let (mut sim, _, other) = two_node_fleet();
+    let core = sim.access[other].core.as_mut().expect("the node is running");
     let link = core.accept_peer_link(0);
     let session = wv_internal_protocol::ForwardedSessionId { incarnation: 9, number: 5 };
     core.handle_forward_message(
@@ -62,19 +62,19 @@
 
 #[gtest]
 fn given_an_owner_that_shuts_down_then_open_transactions_finish_there_and_new_work_goes_elsewhere() {
-    let (mut world, owner, other) = two_node_fleet();
-    let client = world.open_client(other, "p");
-    world.send_line(client, "QUERY t1 BEGIN");
-    world.send_line(client, "QUERY t2 WRITE k d");
-    world.run(200 * MS);
-    world.terminate_access(owner);
-    world.run(200 * MS);
-    world.send_line(client, "QUERY t3 COMMIT");
-    world.run(200 * MS);
-    let received = world.take_lines(client);
+    let (mut sim, owner, other) = two_node_fleet();
+    let client = sim.open_client(other, "p");
+    sim.send_line(client, "QUERY t1 BEGIN");
+    sim.send_line(client, "QUERY t2 WRITE k d");
+    sim.run(200 * MS);
+    sim.terminate_access(owner);
+    sim.run(200 * MS);
+    sim.send_line(client, "QUERY t3 COMMIT");
+    sim.run(200 * MS);
+    let received = sim.take_lines(client);
     expect_that!(received.iter().filter(|line| line.starts_with("COMPLETE stamp")).count(), eq(2), "{received:?}");
-    world.send_line(client, "QUERY w1 WRITE k d");
-    world.run(200 * MS);
-    expect_that!(world.take_lines(client)[0], starts_with("COMPLETE stamp"));
-    expect_that!(world.check_rules(), is_empty());
+    sim.send_line(client, "QUERY w1 WRITE k d");
+    sim.run(200 * MS);
+    expect_that!(sim.take_lines(client)[0], starts_with("COMPLETE stamp"));
+    expect_that!(sim.check_rules(), is_empty());
 }
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -9,18 +9,18 @@
 #[gtest]
 fn given_live_writes_when_a_split_is_requested_then_the_upper_slots_move_and_each_record_exists_once() {
     let mut split = SplitTest::start();
-    let before = split.world.load_counts().0;
+    let before = split.sim.load_counts().0;
     split.request_split();
     expect_that!(split.wait_for_move(40 * S), eq(true));
-    let map = split.world.slot_map("s");
+    let map = split.sim.slot_map("s");
     expect_that!(map.moved.len(), eq(1));
     expect_that!((map.moved[0].from, map.moved[0].until), eq((512, 1024)));
-    split.world.run(3 * S);
+    split.sim.run(3 * S);
     // Both shards serve writes, and lookups were answered throughout.
-    let target = split.world.databases.iter().find(|db| db.service == "t" && db.is_primary);
+    let target = split.sim.databases.iter().find(|db| db.service == "t" && db.is_primary);
     expect_that!(target.map_or(0, |db| db.log.iter().filter(|entry| entry.write.tag != "-").count()), gt(10));
-    expect_that!(split.world.load_counts().0, gt(before + 400));
-    expect_that!(split.world.slowest_us("b"), lt(800 * MS));
+    expect_that!(split.sim.load_counts().0, gt(before + 400));
+    expect_that!(split.sim.slowest_us("b"), lt(800 * MS));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -42,16 +42,16 @@
 #[gtest]
 fn given_an_overloaded_source_then_copying_pauses_and_a_cancelled_request_changes_nothing() {
     let mut split = SplitTest::start();
-    split.world.databases.iter_mut().for_each(|db| db.statement_us = 40 * MS);
-    split.world.start_load(60, "p");
-    split.world.run(S);
+    split.sim.databases.iter_mut().for_each(|db| db.statement_us = 40 * MS);
+    split.sim.start_load(60, "p");
+    split.sim.run(S);
     split.request_split();
-    split.world.run(8 * S);
+    split.sim.run(8 * S);
     let ret = split.call("DELETE", "/splits/s", b"");
     expect_that!(ret.0, eq(200));
-    split.world.run(6 * S);
+    split.sim.run(6 * S);
     expect_that!(split.has_moved(), eq(false));
-    let map = split.world.slot_map("s");
+    let map = split.sim.slot_map("s");
     expect_that!((map.phase, map.moving.is_none()), eq((SplitPhase::Resting, true)));
     expect_that!(split.finish_and_check(), is_empty());
 }
@@ -61,20 +61,20 @@
     let mut split = SplitTest::start();
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    let client = split.world.open_client(0, "p");
-    split.world.run(S);
+    let client = split.sim.open_client(0, "p");
+    split.sim.run(S);
     let (stays, moves) = (split.key_where(|slot| slot < 512), split.moving_key());
     for text in ["x1 BEGIN".to_owned(), format!("x2 WRITE {stays} one"), format!("x3 WRITE {moves} two")] {
-        split.world.take_lines(client);
-        split.world.send_line(client, &format!("QUERY {text}"));
-        split.world.run(100 * MS);
+        split.sim.take_lines(client);
+        split.sim.send_line(client, &format!("QUERY {text}"));
+        split.sim.run(100 * MS);
     }
-    let received = split.world.take_lines(client);
+    let received = split.sim.take_lines(client);
     expect_that!(received[0], starts_with("ERROR ABORTED rolled back: a transaction stays within one shard"));
     expect_that!(received[1], starts_with("IDLE E"));
     let is_kept =
         |db: &wv_simulation::Database| db.log.iter().any(|entry| ["x2", "x3"].contains(&entry.write.tag.as_str()));
-    expect_that!(split.world.databases.iter().any(is_kept), eq(false));
+    expect_that!(split.sim.databases.iter().any(is_kept), eq(false));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -82,7 +82,7 @@
 fn given_rows_with_unknown_keys_then_the_shard_is_not_split_until_the_keys_are_listed() {
     let mut split = SplitTest::with_plan(|plan| plan["baseRows"] = 400.into());
     split.request_split();
-    split.world.run(8 * S);
+    split.sim.run(8 * S);
     expect_that!(split.has_moved(), eq(false));
     let ret = split.call("GET", "/splits", b"");
     expect_that!(ret.1, contains_substring("known by name"));
@@ -105,15 +105,15 @@
     let body = serde_json::to_vec(&points).expect("numbers");
     expect_that!(split.call("PUT", "/forecast/s", &body).0, eq(200));
     expect_that!(split.call("PUT", "/forecast/s", b"[[2,1,1],[1,1,1]]").0, eq(400));
-    split.world.run(2 * S);
+    split.sim.run(2 * S);
     let forecast = split.call("GET", "/forecast", b"").1;
     expect_that!(forecast, contains_substring("\"splitFrom\":\"1970-04-11T01:00:00Z\""));
     expect_that!(forecast, contains_substring("\"state\":\"known\""));
-    let wait = (night / S).saturating_sub((split.world.epoch_us + split.world.now) / S).saturating_sub(3);
-    split.world.run(wait * S);
+    let wait = (night / S).saturating_sub((split.sim.epoch_us + split.sim.now) / S).saturating_sub(3);
+    split.sim.run(wait * S);
     expect_that!(split.has_moved(), eq(false), "before the window");
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    split.world.run(2 * S);
+    split.sim.run(2 * S);
     // After half of the rows have moved, the warning is cleared.
     expect_that!(split.call("GET", "/forecast", b"").1, contains_substring("\"warning\":null"));
     expect_that!(split.finish_and_check(), is_empty());
@@ -124,14 +124,14 @@
     let night = 100 * wv_shard_forecast::DAY_US + 5 * wv_shard_forecast::HOUR_US;
     // At three rows per second, copying is still in progress when the request is cancelled.
     let mut split = SplitTest::starting_at(night - 60 * S, |plan| plan["rowsPerS"] = 3.into());
-    let requested_at = split.world.now;
+    let requested_at = split.sim.now;
     split.request_split();
     expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
     expect_that!(split.call("DELETE", "/splits/s", b"").0, eq(200));
-    split.world.run(3 * S);
-    let map = split.world.slot_map("s");
+    split.sim.run(3 * S);
+    let map = split.sim.slot_map("s");
     expect_that!((map.phase, map.moving.is_none(), map.moved.is_empty()), eq((SplitPhase::Resting, true, true)));
-    expect_that!(split.world.now, gt(requested_at));
+    expect_that!(split.sim.now, gt(requested_at));
     let ret = split.call("PUT", "/configuration", &planned_config(2, |_| {}));
     expect_that!(ret.0, eq(200));
     split.request_split();
@@ -140,12 +140,12 @@
 }
 
 /// Retries a configuration write at one node until the answer is neither missing nor 503; 503 after four seconds.
-fn put_until_answered(world: &mut Simulation, at: usize, body: &[u8]) -> u16 {
-    let end = world.now + 4 * S;
-    while world.now < end {
-        let token = world.call(at, "PUT", "/configuration", body);
-        world.run(100 * MS);
-        match world.responses.get(&token).map_or(0, |ret| ret.0) {
+fn put_until_answered(sim: &mut Simulation, at: usize, body: &[u8]) -> u16 {
+    let end = sim.now + 4 * S;
+    while sim.now < end {
+        let token = sim.call(at, "PUT", "/configuration", body);
+        sim.run(100 * MS);
+        match sim.responses.get(&token).map_or(0, |ret| ret.0) {
             0 | 503 => {}
             code => return code,
         }
@@ -167,13 +167,13 @@
     let holder = split.duty_holder();
     let other = (holder + 1) % 3;
     // It receives from the third node, so it has contact, but not from the node that moves the slots.
-    split.world.dropped_one_way.insert((format!("c{holder}"), format!("c{other}")));
+    split.sim.dropped_one_way.insert((format!("c{holder}"), format!("c{other}")));
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
-    let known = split.world.controls[other].core.as_ref().and_then(|core| core.slot_map("s"));
+    let known = split.sim.controls[other].core.as_ref().and_then(|core| core.slot_map("s"));
     expect_that!(known.is_none_or(|map| map.moved.is_empty()), eq(true));
-    expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(9)), eq(400));
-    split.world.dropped_one_way.clear();
+    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
+    split.sim.dropped_one_way.clear();
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -183,19 +183,19 @@
     let holder = split.duty_holder();
     let other = (holder + 2) % 3;
     for at in (0..3).filter(|at| *at != other) {
-        split.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
+        split.sim.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
-    split.world.dropped_links.clear();
-    expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(9)), eq(400));
+    split.sim.dropped_links.clear();
+    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
 #[gtest]
 fn given_a_plan_without_moved_slots_then_it_can_be_removed() {
     let mut split = SplitTest::start();
-    expect_that!(put_until_answered(&mut split.world, 1, &config_without_plan(9)), eq(200));
+    expect_that!(put_until_answered(&mut split.sim, 1, &config_without_plan(9)), eq(200));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -203,23 +203,23 @@
 fn given_a_node_that_does_not_know_the_plan_then_a_configuration_without_it_is_decided_after_catch_up() {
     let mut split = SplitTest::start();
     let other = (split.duty_holder() + 1) % 3;
-    expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(2)), eq(200));
+    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(2)), eq(200));
     for at in (0..3).filter(|at| *at != other) {
-        split.world.dropped_links.insert((format!("c{other}"), format!("c{at}")));
+        split.sim.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
     let planned = planned_config(3, |_| {});
-    expect_that!(put_until_answered(&mut split.world, (other + 1) % 3, &planned), eq(200));
-    split.world.run(14 * S);
+    expect_that!(put_until_answered(&mut split.sim, (other + 1) % 3, &planned), eq(200));
+    split.sim.run(14 * S);
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
-    split.world.dropped_links.clear();
+    split.sim.dropped_links.clear();
     // Contact is restored, but nothing has been read yet.
-    let is_connected = |world: &Simulation| world.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
-    let end = split.world.now + 2 * S;
-    while !is_connected(&split.world) && split.world.now < end {
-        split.world.run(MS / 10);
+    let is_connected = |sim: &Simulation| sim.controls[other].core.as_ref().is_some_and(|core| core.has_majority());
+    let end = split.sim.now + 2 * S;
+    while !is_connected(&split.sim) && split.sim.now < end {
+        split.sim.run(MS / 10);
     }
-    expect_that!(split.world.controls[other].core.as_ref().map(|core| core.is_caught_up()), some(eq(false)));
-    expect_that!(put_until_answered(&mut split.world, other, &config_without_plan(9)), eq(400));
+    expect_that!(split.sim.controls[other].core.as_ref().map(|core| core.is_caught_up()), some(eq(false)));
+    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
     expect_that!(split.finish_and_check(), is_empty());
 }
--- a/crates/wv-simulation/tests/split_faults.rs
+++ b/crates/wv-simulation/tests/split_faults.rs
@@ -11,15 +11,15 @@
     for delay_ms in [0, 40, 150, 300, 600, 900, 1200, 1600, 2000, 2600, 3200] {
         let mut split = SplitTest::start();
         split.request_split();
-        split.world.run(delay_ms * MS);
+        split.sim.run(delay_ms * MS);
         let duty_holder = split.duty_holder();
-        split.world.kill_control(duty_holder);
-        split.world.run(3 * S);
-        split.world.start_control(duty_holder, false);
+        split.sim.kill_control(duty_holder);
+        split.sim.run(3 * S);
+        split.sim.start_control(duty_holder, false);
         // The outcome of the request is unknown, so it is repeated.
         expect_that!(split.call("PUT", "/splits/s", b"").0, eq(200));
         expect_that!(split.wait_for_move(60 * S), eq(true), "killed after {delay_ms} ms");
-        split.world.run(2 * S);
+        split.sim.run(2 * S);
         expect_that!(split.finish_and_check(), is_empty(), "killed after {delay_ms} ms");
     }
 }
@@ -30,13 +30,13 @@
         let mut split = SplitTest::start();
         split.request_split();
         expect_that!(split.wait_for_phase(phase, 20 * S), eq(true));
-        (0..3).for_each(|at| split.world.kill_access(at));
-        (0..3).for_each(|at| split.world.kill_control(at));
-        split.world.run(S);
-        (0..3).for_each(|at| split.world.start_control(at, false));
-        (0..3).for_each(|at| split.world.start_access(at));
+        (0..3).for_each(|at| split.sim.kill_access(at));
+        (0..3).for_each(|at| split.sim.kill_control(at));
+        split.sim.run(S);
+        (0..3).for_each(|at| split.sim.start_control(at, false));
+        (0..3).for_each(|at| split.sim.start_access(at));
         expect_that!(split.wait_for_move(60 * S), eq(true), "{phase:?}");
-        split.world.run(3 * S);
+        split.sim.run(3 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{phase:?}");
     }
 }
@@ -48,19 +48,19 @@
         split.request_split();
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
         // Vary when during copying the node receives its write to a moving key.
-        split.world.run(delay_ms * 5 * MS);
-        let client = split.world.open_client(1, "p");
-        split.world.run(20 * MS);
-        split.world.send_line(client, &format!("QUERY late WRITE {} mine", split.moving_key()));
-        split.world.freeze_access(1);
+        split.sim.run(delay_ms * 5 * MS);
+        let client = split.sim.open_client(1, "p");
+        split.sim.run(20 * MS);
+        split.sim.send_line(client, &format!("QUERY late WRITE {} mine", split.moving_key()));
+        split.sim.freeze_access(1);
         expect_that!(split.wait_for_move(60 * S), eq(true));
-        split.world.run(S);
-        split.world.thaw_access(1);
-        split.world.run(3 * S);
-        let received = split.world.take_lines(client);
+        split.sim.run(S);
+        split.sim.thaw_access(1);
+        split.sim.run(3 * S);
+        let received = split.sim.take_lines(client);
         let is_acknowledged = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
         let has_write = |service: &str| {
-            let mut primaries = split.world.databases.iter().filter(|db| db.service == service && db.is_primary);
+            let mut primaries = split.sim.databases.iter().filter(|db| db.service == service && db.is_primary);
             primaries.any(|db| db.log.iter().any(|entry| entry.write.tag == "late"))
         };
         expect_that!(has_write("s"), eq(false), "{received:?}");
@@ -77,12 +77,12 @@
         let mut split = SplitTest::start();
         split.request_split();
         expect_that!(split.wait_for_phase(phase, 20 * S), eq(true));
-        let primary = split.world.databases.iter().position(|db| db.service == service && db.is_primary);
-        split.world.crash(primary.unwrap_or(0));
-        split.world.run(4 * S);
-        split.world.revive(primary.unwrap_or(0));
+        let primary = split.sim.databases.iter().position(|db| db.service == service && db.is_primary);
+        split.sim.crash(primary.unwrap_or(0));
+        split.sim.run(4 * S);
+        split.sim.revive(primary.unwrap_or(0));
         expect_that!(split.wait_for_move(90 * S), eq(true), "{service} at {phase:?}");
-        split.world.run(2 * S);
+        split.sim.run(2 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{service} at {phase:?}");
     }
 }
@@ -91,20 +91,20 @@
 fn given_lost_responses_and_an_access_node_without_control_then_the_split_completes_without_loss() {
     let mut split = SplitTest::start();
     (0..3).for_each(|at| {
-        let (node, control) = (split.world.access[2].name.clone(), split.world.controls[at].name.clone());
-        split.world.dropped_links.insert((node, control));
+        let (node, control) = (split.sim.access[2].name.clone(), split.sim.controls[at].name.clone());
+        split.sim.dropped_links.insert((node, control));
     });
-    split.world.run(2 * S);
+    split.sim.run(2 * S);
     split.request_split();
     for _ in 0..40 {
-        (0..6).for_each(|at| split.world.databases[at].lost_replies = 1);
-        split.world.run(250 * MS);
+        (0..6).for_each(|at| split.sim.databases[at].lost_replies = 1);
+        split.sim.run(250 * MS);
     }
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    split.world.run(2 * S);
+    split.sim.run(2 * S);
     // The isolated node must not write or read moved slots with its outdated slot map.
-    split.world.dropped_links.clear();
-    split.world.run(3 * S);
+    split.sim.dropped_links.clear();
+    split.sim.run(3 * S);
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -112,23 +112,23 @@
 fn given_a_write_with_a_lost_response_just_before_the_seal_then_its_row_is_copied_again() {
     for wait_ms in [0, 40, 80, 160] {
         let mut split = SplitTest::start();
-        let client = split.world.open_client(0, "p");
+        let client = split.sim.open_client(0, "p");
         let key = split.moving_key();
-        split.world.run(S);
+        split.sim.run(S);
         split.request_split();
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
         // All rows are copied, and the current term is about to be superseded.
-        while split.world.slot_map("s").superseded_term == 0 {
-            split.world.run(5 * MS);
+        while split.sim.slot_map("s").superseded_term == 0 {
+            split.sim.run(5 * MS);
         }
-        split.world.run(wait_ms * MS);
-        let primary = split.world.databases.iter().position(|db| db.service == "s" && db.is_primary).unwrap_or(0);
-        split.world.stop_load();
-        split.world.run(60 * MS);
-        split.world.databases[primary].lost_replies = 1;
-        split.world.send_line(client, &format!("QUERY last WRITE {key} mine"));
+        split.sim.run(wait_ms * MS);
+        let primary = split.sim.databases.iter().position(|db| db.service == "s" && db.is_primary).unwrap_or(0);
+        split.sim.stop_load();
+        split.sim.run(60 * MS);
+        split.sim.databases[primary].lost_replies = 1;
+        split.sim.send_line(client, &format!("QUERY last WRITE {key} mine"));
         expect_that!(split.wait_for_move(40 * S), eq(true));
-        split.world.run(2 * S);
+        split.sim.run(2 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{wait_ms} ms");
     }
 }
@@ -139,16 +139,16 @@
         let mut split = SplitTest::start();
         split.request_split();
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
-        while split.world.slot_map("s").superseded_term == 0 {
-            split.world.run(5 * MS);
+        while split.sim.slot_map("s").superseded_term == 0 {
+            split.sim.run(5 * MS);
         }
-        split.world.run(wait_ms * MS);
-        split.world.kill_access(0);
-        split.world.kill_access(1);
+        split.sim.run(wait_ms * MS);
+        split.sim.kill_access(0);
+        split.sim.kill_access(1);
         expect_that!(split.wait_for_move(60 * S), eq(true), "{wait_ms} ms");
-        split.world.start_access(0);
-        split.world.start_access(1);
-        split.world.run(2 * S);
+        split.sim.start_access(0);
+        split.sim.start_access(1);
+        split.sim.run(2 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{wait_ms} ms");
     }
 }
@@ -156,23 +156,23 @@
 #[gtest]
 fn given_a_new_key_written_through_an_isolated_node_that_crashes_then_its_row_is_moved() {
     let mut split = SplitTest::start();
-    let client = split.world.open_client(1, "p");
-    split.world.run(S);
-    split.world.take_lines(client);
+    let client = split.sim.open_client(1, "p");
+    split.sim.run(S);
+    split.sim.take_lines(client);
     let mut names = (0..).map(|at| format!("{{new{at}}}x"));
     let name = names.find(|name| wv_internal_protocol::slot_for_key(name.as_bytes()) >= 512).unwrap_or_default();
     // The access node cannot reach any control node.
     for at in 0..3 {
-        let pair = (split.world.access[1].name.clone(), split.world.controls[at].name.clone());
-        split.world.dropped_links.insert(pair);
+        let pair = (split.sim.access[1].name.clone(), split.sim.controls[at].name.clone());
+        split.sim.dropped_links.insert(pair);
     }
-    split.world.send_line(client, &format!("QUERY first WRITE {name} mine"));
-    split.world.run(400 * MS);
-    let received = split.world.take_lines(client);
-    split.world.kill_access(1);
+    split.sim.send_line(client, &format!("QUERY first WRITE {name} mine"));
+    split.sim.run(400 * MS);
+    let received = split.sim.take_lines(client);
+    split.sim.kill_access(1);
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
-    let primary = split.world.databases.iter().find(|db| db.service == "t" && db.is_primary);
+    let primary = split.sim.databases.iter().find(|db| db.service == "t" && db.is_primary);
     let row = primary.and_then(|db| db.rows.get(&name));
     // Either acknowledged and moved, or reported as not applied.
     let is_kept = received.iter().any(|line| line.starts_with("COMPLETE stamp"));
@@ -188,15 +188,15 @@
         split.request_split();
         expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
         // The next copies are delayed, and the duty holder that sent them is killed meanwhile.
-        split.world.copy_delay_us = delay_ms * MS;
-        split.world.run(900 * MS);
-        split.world.copy_delay_us = 2 * MS;
+        split.sim.copy_delay_us = delay_ms * MS;
+        split.sim.run(900 * MS);
+        split.sim.copy_delay_us = 2 * MS;
         let duty_holder = split.duty_holder();
-        split.world.kill_control(duty_holder);
-        split.world.run(2 * S);
+        split.sim.kill_control(duty_holder);
+        split.sim.run(2 * S);
         split.request_split();
         expect_that!(split.wait_for_move(60 * S), eq(true), "{delay_ms} ms");
-        split.world.run(6 * S);
+        split.sim.run(6 * S);
         expect_that!(split.finish_and_check(), is_empty(), "{delay_ms} ms");
     }
 }
--- a/crates/wv-simulation/tests/split_test/mod.rs
+++ b/crates/wv-simulation/tests/split_test/mod.rs
@@ -15,7 +15,7 @@
 }
 
 pub struct SplitTest {
-    pub world: Simulation,
+    pub sim: Simulation,
 }
 
 impl SplitTest {
@@ -30,40 +30,40 @@
 
     /// Like `with_plan`, with the given wall-clock time at the start.
     pub fn starting_at(epoch_us: u64, change: impl FnOnce(&mut serde_json::Value)) -> SplitTest {
-        let mut world = Simulation::with_services(3, 3, &["s".to_owned(), "t".to_owned()]);
-        (world.key_count, world.epoch_us) = (200, epoch_us);
-        world.run(2 * S);
-        let token = world.call(0, "PUT", "/configuration", &planned_config(1, change));
-        world.run(2 * S);
+        let mut sim = Simulation::with_services(3, 3, &["s".to_owned(), "t".to_owned()]);
+        (sim.key_count, sim.epoch_us) = (200, epoch_us);
+        sim.run(2 * S);
+        let token = sim.call(0, "PUT", "/configuration", &planned_config(1, change));
+        sim.run(2 * S);
         assert_eq!(
-            world.responses.get(&token).map(|ret| ret.0),
+            sim.responses.get(&token).map(|ret| ret.0),
             Some(200),
             "plan accepted: {:?}",
-            world.responses.get(&token)
+            sim.responses.get(&token)
         );
-        world.start_load(12, "p");
-        world.start_load(8, "b");
-        world.run(14 * S);
-        SplitTest { world }
+        sim.start_load(12, "p");
+        sim.start_load(8, "b");
+        sim.run(14 * S);
+        SplitTest { sim }
     }
 
     /// Sends an operator call, following redirects and retrying while the service is unavailable.
     pub fn call(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, String) {
-        let mut at = (0..self.world.controls.len()).find(|at| self.world.controls[*at].core.is_some()).unwrap_or(0);
+        let mut at = (0..self.sim.controls.len()).find(|at| self.sim.controls[*at].core.is_some()).unwrap_or(0);
         for _ in 0..20 {
-            let token = self.world.call(at, method, path, body);
-            let deadline = self.world.now + 4 * S;
-            while !self.world.responses.contains_key(&token) && self.world.now < deadline {
-                self.world.run(50 * MS);
+            let token = self.sim.call(at, method, path, body);
+            let deadline = self.sim.now + 4 * S;
+            while !self.sim.responses.contains_key(&token) && self.sim.now < deadline {
+                self.sim.run(50 * MS);
             }
-            let (status, text) = self.world.responses.get(&token).cloned().unwrap_or((0, Vec::new()));
+            let (status, text) = self.sim.responses.get(&token).cloned().unwrap_or((0, Vec::new()));
             let text = String::from_utf8_lossy(&text).into_owned();
             match status {
                 307 => {
                     let location = text.trim_start_matches("http://").split('/').next().unwrap_or_default().to_owned();
-                    at = self.world.controls.iter().position(|control| control.addr == location).unwrap_or(at);
+                    at = self.sim.controls.iter().position(|control| control.addr == location).unwrap_or(at);
                 }
-                0 | 503 => self.world.run(300 * MS),
+                0 | 503 => self.sim.run(300 * MS),
                 _ => return (status, text),
             }
         }
@@ -73,44 +73,44 @@
     /// Requests the split without waiting for the response.
     pub fn request_split(&mut self) {
         let duty_holder = self.duty_holder();
-        self.world.call(duty_holder, "PUT", "/splits/s", b"");
+        self.sim.call(duty_holder, "PUT", "/splits/s", b"");
     }
 
     pub fn has_moved(&self) -> bool {
-        !self.world.slot_map("s").moved.is_empty()
+        !self.sim.slot_map("s").moved.is_empty()
     }
 
     /// Runs until the upper slots have moved; `false` if they have not after `us` microseconds.
     pub fn wait_for_move(&mut self, us: u64) -> bool {
-        let deadline = self.world.now + us;
-        while !self.has_moved() && self.world.now < deadline {
-            self.world.run(20 * MS);
+        let deadline = self.sim.now + us;
+        while !self.has_moved() && self.sim.now < deadline {
+            self.sim.run(20 * MS);
         }
         self.has_moved()
     }
 
     /// Runs until the slot map reaches `phase`; `false` if it has not after `us` microseconds.
     pub fn wait_for_phase(&mut self, phase: wv_internal_protocol::SplitPhase, us: u64) -> bool {
-        let deadline = self.world.now + us;
-        while self.world.slot_map("s").phase != phase && self.world.now < deadline {
-            self.world.run(5 * MS);
+        let deadline = self.sim.now + us;
+        while self.sim.slot_map("s").phase != phase && self.sim.now < deadline {
+            self.sim.run(5 * MS);
         }
-        self.world.slot_map("s").phase == phase
+        self.sim.slot_map("s").phase == phase
     }
 
     /// Stops the load, lets the fleet settle and returns the invariants that were violated.
     pub fn finish_and_check(&mut self) -> Vec<String> {
-        self.world.stop_load();
-        self.world.run(wv_simulation::SETTLE_US);
-        let moved = self.world.slot_map("s").moved;
-        let mut violations = self.world.check_rows("s", "t", &moved);
-        violations.extend(self.world.check_rules());
+        self.sim.stop_load();
+        self.sim.run(wv_simulation::SETTLE_US);
+        let moved = self.sim.slot_map("s").moved;
+        let mut violations = self.sim.check_rows("s", "t", &moved);
+        violations.extend(self.sim.check_rules());
         violations
     }
 
     /// The control node that drives the split.
     pub fn duty_holder(&self) -> usize {
-        let cores = self.world.controls.iter().enumerate();
+        let cores = self.sim.controls.iter().enumerate();
         cores
             .filter_map(|(at, control)| control.core.as_ref().filter(|core| core.holds_shard("s")).map(|_| at))
             .next()
--- a/crates/wv-simulation/tests/stale_observations.rs
+++ b/crates/wv-simulation/tests/stale_observations.rs
@@ -12,26 +12,26 @@
     (offset_ms, fault_ms, recovery_ms): (u64, u64, u64),
     (begin, end): Fault,
 ) -> Vec<String> {
-    let mut world = Simulation::configured(6, 3);
-    world.start_load(18, "p");
-    world.run(3 * S + offset_ms * MS);
-    world.databases[1].is_log_blocked = true;
-    world.run(60 * MS);
-    begin(&mut world, control);
-    world.run(fault_ms * MS);
-    world.crash(2);
-    world.run(50 * MS);
-    world.crash(0);
-    world.run(recovery_ms * MS);
-    end(&mut world, control);
-    world.run(4 * S);
+    let mut sim = Simulation::configured(6, 3);
+    sim.start_load(18, "p");
+    sim.run(3 * S + offset_ms * MS);
+    sim.databases[1].is_log_blocked = true;
+    sim.run(60 * MS);
+    begin(&mut sim, control);
+    sim.run(fault_ms * MS);
+    sim.crash(2);
+    sim.run(50 * MS);
+    sim.crash(0);
+    sim.run(recovery_ms * MS);
+    end(&mut sim, control);
+    sim.run(4 * S);
     // A call that names the primary itself only announces a new fence.
-    world.promotion_calls.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
+    sim.promotion_calls.iter().filter(|post| post.1 != "i-s0").map(|post| post.1.clone()).collect()
 }
 
 #[gtest]
 fn given_a_paused_control_node_that_reads_old_observations_then_no_replica_is_promoted_by_them() {
-    let freeze: Fault = (|world, at| world.freeze_control(at), |world, at| world.thaw_control(at));
+    let freeze: Fault = (|sim, at| sim.freeze_control(at), |sim, at| sim.thaw_control(at));
     for offset_ms in [200, 1000, 1300] {
         for fault_ms in [200, 500, 900, 1400] {
             for control in 0..3 {
