--- a/crates/wv-control/src/shards.rs
+++ b/crates/wv-control/src/shards.rs
@@ -122,13 +122,13 @@
         if !held.split.has_ballot() && held.pending_reads == 0 && held.split.state_name() != "claiming" {
             held.ballot = 0;
         }
-        let orders = held.split.take_commands();
+        let commands = held.split.take_commands();
         self.shards.insert(shard.to_owned(), held);
-        orders.into_iter().for_each(|order| self.apply_split_order(shard, order));
+        commands.into_iter().for_each(|command| self.apply_split_command(shard, command));
     }
 
-    fn apply_split_order(&mut self, shard: &str, order: Command) {
-        match order {
+    fn apply_split_command(&mut self, shard: &str, command: Command) {
+        match command {
             Command::Claim => self.claim_slots(shard),
             Command::Write(map) => {
                 let version = self.shards.entry(shard.to_owned()).or_default().next_version();
