--- a/crates/windvalve/src/main.rs
+++ b/crates/windvalve/src/main.rs
@@ -58,11 +58,19 @@
         return check_data(dir);
     }
     if let Some(path) = text(args, "configuration") {
-        let conf = wv_configuration::Configuration::parse(&read(path)?)
+        let configuration = wv_configuration::Configuration::parse(&read(path)?)
             .map_err(|error| MainError::Configuration(path.to_owned(), error))?;
-        println!("valid: issue {}, {} routes, {} services", conf.version, conf.routes.len(), conf.services.len());
-        conf.tenants.iter().for_each(|tenant| println!("tenant {} of weight {}", tenant.label, tenant.weight));
-        conf.partners.iter().for_each(|partner| println!("partner {} with portion {}", partner.label, partner.portion));
+        println!(
+            "valid: issue {}, {} routes, {} services",
+            configuration.version,
+            configuration.routes.len(),
+            configuration.services.len()
+        );
+        configuration.tenants.iter().for_each(|tenant| println!("tenant {} of weight {}", tenant.label, tenant.weight));
+        configuration
+            .partners
+            .iter()
+            .for_each(|partner| println!("partner {} with portion {}", partner.label, partner.portion));
         return Ok(());
     }
     let settings = wv_settings::Settings::load(&wv_settings::Settings::resolve_path(text(args, "settings"))?)?;
@@ -73,10 +81,10 @@
 /// Prints the contents of a data directory without modifying it.
 fn check_data(dir: &str) -> Result<(), MainError> {
     let to_error = |error| MainError::DataDir(dir.to_owned(), error);
-    let (state, seat) = wv_consensus::inspect_data_dir(std::path::Path::new(dir)).map_err(to_error)?;
-    println!("disk {:x} of {}", seat.disk, state.addr);
-    println!("votes in set {}, newest set {}:", seat.installed_set, seat.voters.number);
-    seat.voters.members.iter().for_each(|member| println!("  {} disk {:x}", member.addr, member.disk));
+    let (state, voter) = wv_consensus::inspect_data_dir(std::path::Path::new(dir)).map_err(to_error)?;
+    println!("disk {:x} of {}", voter.disk, state.addr);
+    println!("votes in set {}, newest set {}:", voter.installed_set, voter.voters.number);
+    voter.voters.members.iter().for_each(|member| println!("  {} disk {:x}", member.addr, member.disk));
     let replicated = state.registers.iter().filter(|(key, _)| !key.starts_with(wv_consensus::LOCAL_KEY_PREFIX));
     for (key, register) in replicated {
         println!(
@@ -115,7 +123,7 @@
     }
     let until_us = until.map(|until| (until * 1e6) as u64);
     let report = wv_replay::Scenario::parse(&body)
-        .and_then(|day| wv_replay::play_scenario(&day, until_us, text(args, "service")))
+        .and_then(|scenario| wv_replay::play_scenario(&scenario, until_us, text(args, "service")))
         .map_err(|error| MainError::Replay(path.to_owned(), error))?;
     if args.get_flag("json") {
         println!("{}", report.to_json());
--- a/crates/windvalve/src/recording.rs
+++ b/crates/windvalve/src/recording.rs
@@ -31,7 +31,7 @@
 }
 
 pub fn generate(args: &ArgMatches, users: &str) -> Result<(), MainError> {
-    let recipe = GeneratorOptions {
+    let options = GeneratorOptions {
         profile: users.to_owned(),
         nodes: number(args, "nodes", 6.0, (1.0, 2000.0), "1 to 2000")? as usize,
         services: number(args, "services", 2.0, (1.0, 2000.0), "1 to 2000")? as usize,
@@ -40,7 +40,7 @@
         requests_per_s: number(args, "rate", 100.0, (0.1, 1e5), "0.1 to 100000 a second")?,
         seed: number(args, "seed", 1.0, (0.0, 1e15), "0 to 10^15")? as u64,
     };
-    print!("{}", generate_recording(&recipe)?.to_text());
+    print!("{}", generate_recording(&options)?.to_text());
     Ok(())
 }
 
@@ -61,7 +61,7 @@
         paths.iter().map(|path| Ok((path.clone(), load(path)?))).collect::<Result<_, MainError>>()?;
     let is_merged = parts.len() == 1 && parts[0].1.header.contains_key("nodes");
     match parts.into_iter().next().filter(|_| is_merged) {
-        Some((_, hour)) => Ok(hour),
+        Some((_, recording)) => Ok(recording),
         None => {
             let parts: Vec<(String, Recording)> =
                 paths.iter().map(|path| Ok((path.clone(), load(path)?))).collect::<Result<_, MainError>>()?;
@@ -71,9 +71,9 @@
 }
 
 pub fn run(args: &ArgMatches, paths: &[String]) -> Result<(), MainError> {
-    let hour = load_merged(args, paths)?;
+    let recording = load_merged(args, paths)?;
     if args.get_flag("merge") {
-        print!("{}", hour.to_text());
+        print!("{}", recording.to_text());
         return Ok(());
     }
     let drops: Result<Vec<NodeDrop>, RecordingError> =
@@ -84,7 +84,7 @@
         return Err(MainError::OutOfRange("until", until, "the times after --from"));
     }
     let browse = args.get_one::<f64>("browse-ms").copied();
-    let course = PlaybackOptions {
+    let options = PlaybackOptions {
         drops: drops?,
         control_nodes: number(args, "control", 3.0, (1.0, 99.0), "1 to 99")? as usize,
         from_us: (from * 1e6) as u64,
@@ -93,11 +93,11 @@
         statement_us: (number(args, "work-ms", 3.0, (0.1, 10_000.0), "0.1 to 10000")? * 1e3) as u64,
         browse_limit_us: browse.map(|ms| (ms * 1e3) as u64),
     };
-    let tally = play_recording(&hour, &course)?;
+    let report = play_recording(&recording, &options)?;
     if args.get_flag("json") {
-        println!("{}", tally.to_json());
+        println!("{}", report.to_json());
     } else {
-        print!("{}", tally.to_text());
+        print!("{}", report.to_text());
     }
-    tally.violations().is_empty().then_some(()).ok_or(MainError::RuleViolation)
+    report.violations().is_empty().then_some(()).ok_or(MainError::RuleViolation)
 }
--- a/crates/wv-replay/src/recording_player.rs
+++ b/crates/wv-replay/src/recording_player.rs
@@ -85,7 +85,7 @@
     (sim.key_count, sim.rng) = (10_000, wv_simulation::Rng::new(options.seed));
     sim.databases.iter_mut().for_each(|database| database.statement_us = options.statement_us);
     sim.run(2 * S);
-    let token = sim.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
+    let token = sim.call(0, "PUT", "/configuration", &Simulation::configuration_for(1, &services));
     sim.run(WARM_UP_US - 2 * S);
     if sim.responses.get(&token).map(|ret| ret.0) != Some(200) {
         return Err(RecordingError::Invalid("the simulated fleet did not accept its configuration".to_owned()));
--- a/crates/wv-replay/src/scenario_player.rs
+++ b/crates/wv-replay/src/scenario_player.rs
@@ -88,7 +88,7 @@
     let end = until_us.map_or(end, |until| until.min(end));
     for event in scenario.events.iter().filter(|event| event.at_us <= end) {
         player.run_until(event.at_us);
-        player.apply(scenario, event)?;
+        player.apply(&scenario.services, event)?;
     }
     player.run_until(end);
     Ok(player.report(service, &scenario.services))
@@ -151,13 +151,13 @@
         })
     }
 
-    fn apply(&mut self, scenario: &Scenario, event: &Event) -> Result<(), ReplayError> {
+    fn apply(&mut self, services: &[String], event: &Event) -> Result<(), ReplayError> {
         match &event.action {
             Action::Say { name, text } => self.record(format!("{name} says {text}")),
             action => self.record(format!("day: {}", format!("{action:?}").to_lowercase())),
         }
         match &event.action {
-            Action::Conf(version) => self.put_configuration(&Simulation::config_for(*version, &scenario.services)),
+            Action::Conf(version) => self.put_configuration(&Simulation::configuration_for(*version, services)),
             Action::Put(body) => self.put_configuration(body.as_bytes()),
             Action::Load { route, count } => self.sim.start_load(*count, route),
             Action::Stop => self.sim.stop_load(),
--- a/crates/wv-replay/src/seed_search.rs
+++ b/crates/wv-replay/src/seed_search.rs
@@ -24,8 +24,8 @@
         let seeds =
             (search.first_seed..search.first_seed.saturating_add(search.count)).filter(|seed| seed % threads == thread);
         let failures = seeds.filter_map(|seed| {
-            let day = generate(seed);
-            let finding = check(&run(&day), day.fault_bound).into_iter().next();
+            let schedule = generate(seed);
+            let finding = check(&run(&schedule), schedule.fault_bound).into_iter().next();
             on_result(seed, finding.as_ref());
             finding.map(|finding| SeedFailure { seed, finding })
         });
@@ -42,8 +42,8 @@
 /// Minimizes the schedule of a seed while it still violates the same invariant, and returns it as file text. `None` if
 /// the schedule violates none.
 pub fn minimize_seed(seed: u64, on_step: impl FnMut(&Schedule)) -> Option<String> {
-    let (day, finding) = shrink(&generate(seed), on_step)?;
-    Some(format!("# {}: {}\n{day}", finding.check, finding.text.replace('\n', " ")))
+    let (schedule, finding) = shrink(&generate(seed), on_step)?;
+    Some(format!("# {}: {}\n{schedule}", finding.check, finding.text.replace('\n', " ")))
 }
 
 /// The history and the violations of one nemesis schedule, reported as text or JSON.
@@ -53,9 +53,9 @@
 }
 
 impl NemesisRun {
-    pub fn play(day: &Schedule) -> NemesisRun {
-        let history = run(day);
-        let findings = check(&history, day.fault_bound);
+    pub fn play(schedule: &Schedule) -> NemesisRun {
+        let history = run(schedule);
+        let findings = check(&history, schedule.fault_bound);
         NemesisRun { history, findings }
     }
 
--- a/crates/wv-simulation/src/admin.rs
+++ b/crates/wv-simulation/src/admin.rs
@@ -60,12 +60,12 @@
     }
 
     /// A configuration with a primary route `p` and a bounded-staleness route `b` to service `s`.
-    pub fn config(version: u64) -> Vec<u8> {
-        Simulation::config_for(version, &["s".to_owned()])
+    pub fn configuration(version: u64) -> Vec<u8> {
+        Simulation::configuration_for(version, &["s".to_owned()])
     }
 
     /// The first service's routes are `p` and `b`, the others' `p.NAME` and `b.NAME`.
-    pub fn config_for(version: u64, services: &[String]) -> Vec<u8> {
+    pub fn configuration_for(version: u64, services: &[String]) -> Vec<u8> {
         let route = |at: usize, service: &str, (kind, category): (&str, &str), target: u32, precedence: u32| {
             let label = if at == 0 { kind.to_owned() } else { format!("{kind}.{service}") };
             serde_json::json!({"label": label, "host": label, "pathPrefix": "/", "category": category,
--- a/crates/wv-simulation/src/nemesis/check.rs
+++ b/crates/wv-simulation/src/nemesis/check.rs
@@ -77,7 +77,7 @@
 fn refused_without_rival(history: &History) -> Option<String> {
     history.responses.iter().filter(|response| response.is_rejection()).find_map(|response| {
         let update = &history.updates[response.update];
-        let is_conflicting = |(index, other): (usize, &super::ConfigUpdate)| {
+        let is_conflicting = |(index, other): (usize, &super::ConfigurationUpdate)| {
             index != response.update
                 && other.is_valid
                 && other.version == update.version
@@ -94,7 +94,7 @@
 }
 
 fn invalid_acknowledged(history: &History) -> Option<String> {
-    let acknowledged = |(index, update): (usize, &super::ConfigUpdate)| {
+    let acknowledged = |(index, update): (usize, &super::ConfigurationUpdate)| {
         let response = history.acknowledgements(index).next().filter(|_| !update.is_valid)?;
         Some(format!(
             "invalid update {} is acknowledged by {} at {}",
--- a/crates/wv-simulation/src/nemesis/history.rs
+++ b/crates/wv-simulation/src/nemesis/history.rs
@@ -2,7 +2,7 @@
 
 /// A configuration update sent by an operator.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct ConfigUpdate {
+pub struct ConfigurationUpdate {
     pub version: u64,
     pub body: Vec<u8>,
     pub is_valid: bool,
@@ -21,7 +21,7 @@
 
 /// A read of the configuration that returned 200: its version and the update whose content matches.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct ConfigRead {
+pub struct ConfigurationRead {
     pub control: String,
     pub sent_us: u64,
     pub received_us: u64,
@@ -59,9 +59,9 @@
 
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct History {
-    pub updates: Vec<ConfigUpdate>,
+    pub updates: Vec<ConfigurationUpdate>,
     pub responses: Vec<UpdateResponse>,
-    pub reads: Vec<ConfigRead>,
+    pub reads: Vec<ConfigurationRead>,
     pub observed_versions: Vec<VersionObservation>,
     pub platform_calls: Vec<PlatformCall>,
     pub recovery_failures: Vec<RecoveryFailure>,
--- a/crates/wv-simulation/src/nemesis/mod.rs
+++ b/crates/wv-simulation/src/nemesis/mod.rs
@@ -16,7 +16,7 @@
 pub use format::ScheduleError;
 pub use generate::generate;
 pub use history::{
-    ConfigRead, ConfigUpdate, History, PlatformCall, RecoveryFailure, UpdateResponse, VersionObservation,
+    ConfigurationRead, ConfigurationUpdate, History, PlatformCall, RecoveryFailure, UpdateResponse, VersionObservation,
 };
 pub use run::run;
 pub use shrink::{shrink, shrink_with};
--- a/crates/wv-simulation/src/nemesis/operator.rs
+++ b/crates/wv-simulation/src/nemesis/operator.rs
@@ -1,5 +1,5 @@
 //! Simulated operators and configuration readers: they follow redirects, and retry updates until a final response.
-use super::{ConfigRead, ConfigUpdate, History, UpdateResponse};
+use super::{ConfigurationRead, ConfigurationUpdate, History, UpdateResponse};
 use crate::{Rng, Simulation, MS, S};
 use std::collections::BTreeSet;
 
@@ -48,13 +48,13 @@
 }
 
 fn valid_body(version: u64, variant: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&Simulation::config(version)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::configuration(version)).into_owned();
     text.replace("\"targetMs\":800", &format!("\"targetMs\":{}", 800 + variant)).into_bytes()
 }
 
 /// Bodies that every node must reject, each for another reason.
 fn invalid_body(version: u64, variant: u64) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&Simulation::config(version)).into_owned();
+    let text = String::from_utf8_lossy(&Simulation::configuration(version)).into_owned();
     let text = match variant % 4 {
         0 => text.replace("\"expiryMs\":1000", "\"expiryMs\":0"),
         1 => text.replace("\"destination\":\"s\"", "\"destination\":\"nowhere\""),
@@ -78,14 +78,15 @@
     }
 
     pub fn create_update(&mut self, history: &mut History, version: u64, variant: u64, now: u64) -> usize {
-        let update = ConfigUpdate { version, body: valid_body(version, variant), is_valid: true, first_sent_us: now };
+        let update =
+            ConfigurationUpdate { version, body: valid_body(version, variant), is_valid: true, first_sent_us: now };
         history.updates.push(update);
         history.updates.len() - 1
     }
 
     pub fn create_invalid_update(&mut self, history: &mut History, variant: u64, now: u64) -> usize {
         let version = self.version + 1;
-        history.updates.push(ConfigUpdate {
+        history.updates.push(ConfigurationUpdate {
             version,
             body: invalid_body(version, variant),
             is_valid: false,
@@ -170,7 +171,8 @@
                 let content = serde_json::from_slice::<serde_json::Value>(body).unwrap_or_default();
                 let version = content["issue"].as_u64().unwrap_or(0);
                 let update = history.updates.iter().position(|update| update.body == body);
-                history.reads.push(ConfigRead { control, sent_us: call.sent_us, received_us: now, version, update });
+                let (sent_us, received_us) = (call.sent_us, now);
+                history.reads.push(ConfigurationRead { control, sent_us, received_us, version, update });
             }
             CallKind::Read => {}
             CallKind::PutUpdate(update) | CallKind::Duplicate(update) => {
--- a/crates/wv-simulation/src/simulation.rs
+++ b/crates/wv-simulation/src/simulation.rs
@@ -190,7 +190,7 @@
     pub fn configured(access: usize, controls: usize) -> Simulation {
         let mut simulation = Simulation::new(access, controls);
         simulation.run(2 * S);
-        let token = simulation.call(0, "PUT", "/configuration", &Simulation::config(1));
+        let token = simulation.call(0, "PUT", "/configuration", &Simulation::configuration(1));
         simulation.run(2 * S);
         assert_eq!(
             simulation.responses.get(&token).map(|ret| ret.0),
--- a/crates/wv-simulation/tests/configuration_conflicts.rs
+++ b/crates/wv-simulation/tests/configuration_conflicts.rs
@@ -6,7 +6,7 @@
     String::from_utf8_lossy(conf).replace("\"targetMs\":800", "\"targetMs\":700").into_bytes()
 }
 
-fn put_config(sim: &mut Simulation, at: usize, body: &[u8]) -> u16 {
+fn put_configuration(sim: &mut Simulation, at: usize, body: &[u8]) -> u16 {
     let token = sim.call(at, "PUT", "/configuration", body);
     let end = sim.now + 1200 * MS;
     while !sim.responses.contains_key(&token) && sim.now < end {
@@ -15,7 +15,7 @@
     sim.responses.get(&token).map_or(0, |ret| ret.0)
 }
 
-fn get_config(sim: &mut Simulation, at: usize) -> (u16, Vec<u8>) {
+fn get_configuration(sim: &mut Simulation, at: usize) -> (u16, Vec<u8>) {
     let token = sim.call(at, "GET", "/configuration", b"");
     sim.run(1200 * MS);
     sim.responses.get(&token).cloned().unwrap_or_default()
@@ -25,7 +25,7 @@
 fn put_until_answered(sim: &mut Simulation, first: usize, body: &[u8]) -> u16 {
     let count = sim.controls.len();
     for attempt in 0..20 {
-        match put_config(sim, (first + attempt) % count, body) {
+        match put_configuration(sim, (first + attempt) % count, body) {
             0 | 503 => sim.run(200 * MS),
             code => return code,
         }
@@ -38,7 +38,7 @@
     // The second write follows within ten milliseconds, at the same node or at another one.
     for (delay_us, to) in (0..20u64).flat_map(|step| (0..3).map(move |to| (step * MS / 2, to))) {
         let mut sim = Simulation::configured(1, 3);
-        let one = Simulation::config(40);
+        let one = Simulation::configuration(40);
         let two = conflicting(&one);
         let first = sim.call(0, "PUT", "/configuration", &one);
         sim.run(delay_us);
@@ -48,19 +48,22 @@
         expect_that!(codes, any![eq([200, 409]), eq([409, 200])], "{delay_us} us apart, to {to}");
         // Repeats at every node, after later versions and a restart of all nodes, get the same answers.
         for version in 41..44 {
-            expect_that!(put_config(&mut sim, (version % 3) as usize, &Simulation::config(version)), eq(200));
+            expect_that!(
+                put_configuration(&mut sim, (version % 3) as usize, &Simulation::configuration(version)),
+                eq(200)
+            );
         }
         (0..3).for_each(|at| sim.kill_control(at));
         (0..3).for_each(|at| sim.start_control(at, false));
         sim.run(2 * S);
         for at in 0..3 {
             expect_that!(
-                [put_config(&mut sim, at, &one), put_config(&mut sim, at, &two)],
+                [put_configuration(&mut sim, at, &one), put_configuration(&mut sim, at, &two)],
                 eq(codes),
                 "{delay_us} us apart, at {at}"
             );
         }
-        expect_that!(get_config(&mut sim, to), eq(&(200, Simulation::config(43))));
+        expect_that!(get_configuration(&mut sim, to), eq(&(200, Simulation::configuration(43))));
     }
 }
 
@@ -68,7 +71,7 @@
 fn given_the_node_that_receives_a_configuration_crashes_at_any_step_then_only_one_of_two_contents_is_accepted() {
     for step in 0..24u64 {
         let mut sim = Simulation::configured(1, 3);
-        let one = Simulation::config(40);
+        let one = Simulation::configuration(40);
         let two = conflicting(&one);
         let token = sim.call(0, "PUT", "/configuration", &one);
         sim.run(step * MS / 4);
@@ -79,12 +82,12 @@
         let repeat = put_until_answered(&mut sim, 2, &one);
         expect_that!([repeat, conflict], any![eq([200, 409]), eq([409, 200])], "step {step}");
         expect_that!(status.is_none_or(|code| code == repeat), eq(true), "step {step}: {status:?}, then {repeat}");
-        let current = get_config(&mut sim, 1).1;
+        let current = get_configuration(&mut sim, 1).1;
         expect_that!(current, eq(if repeat == 200 { &one } else { &two }), "step {step}");
         sim.start_control(0, false);
         sim.run(2 * S);
         expect_that!(
-            [put_config(&mut sim, 0, &one), put_config(&mut sim, 0, &two)],
+            [put_configuration(&mut sim, 0, &one), put_configuration(&mut sim, 0, &two)],
             eq([repeat, conflict]),
             "step {step}"
         );
@@ -94,18 +97,18 @@
 #[gtest]
 fn given_an_older_unused_version_then_it_is_acknowledged_and_changes_nothing() {
     let mut sim = Simulation::configured(1, 3);
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(40)), eq(200));
-    expect_that!(put_config(&mut sim, 1, &Simulation::config(30)), eq(200));
-    expect_that!(put_config(&mut sim, 2, &conflicting(&Simulation::config(30))), eq(200));
-    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(40))));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(40)), eq(200));
+    expect_that!(put_configuration(&mut sim, 1, &Simulation::configuration(30)), eq(200));
+    expect_that!(put_configuration(&mut sim, 2, &conflicting(&Simulation::configuration(30))), eq(200));
+    expect_that!(get_configuration(&mut sim, 1), eq(&(200, Simulation::configuration(40))));
     // A version older than all whose contents are remembered is acknowledged as superseded, not rejected.
     for version in 41..181 {
-        expect_that!(put_config(&mut sim, (version % 3) as usize, &Simulation::config(version)), eq(200));
+        expect_that!(put_configuration(&mut sim, (version % 3) as usize, &Simulation::configuration(version)), eq(200));
     }
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(40)), eq(200));
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(180)), eq(200));
-    expect_that!(put_config(&mut sim, 0, &conflicting(&Simulation::config(180))), eq(409));
-    expect_that!(get_config(&mut sim, 2), eq(&(200, Simulation::config(180))));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(40)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(180)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, &conflicting(&Simulation::configuration(180))), eq(409));
+    expect_that!(get_configuration(&mut sim, 2), eq(&(200, Simulation::configuration(180))));
 }
 
 #[gtest]
@@ -116,7 +119,9 @@
         sim.run(2 * S);
         let start = sim.now;
         let tokens: Vec<u64> = (0..8)
-            .map(|at| sim.call((at % 7) as usize, "PUT", "/configuration", &Simulation::config(40 + (at + round) % 8)))
+            .map(|at| {
+                sim.call((at % 7) as usize, "PUT", "/configuration", &Simulation::configuration(40 + (at + round) % 8))
+            })
             .collect();
         while tokens.iter().any(|token| !sim.responses.contains_key(token)) && sim.now < start + 2 * S {
             sim.run(MS);
@@ -124,7 +129,7 @@
         slowest = slowest.max(sim.now - start);
         let codes: Vec<u16> = tokens.iter().map(|token| sim.responses.get(token).map_or(0, |ret| ret.0)).collect();
         expect_that!(codes, each(eq(&200)), "round {round}");
-        expect_that!(get_config(&mut sim, 3), eq(&(200, Simulation::config(47))));
+        expect_that!(get_configuration(&mut sim, 3), eq(&(200, Simulation::configuration(47))));
     }
     println!("slowest acknowledgement of eight concurrent configurations: {slowest} us");
     expect_that!(slowest, le(900 * MS));
@@ -136,7 +141,7 @@
         let mut sim = Simulation::configured(2, 3);
         let mut accepted: Vec<(u64, [u16; 2])> = Vec::new();
         for version in 40..52u64 {
-            let (one, two) = (Simulation::config(version), conflicting(&Simulation::config(version)));
+            let (one, two) = (Simulation::configuration(version), conflicting(&Simulation::configuration(version)));
             let at = ((version + seed) % 3) as usize;
             // The answers to these two are not read.
             sim.call(at, "PUT", "/configuration", &one);
@@ -148,10 +153,10 @@
         }
         sim.run(S);
         for (version, codes) in accepted {
-            let (one, two) = (Simulation::config(version), conflicting(&Simulation::config(version)));
+            let (one, two) = (Simulation::configuration(version), conflicting(&Simulation::configuration(version)));
             for at in 0..3 {
                 expect_that!(
-                    [put_config(&mut sim, at, &one), put_config(&mut sim, at, &two)],
+                    [put_configuration(&mut sim, at, &one), put_configuration(&mut sim, at, &two)],
                     eq(codes),
                     "seed {seed}, {version}"
                 );
--- a/crates/wv-simulation/tests/configuration_distribution.rs
+++ b/crates/wv-simulation/tests/configuration_distribution.rs
@@ -2,7 +2,7 @@
 mod scenario;
 
 use googletest::prelude::*;
-use scenario::put_config;
+use scenario::put_configuration;
 use wv_simulation::{Simulation, MS, S};
 
 /// Seven voters and, as the last control node, one without a disk behind a low-bandwidth link.
@@ -22,9 +22,9 @@
 }
 
 /// The default configuration with `routes` additional distinct routes.
-fn long_config(version: u64, routes: usize) -> Vec<u8> {
+fn long_configuration(version: u64, routes: usize) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&Simulation::config(version)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::configuration(version)).expect("the default configuration is valid JSON");
     let route = value["routing"][0].clone();
     let list = value["routing"].as_array_mut().expect("routing is an array");
     list.extend((0..routes).map(|at| {
@@ -43,44 +43,49 @@
     sim.traffic.take().and_then(|crossed| crossed.get(name).copied()).unwrap_or_default()
 }
 
-fn config_version(sim: &Simulation, at: usize) -> u64 {
+fn configuration_version(sim: &Simulation, at: usize) -> u64 {
     sim.controls[at].core.as_ref().map_or(0, |core| core.conf_version())
 }
 
 #[gtest]
 fn given_a_long_configuration_then_a_one_route_change_is_sent_as_a_difference() {
     let mut sim = fleet_with_diskless_node();
-    let compressed_len = wv_compression::compress(&long_config(5, 2000)).len() as u64;
+    let compressed_len = wv_compression::compress(&long_configuration(5, 2000)).len() as u64;
     expect_that!(compressed_len, gt(20_000));
-    let first = received_by(&mut sim, "c7", |sim| expect_that!(put_config(sim, 0, &long_config(5, 2000)), eq(200)));
-    expect_that!(config_version(&sim, 7), eq(5));
+    let first = received_by(&mut sim, "c7", |sim| {
+        expect_that!(put_configuration(sim, 0, &long_configuration(5, 2000)), eq(200))
+    });
+    expect_that!(configuration_version(&sim, 7), eq(5));
     expect_that!(first.bytes, lt(2 * compressed_len));
     let idle = received_by(&mut sim, "c7", |sim| sim.run(10 * 1200 * MS));
     let changes = received_by(&mut sim, "c7", |sim| {
         (6..16).for_each(|version| {
-            expect_that!(put_config(sim, version as usize % 7, &long_config(version, 2000 + version as usize)), eq(200))
+            expect_that!(
+                put_configuration(sim, version as usize % 7, &long_configuration(version, 2000 + version as usize)),
+                eq(200)
+            )
         });
     });
-    expect_that!(config_version(&sim, 7), eq(15));
+    expect_that!(configuration_version(&sim, 7), eq(15));
     expect_that!(changes.bytes, lt(idle.bytes + 10_000), "idle traffic {idle:?}");
 }
 
 #[gtest]
 fn given_a_diskless_node_that_starts_then_it_fetches_a_long_configuration_once() {
     let mut sim = fleet_with_diskless_node();
-    expect_that!(put_config(&mut sim, 0, &long_config(5, 2000)), eq(200));
-    let compressed_len = wv_compression::compress(&long_config(5, 2000)).len() as u64;
+    expect_that!(put_configuration(&mut sim, 0, &long_configuration(5, 2000)), eq(200));
+    let compressed_len = wv_compression::compress(&long_configuration(5, 2000)).len() as u64;
     restart_without_disk(&mut sim, 7);
     let received = received_by(&mut sim, "c7", |sim| sim.run(2 * S));
-    expect_that!(config_version(&sim, 7), eq(5));
+    expect_that!(configuration_version(&sim, 7), eq(5));
     expect_that!(received.bytes, lt(compressed_len + 20_000));
     // A write whose proposer crashes before announcing it still arrives, and only once.
-    let token = sim.call(1, "PUT", "/configuration", &long_config(6, 2001));
+    let token = sim.call(1, "PUT", "/configuration", &long_configuration(6, 2001));
     sim.run(1700);
     sim.kill_control(1);
     expect_that!(sim.responses.get(&token), none());
     let received = received_by(&mut sim, "c7", |sim| sim.run(3 * S));
-    expect_that!(config_version(&sim, 7), eq(6));
+    expect_that!(configuration_version(&sim, 7), eq(6));
     expect_that!(received.bytes, lt(20_000));
 }
 
@@ -91,7 +96,7 @@
     sim.run(2 * S);
     let mut locations = std::collections::BTreeSet::new();
     for _ in 0..12 {
-        let token = sim.call(7, "PUT", "/configuration", &Simulation::config(9));
+        let token = sim.call(7, "PUT", "/configuration", &Simulation::configuration(9));
         let (status, location) = sim.responses.get(&token).cloned().unwrap_or_default();
         expect_that!(status, eq(307));
         locations.insert(String::from_utf8_lossy(&location).into_owned());
@@ -101,7 +106,7 @@
     expect_that!(locations.contains(&down), eq(false));
     (0..7).for_each(|at| sim.kill_control(at));
     sim.run(2 * S);
-    let token = sim.call(7, "PUT", "/configuration", &Simulation::config(9));
+    let token = sim.call(7, "PUT", "/configuration", &Simulation::configuration(9));
     expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(503)));
 }
 
@@ -111,7 +116,7 @@
     // Between two ticks of the control nodes.
     sim.run(S + 30 * MS);
     let received = received_by(&mut sim, "a0", |sim| {
-        let token = sim.call(0, "PUT", "/configuration", &long_config(2, 20));
+        let token = sim.call(0, "PUT", "/configuration", &long_configuration(2, 20));
         sim.run(20 * MS);
         expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(200)));
         let client = sim.open_client(0, "p");
@@ -121,14 +126,19 @@
     // Forty changes in two seconds, to one node after the other: all nodes end with the last one.
     let received = received_by(&mut sim, "a0", |sim| {
         for version in 3..43 {
-            sim.call(version as usize % 3, "PUT", "/configuration", &long_config(version, 20 + version as usize % 2));
+            sim.call(
+                version as usize % 3,
+                "PUT",
+                "/configuration",
+                &long_configuration(version, 20 + version as usize % 2),
+            );
             sim.run(50 * MS);
         }
         sim.run(300 * MS);
     });
     expect_that!(received.configurations, ge(8));
     expect_that!(received.configurations, le(16));
-    (0..3).for_each(|at| expect_that!(config_version(&sim, at), eq(42)));
+    (0..3).for_each(|at| expect_that!(configuration_version(&sim, at), eq(42)));
     (0..2).for_each(|at| {
         expect_that!(sim.access[at].core.as_ref().map_or(0, |core| core.held_configuration_version()), eq(42))
     });
--- a/crates/wv-simulation/tests/control_isolation.rs
+++ b/crates/wv-simulation/tests/control_isolation.rs
@@ -22,7 +22,7 @@
         expect_that!(sim.followed_controls(), not(contains(some(eq(&at)))), "{at} {direction:?}");
         let draining = heartbeat("10.9.0.1:1", "draining", 7);
         for (request, body) in [
-            (PUT_CONFIG, Simulation::config(7)),
+            (PUT_CONFIGURATION, Simulation::configuration(7)),
             (("GET", "/configuration"), Vec::new()),
             (("PUT", "/instances/i-x"), heartbeat("10.9.0.1:1", "in_service", 6)),
             (("PUT", "/instances/i-x"), draining.clone()),
@@ -42,7 +42,7 @@
             expect_that!(text, contains_substring("\"fresh\":false"), "{path}");
         }
         // Meanwhile the majority changes a route and a database deregisters.
-        expect_that!(call_timed(&mut sim, other, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+        expect_that!(call_timed(&mut sim, other, PUT_CONFIGURATION, &configuration_with_host(8, "c")).0, eq(200));
         expect_that!(call_timed(&mut sim, other, ("PUT", "/instances/i-x"), &draining).0, eq(200));
         expect_that!(call_timed(&mut sim, other, ("DELETE", "/instances/i-x"), b"").0, eq(200));
         sim.run(16 * S);
@@ -54,13 +54,18 @@
         while !is_caught_up(&sim, at) && sim.now < deadline {
             let token = sim.call(at, "GET", "/configuration", b"");
             sim.run(2 * MS);
-            let stale = sim.responses.get(&token).filter(|ret| ret.0 == 200 && ret.1 != config_with_host(8, "c"));
+            let stale =
+                sim.responses.get(&token).filter(|ret| ret.0 == 200 && ret.1 != configuration_with_host(8, "c"));
             expect_that!(stale, none(), "{at} {direction:?}");
         }
         expect_that!(is_caught_up(&sim, at), eq(true), "{at} {direction:?}");
         expect_that!(get_text(&mut sim, at, "/instances").1, not(contains_substring("i-x")), "{at} {direction:?}");
         expect_that!(get_text(&mut sim, at, "/configuration").1, contains_substring("\"host\":\"c\""));
-        expect_that!(call_timed(&mut sim, at, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200), "{at} {direction:?}");
+        expect_that!(
+            call_timed(&mut sim, at, PUT_CONFIGURATION, &configuration_with_host(9, "d")).0,
+            eq(200),
+            "{at} {direction:?}"
+        );
         sim.run(2 * S);
         expect_that!(all_access_nodes_serve(&mut sim, "d"), eq(true), "{at} {direction:?}");
     }
@@ -78,7 +83,7 @@
         sim.run(2 * S + step * 35 * MS);
         sim.freeze_control(at);
         sim.run(3 * S);
-        expect_that!(call_timed(&mut sim, other, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+        expect_that!(call_timed(&mut sim, other, PUT_CONFIGURATION, &configuration_with_host(8, "c")).0, eq(200));
         let draining = heartbeat("10.9.0.1:1", "draining", 7);
         expect_that!(call_timed(&mut sim, other, ("PUT", "/instances/i-x"), &draining).0, eq(200));
         expect_that!(call_timed(&mut sim, other, ("DELETE", "/instances/i-x"), b"").0, eq(200));
@@ -92,7 +97,7 @@
             (("PUT", "/instances/i-y"), &draining),
             (("DELETE", "/instances/i-y"), &Vec::new()),
             (("GET", "/configuration"), &Vec::new()),
-            (PUT_CONFIG, &config_with_host(9, "d")),
+            (PUT_CONFIGURATION, &configuration_with_host(9, "d")),
         ] {
             let token = sim.call(at, request.0, request.1, body);
             expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(503)), "{request:?} at {at}, {step}");
@@ -106,7 +111,11 @@
         expect_that!(is_caught_up(&sim, at), eq(true), "{at} {step}");
         expect_that!(sim.controls[at].core.as_ref().map(|core| core.conf_version()), some(eq(8)));
         expect_that!(get_text(&mut sim, at, "/instances").1, not(contains_substring("i-x")), "{at} {step}");
-        expect_that!(call_timed(&mut sim, at, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200), "{at} {step}");
+        expect_that!(
+            call_timed(&mut sim, at, PUT_CONFIGURATION, &configuration_with_host(9, "d")).0,
+            eq(200),
+            "{at} {step}"
+        );
         sim.run(2 * S);
         expect_that!(all_access_nodes_serve(&mut sim, "d"), eq(true), "{at} {step}");
     }
@@ -138,7 +147,7 @@
         sim.controls[3].files.files.borrow_mut().clear();
         sim.start_control(3, true);
         sim.run(2 * S);
-        expect_that!(call_timed(&mut sim, 0, PUT_CONFIG, &Simulation::config(1)).0, eq(200));
+        expect_that!(call_timed(&mut sim, 0, PUT_CONFIGURATION, &Simulation::configuration(1)).0, eq(200));
         sim.run(2 * S);
         expect_that!(is_caught_up(&sim, 3), eq(true));
         cut_off(&mut sim, 3, direction);
@@ -146,8 +155,12 @@
         expect_that!(has_majority(&sim, 3), eq(false), "{direction:?}");
         expect_that!(sim.followed_controls(), not(contains(some(eq(&3)))), "{direction:?}");
         expect_that!(call_timed(&mut sim, 3, ("DELETE", "/instances/i-x"), b""), eq((503, 0)), "{direction:?}");
-        expect_that!(call_timed(&mut sim, 3, PUT_CONFIG, &Simulation::config(7)), eq((503, 0)), "{direction:?}");
-        expect_that!(call_timed(&mut sim, 0, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+        expect_that!(
+            call_timed(&mut sim, 3, PUT_CONFIGURATION, &Simulation::configuration(7)),
+            eq((503, 0)),
+            "{direction:?}"
+        );
+        expect_that!(call_timed(&mut sim, 0, PUT_CONFIGURATION, &configuration_with_host(8, "c")).0, eq(200));
         sim.run(18 * S);
         restore_links(&mut sim);
         let deadline = sim.now + 3 * S;
--- a/crates/wv-simulation/tests/control_plane.rs
+++ b/crates/wv-simulation/tests/control_plane.rs
@@ -2,7 +2,7 @@
 mod scenario;
 
 use googletest::prelude::*;
-use scenario::{get_config, put_config};
+use scenario::{get_configuration, put_configuration};
 use wv_simulation::{Simulation, MS, S};
 
 fn restart(sim: &mut Simulation, control: usize) {
@@ -13,18 +13,20 @@
 #[gtest]
 fn given_old_repeated_and_invalid_configurations_then_only_a_newer_valid_one_takes_effect() {
     let mut sim = Simulation::configured(2, 3);
-    expect_that!(put_config(&mut sim, 1, &Simulation::config(5)), eq(200));
-    expect_that!(put_config(&mut sim, 2, &Simulation::config(3)), eq(200));
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(5)), eq(200));
-    expect_that!(put_config(&mut sim, 0, b"{\"issue\": 9, \"routing\": ["), eq(400));
-    let zero_expiry = String::from_utf8_lossy(&Simulation::config(9)).replace("\"expiryMs\":1000", "\"expiryMs\":0");
-    expect_that!(put_config(&mut sim, 0, zero_expiry.as_bytes()), eq(400));
-    let unknown_service =
-        String::from_utf8_lossy(&Simulation::config(2)).replace("\"destination\":\"s\"", "\"destination\":\"x\"");
-    expect_that!(put_config(&mut sim, 0, unknown_service.as_bytes()), eq(400));
-    let duplicate_host = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"p\"");
-    expect_that!(put_config(&mut sim, 0, duplicate_host.as_bytes()), eq(400));
-    expect_that!(get_config(&mut sim, 2), eq(&(200, Simulation::config(5))));
+    expect_that!(put_configuration(&mut sim, 1, &Simulation::configuration(5)), eq(200));
+    expect_that!(put_configuration(&mut sim, 2, &Simulation::configuration(3)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(5)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, b"{\"issue\": 9, \"routing\": ["), eq(400));
+    let zero_expiry =
+        String::from_utf8_lossy(&Simulation::configuration(9)).replace("\"expiryMs\":1000", "\"expiryMs\":0");
+    expect_that!(put_configuration(&mut sim, 0, zero_expiry.as_bytes()), eq(400));
+    let unknown_service = String::from_utf8_lossy(&Simulation::configuration(2))
+        .replace("\"destination\":\"s\"", "\"destination\":\"x\"");
+    expect_that!(put_configuration(&mut sim, 0, unknown_service.as_bytes()), eq(400));
+    let duplicate_host =
+        String::from_utf8_lossy(&Simulation::configuration(9)).replace("\"host\":\"b\"", "\"host\":\"p\"");
+    expect_that!(put_configuration(&mut sim, 0, duplicate_host.as_bytes()), eq(400));
+    expect_that!(get_configuration(&mut sim, 2), eq(&(200, Simulation::configuration(5))));
 }
 
 #[gtest]
@@ -32,8 +34,8 @@
     let mut sim = Simulation::configured(2, 3);
     let client = sim.open_client(0, "b");
     sim.send_line(client, "QUERY a1 BEGIN READ");
-    let text = String::from_utf8_lossy(&Simulation::config(2)).replace("\"host\":\"b\"", "\"host\":\"other\"");
-    expect_that!(put_config(&mut sim, 0, text.as_bytes()), eq(200));
+    let text = String::from_utf8_lossy(&Simulation::configuration(2)).replace("\"host\":\"b\"", "\"host\":\"other\"");
+    expect_that!(put_configuration(&mut sim, 0, text.as_bytes()), eq(200));
     sim.take_lines(client);
     sim.send_line(client, "QUERY a2 READ k");
     sim.run(200 * MS);
@@ -52,11 +54,11 @@
     sim.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
     sim.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
     sim.run(2 * S);
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(7)), eq(503));
-    expect_that!(put_config(&mut sim, 1, &Simulation::config(8)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(7)), eq(503));
+    expect_that!(put_configuration(&mut sim, 1, &Simulation::configuration(8)), eq(200));
     sim.run(S);
-    let text = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
-    expect_that!(put_config(&mut sim, 2, text.as_bytes()), eq(200));
+    let text = String::from_utf8_lossy(&Simulation::configuration(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
+    expect_that!(put_configuration(&mut sim, 2, text.as_bytes()), eq(200));
     sim.run(2 * S);
     for node in 0..3 {
         let client = sim.open_client(node, "c");
@@ -64,19 +66,19 @@
     }
     sim.dropped_links.clear();
     sim.run(2 * S);
-    expect_that!(get_config(&mut sim, 0).1, eq(text.as_bytes()));
+    expect_that!(get_configuration(&mut sim, 0).1, eq(text.as_bytes()));
 }
 
 #[gtest]
 fn given_a_power_loss_of_all_nodes_after_an_acknowledgement_then_the_configuration_is_kept() {
     let mut sim = Simulation::configured(2, 4);
-    expect_that!(put_config(&mut sim, 3, &Simulation::config(12)), eq(200));
+    expect_that!(put_configuration(&mut sim, 3, &Simulation::configuration(12)), eq(200));
     (0..4).for_each(|at| sim.kill_control(at));
     sim.run(S);
     (0..4).for_each(|at| sim.start_control(at, false));
     sim.run(2 * S);
     for at in 0..4 {
-        expect_that!(get_config(&mut sim, at), eq(&(200, Simulation::config(12))), "control {at}");
+        expect_that!(get_configuration(&mut sim, at), eq(&(200, Simulation::configuration(12))), "control {at}");
     }
 }
 
@@ -88,7 +90,7 @@
         sim.kill_control(down);
         sim.run(2 * S);
         let writer = 3 - down - wiped;
-        expect_that!(put_config(&mut sim, writer, &Simulation::config(20)), eq(200));
+        expect_that!(put_configuration(&mut sim, writer, &Simulation::configuration(20)), eq(200));
         sim.kill_control(wiped);
         sim.controls[wiped].files.files.borrow_mut().clear();
         sim.start_control(wiped, false);
@@ -96,13 +98,13 @@
         sim.run(100 * MS);
         // The voter that was down and the empty one are a majority by count, but neither has the write.
         sim.kill_control(writer);
-        let early_read = get_config(&mut sim, down);
-        expect_that!(early_read.1, not(eq(&Simulation::config(1))), "down {down}, wiped {wiped}");
+        let early_read = get_configuration(&mut sim, down);
+        expect_that!(early_read.1, not(eq(&Simulation::configuration(1))), "down {down}, wiped {wiped}");
         sim.start_control(writer, false);
         sim.run(3 * S);
         for at in 0..3 {
-            let response = get_config(&mut sim, at);
-            expect_that!(response, eq(&(200, Simulation::config(20))), "down {down}, wiped {wiped}, read at {at}");
+            let (response, expected) = (get_configuration(&mut sim, at), (200, Simulation::configuration(20)));
+            expect_that!(response, eq(&expected), "down {down}, wiped {wiped}, read at {at}");
         }
     }
 }
@@ -110,7 +112,7 @@
 #[gtest]
 fn given_a_torn_log_or_slot_then_earlier_synced_writes_are_recovered() {
     let mut sim = Simulation::configured(1, 3);
-    expect_that!(put_config(&mut sim, 0, &Simulation::config(30)), eq(200));
+    expect_that!(put_configuration(&mut sim, 0, &Simulation::configuration(30)), eq(200));
     for at in 0..3 {
         sim.kill_control(at);
         let files = sim.controls[at].files.files.clone();
@@ -119,31 +121,35 @@
     }
     (0..3).for_each(|at| sim.start_control(at, false));
     sim.run(2 * S);
-    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(30))));
+    expect_that!(get_configuration(&mut sim, 1), eq(&(200, Simulation::configuration(30))));
     // Writes after the torn tail survive another restart.
-    expect_that!(put_config(&mut sim, 1, &Simulation::config(31)), eq(200));
+    expect_that!(put_configuration(&mut sim, 1, &Simulation::configuration(31)), eq(200));
     (0..3).for_each(|at| restart(&mut sim, at));
     sim.run(2 * S);
-    expect_that!(get_config(&mut sim, 2), eq(&(200, Simulation::config(31))));
+    expect_that!(get_configuration(&mut sim, 2), eq(&(200, Simulation::configuration(31))));
 }
 
 #[gtest]
 fn given_two_concurrent_configurations_with_one_version_then_all_nodes_agree_on_one() {
     let mut sim = Simulation::configured(1, 3);
-    let one = Simulation::config(40);
+    let one = Simulation::configuration(40);
     let other = String::from_utf8_lossy(&one).replace("\"targetMs\":800", "\"targetMs\":700").into_bytes();
     let tokens = (sim.call(0, "PUT", "/configuration", &one), sim.call(2, "PUT", "/configuration", &other));
     sim.run(2 * S);
     // One is accepted and the other rejected, and repeats at any node get the same answers.
     let codes = [tokens.0, tokens.1].map(|token| sim.responses.get(&token).map_or(0, |ret| ret.0));
     expect_that!(codes, any![eq([200, 409]), eq([409, 200])]);
-    let current = get_config(&mut sim, 1).1;
+    let current = get_configuration(&mut sim, 1).1;
     expect_that!(current, eq(if codes[0] == 200 { &one } else { &other }));
     for at in 0..3 {
-        expect_that!([put_config(&mut sim, at, &one), put_config(&mut sim, at, &other)], eq(codes), "at {at}");
+        expect_that!(
+            [put_configuration(&mut sim, at, &one), put_configuration(&mut sim, at, &other)],
+            eq(codes),
+            "at {at}"
+        );
     }
-    expect_that!(get_config(&mut sim, 0).1, eq(&current));
-    expect_that!(get_config(&mut sim, 2).1, eq(&current));
+    expect_that!(get_configuration(&mut sim, 0).1, eq(&current));
+    expect_that!(get_configuration(&mut sim, 2).1, eq(&current));
 }
 
 #[gtest]
@@ -188,8 +194,8 @@
         sim.run(50 * MS);
         sim.kill_control(followed);
         sim.dropped_links.clear();
-        let text = String::from_utf8_lossy(&Simulation::config(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
-        expect_that!(put_config(&mut sim, others[0], text.as_bytes()), eq(200));
+        let text = String::from_utf8_lossy(&Simulation::configuration(9)).replace("\"host\":\"b\"", "\"host\":\"c\"");
+        expect_that!(put_configuration(&mut sim, others[0], text.as_bytes()), eq(200));
         sim.run(2 * S);
         let client = sim.open_client(0, "c");
         let lines = sim.take_lines(client);
@@ -205,7 +211,7 @@
         sim.run(S);
         sim.controls[full].files.is_full.set(true);
         for at in 0..3 {
-            let code = put_config(&mut sim, at, &Simulation::config(50 + at as u64));
+            let code = put_configuration(&mut sim, at, &Simulation::configuration(50 + at as u64));
             expect_that!(code, eq(200), "full {full}, put at {at}");
         }
         sim.crash(0);
@@ -213,7 +219,8 @@
         expect_that!(sim.primary(), not(eq(0)), "full {full}");
         sim.controls[full].files.is_full.set(false);
         sim.kill_control((full + 1) % 3);
-        expect_that!(put_config(&mut sim, (full + 2) % 3, &Simulation::config(60)), eq(200), "full {full}");
+        let code = put_configuration(&mut sim, (full + 2) % 3, &Simulation::configuration(60));
+        expect_that!(code, eq(200), "full {full}");
         sim.revive(0);
         sim.stop_load();
         sim.run(wv_simulation::SETTLE_US);
@@ -225,7 +232,7 @@
 fn given_a_write_on_a_single_disk_that_was_read_once_then_later_reads_return_it() {
     let mut sim = Simulation::configured(1, 3);
     // c0 loses the other voters as it sends the write: one disk holds it, and the operator receives 503.
-    let token = sim.call(0, "PUT", "/configuration", &Simulation::config(70));
+    let token = sim.call(0, "PUT", "/configuration", &Simulation::configuration(70));
     sim.run(1100);
     sim.dropped_links.insert(("c0".to_owned(), "c1".to_owned()));
     sim.dropped_links.insert(("c0".to_owned(), "c2".to_owned()));
@@ -234,9 +241,9 @@
     sim.kill_control(2);
     sim.dropped_links.clear();
     sim.run(2 * S);
-    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(70))));
+    expect_that!(get_configuration(&mut sim, 1), eq(&(200, Simulation::configuration(70))));
     sim.kill_control(0);
     sim.start_control(2, false);
     sim.run(2 * S);
-    expect_that!(get_config(&mut sim, 1), eq(&(200, Simulation::config(70))));
+    expect_that!(get_configuration(&mut sim, 1), eq(&(200, Simulation::configuration(70))));
 }
--- a/crates/wv-simulation/tests/control_startup.rs
+++ b/crates/wv-simulation/tests/control_startup.rs
@@ -20,7 +20,7 @@
     sim.freeze_control(0);
     sim.run(20 * S);
     sim.thaw_control(0);
-    expect_that!(call_timed(&mut sim, 0, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+    expect_that!(call_timed(&mut sim, 0, PUT_CONFIGURATION, &configuration_with_host(8, "c")).0, eq(200));
     sim.run(3 * S);
     expect_that!(all_access_nodes_serve(&mut sim, "c"), eq(true));
 }
@@ -41,7 +41,7 @@
         sim.run(S);
         expect_that!((0..5).filter(|at| is_caught_up(&sim, *at)).count(), eq(5), "round {round}");
         expect_that!(
-            call_timed(&mut sim, (round % 5) as usize, PUT_CONFIG, &Simulation::config(1)).0,
+            call_timed(&mut sim, (round % 5) as usize, PUT_CONFIGURATION, &Simulation::configuration(1)).0,
             eq(200),
             "round {round}"
         );
@@ -54,7 +54,7 @@
 fn given_all_control_nodes_restarted_at_once_or_in_turn_then_all_catch_up() {
     for (offset, interval_ms) in [0, 40, 333, 1500].into_iter().enumerate() {
         let mut sim = Simulation::configured(4, 5);
-        expect_that!(call_timed(&mut sim, 1, PUT_CONFIG, &config_with_host(8, "c")).0, eq(200));
+        expect_that!(call_timed(&mut sim, 1, PUT_CONFIGURATION, &configuration_with_host(8, "c")).0, eq(200));
         sim.run(S);
         (0..5).for_each(|at| sim.kill_control(at));
         sim.run(3 * S);
@@ -67,7 +67,7 @@
         sim.run(2 * S);
         expect_that!((0..5).filter(|at| is_caught_up(&sim, *at)).count(), eq(5), "{interval_ms} ms apart");
         expect_that!(sim.followed_controls(), each(some(anything())));
-        expect_that!(call_timed(&mut sim, 4, PUT_CONFIG, &config_with_host(9, "d")).0, eq(200));
+        expect_that!(call_timed(&mut sim, 4, PUT_CONFIGURATION, &configuration_with_host(9, "d")).0, eq(200));
         sim.run(2 * S);
         expect_that!(all_access_nodes_serve(&mut sim, "d"), eq(true));
     }
--- a/crates/wv-simulation/tests/isolation/mod.rs
+++ b/crates/wv-simulation/tests/isolation/mod.rs
@@ -3,8 +3,8 @@
 use wv_simulation::{Simulation, MS, S};
 
 /// The default configuration with the host of route `b` replaced.
-pub fn config_with_host(version: u64, host: &str) -> Vec<u8> {
-    String::from_utf8_lossy(&Simulation::config(version))
+pub fn configuration_with_host(version: u64, host: &str) -> Vec<u8> {
+    String::from_utf8_lossy(&Simulation::configuration(version))
         .replace("\"host\":\"b\"", &format!("\"host\":\"{host}\""))
         .into_bytes()
 }
@@ -19,7 +19,7 @@
     (sim.responses.get(&token).map_or(0, |ret| ret.0), sim.now - start)
 }
 
-pub const PUT_CONFIG: (&str, &str) = ("PUT", "/configuration");
+pub const PUT_CONFIGURATION: (&str, &str) = ("PUT", "/configuration");
 
 pub fn get_text(sim: &mut Simulation, at: usize, path: &str) -> (u16, String) {
     let token = sim.call(at, "GET", path, b"");
--- a/crates/wv-simulation/tests/learners.rs
+++ b/crates/wv-simulation/tests/learners.rs
@@ -3,7 +3,7 @@
 mod scenario;
 
 use googletest::prelude::*;
-use scenario::{get_config, put_config_version};
+use scenario::{get_configuration, put_configuration_version};
 use std::collections::BTreeSet;
 use wv_consensus::{Store, VoterState};
 use wv_simulation::{Simulation, MS, S};
@@ -42,7 +42,7 @@
 /// Three voters and a learner; voter `lost` is killed, and its replacement has just begun.
 fn start_replacement(lost: usize) -> Simulation {
     let mut sim = Simulation::configured(1, 4);
-    assert_eq!(put_config_version(&mut sim, lost, 20), 200);
+    assert_eq!(put_configuration_version(&mut sim, lost, 20), 200);
     sim.run(2 * S);
     sim.kill_control(lost);
     assert!(run_until(&mut sim, 6 * S, is_change_in_progress), "no voter set change started");
@@ -62,13 +62,13 @@
             sim.run(2 * MS);
             let is_known = newest_voter_set(&sim, &left).number == 2;
             sim.run(4 * S);
-            let status = put_config_version(&mut sim, left[0], 21);
+            let status = put_configuration_version(&mut sim, left[0], 21);
             expect_that!(status, if is_known { eq(200) } else { eq(503) }, "{lost} {second} at {step}");
             if is_known {
                 continued += 1;
                 expect_that!(
-                    get_config(&mut sim, left[1]),
-                    eq(&(200, Simulation::config(21))),
+                    get_configuration(&mut sim, left[1]),
+                    eq(&(200, Simulation::configuration(21))),
                     "{lost} {second} at {step}"
                 );
             } else {
@@ -77,7 +77,7 @@
             // The second voter returns with its disk, and the service continues whatever was in progress.
             sim.start_control(second, false);
             sim.run(5 * S);
-            expect_that!(put_config_version(&mut sim, second, 22), eq(200), "{lost} {second} at {step}");
+            expect_that!(put_configuration_version(&mut sim, second, 22), eq(200), "{lost} {second} at {step}");
             expect_that!(newest_voter_set(&sim, &left).number, ge(2), "{lost} {second} at {step}");
         }
     }
@@ -97,7 +97,7 @@
             let mut acked = 1;
             sim.run(1950 * MS + offset * MS / 4);
             for version in 30..400 {
-                let token = sim.call((lost + 1) % 3, "PUT", "/configuration", &Simulation::config(version));
+                let token = sim.call((lost + 1) % 3, "PUT", "/configuration", &Simulation::configuration(version));
                 run_until(&mut sim, S, |sim| is_change_in_progress(sim) || sim.responses.contains_key(&token));
                 if is_change_in_progress(&sim) {
                     run_until(&mut sim, S, |sim| newest_voter_set(sim, &[0, 1, 2, 3]).number == 2);
@@ -122,14 +122,14 @@
 #[gtest]
 fn given_a_learner_without_data_then_the_voter_set_is_unchanged_until_it_is_ready() {
     let mut sim = Simulation::configured(1, 3);
-    expect_that!(put_config_version(&mut sim, 0, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 0, 20), eq(200));
     sim.kill_control(2);
     let new = sim.add_control(&[0, 1]);
     // Its disk is full: it answers but cannot store any state.
     sim.controls[new].files.is_full.set(true);
     sim.run(5 * S);
     expect_that!(newest_voter_set(&sim, &[0, 1]).number, eq(1));
-    expect_that!(put_config_version(&mut sim, 1, 21), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 1, 21), eq(200));
     sim.controls[new].files.is_full.set(false);
     expect_that!(run_until(&mut sim, 6 * S, |sim| newest_voter_set(sim, &[0, 1]).number == 2), eq(true));
     expect_that!(read_disk(&sim, new).1, eq(21));
@@ -152,7 +152,7 @@
     // Five of seven vote and one of these is lost: without the wait it would be replaced by now.
     sim.run(4500 * MS);
     expect_that!(newest_voter_set(&sim, &[1]).number, eq(number));
-    expect_that!(put_config_version(&mut sim, 1, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 1, 20), eq(200));
     expect_that!(run_until(&mut sim, 3 * S, |sim| newest_voter_set(sim, &[1]).number > number), eq(true));
     expect_that!(sim.now - started, le(7 * S));
     expect_that!(newest_voter_set(&sim, &[1]).contains(&sim.controls[0].addr), eq(false));
--- a/crates/wv-simulation/tests/nemesis_checks.rs
+++ b/crates/wv-simulation/tests/nemesis_checks.rs
@@ -1,21 +1,21 @@
 //! Guards against checks that cannot fail: each one must report a matching history or unrecoverable fleet.
 use googletest::prelude::*;
 use wv_simulation::nemesis::{
-    check, run, ConfigRead, ConfigUpdate, FaultBound, History, PlatformCall, RecoveryFailure, Schedule, UpdateResponse,
-    VersionObservation, CHECKS,
+    check, run, ConfigurationRead, ConfigurationUpdate, FaultBound, History, PlatformCall, RecoveryFailure, Schedule,
+    UpdateResponse, VersionObservation, CHECKS,
 };
 use wv_simulation::{LogEntry, Oracle, Write};
 
-fn update(version: u64, is_valid: bool, first_sent_us: u64) -> ConfigUpdate {
-    ConfigUpdate { version, body: version.to_string().into_bytes(), is_valid, first_sent_us }
+fn update(version: u64, is_valid: bool, first_sent_us: u64) -> ConfigurationUpdate {
+    ConfigurationUpdate { version, body: version.to_string().into_bytes(), is_valid, first_sent_us }
 }
 
 fn response(update: usize, sent_us: u64, received_us: u64, status: u16) -> UpdateResponse {
     UpdateResponse { update, control: "c0".to_owned(), sent_us, received_us, status }
 }
 
-fn read(version: u64, update: Option<usize>, sent_us: u64, received_us: u64) -> ConfigRead {
-    ConfigRead { control: "c1".to_owned(), sent_us, received_us, version, update }
+fn read(version: u64, update: Option<usize>, sent_us: u64, received_us: u64) -> ConfigurationRead {
+    ConfigurationRead { control: "c1".to_owned(), sent_us, received_us, version, update }
 }
 
 fn observed(incarnation: u64, at_us: u64, version: u64) -> VersionObservation {
--- a/crates/wv-simulation/tests/register_cleanup.rs
+++ b/crates/wv-simulation/tests/register_cleanup.rs
@@ -6,7 +6,7 @@
     all.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn put_config(sim: &mut Simulation, body: &[u8]) -> u16 {
+fn put_configuration(sim: &mut Simulation, body: &[u8]) -> u16 {
     let token = sim.call(1, "PUT", "/configuration", body);
     sim.run(S);
     sim.responses.get(&token).map_or(0, |ret| ret.0)
@@ -23,7 +23,7 @@
     let all = service_names(&["s", "t"]);
     let mut sim = Simulation::with_services(2, 3, &all);
     sim.run(2 * S);
-    expect_that!(put_config(&mut sim, &Simulation::config_for(1, &all)), eq(200));
+    expect_that!(put_configuration(&mut sim, &Simulation::configuration_for(1, &all)), eq(200));
     sim.run(2 * S);
     // A promotion in `t` assigns a duty holder and a fence.
     sim.start_load(4, "p.t");
@@ -41,7 +41,7 @@
     let before_removal = read_register(&sim, 0, "duty/t");
     expect_that!(before_removal.1, not(is_empty()));
     // The register is kept at first and later emptied on every disk, with a higher version.
-    expect_that!(put_config(&mut sim, &Simulation::config_for(2, &service_names(&["s"]))), eq(200));
+    expect_that!(put_configuration(&mut sim, &Simulation::configuration_for(2, &service_names(&["s"]))), eq(200));
     sim.run(60 * S);
     expect_that!(read_register(&sim, 0, "duty/t").1, not(is_empty()));
     sim.run(100 * S);
@@ -52,7 +52,7 @@
     }
     expect_that!(read_register(&sim, 0, "duty/s").1.len() + read_register(&sim, 0, "conf").1.len(), gt(0));
     // After the service returns, a second failover uses a fence above all earlier ones.
-    expect_that!(put_config(&mut sim, &Simulation::config_for(3, &all)), eq(200));
+    expect_that!(put_configuration(&mut sim, &Simulation::configuration_for(3, &all)), eq(200));
     sim.start_load(4, "p.t");
     sim.run(2 * S);
     let primary = (3..6).find(|at| sim.databases[*at].is_primary).unwrap_or(3);
--- a/crates/wv-simulation/tests/request_forwarding.rs
+++ b/crates/wv-simulation/tests/request_forwarding.rs
@@ -7,7 +7,7 @@
     let mut sim = Simulation::new(2, 3);
     sim.run(2 * S);
     let mut value: serde_json::Value =
-        serde_json::from_slice(&Simulation::config(1)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::configuration(1)).expect("the default configuration is valid JSON");
     value["partners"] = serde_json::json!([{"label": "all", "portion": 1, "nodes": ["a*"]}]);
     sim.call(1, "PUT", "/configuration", value.to_string().as_bytes());
     sim.run(5 * S);
--- a/crates/wv-simulation/tests/scale.rs
+++ b/crates/wv-simulation/tests/scale.rs
@@ -7,8 +7,8 @@
     let names: Vec<String> = (0..30).map(|at| format!("s{at}")).collect();
     let mut sim = Simulation::with_services(80, 8, &names);
     sim.run(3 * S);
-    let long_config = |version: u64, routes: usize| {
-        let mut value: serde_json::Value = serde_json::from_slice(&Simulation::config_for(version, &names))
+    let long_configuration = |version: u64, routes: usize| {
+        let mut value: serde_json::Value = serde_json::from_slice(&Simulation::configuration_for(version, &names))
             .expect("the default configuration is valid JSON");
         let route = value["routing"][0].clone();
         let list = value["routing"].as_array_mut().expect("routing is an array");
@@ -20,7 +20,7 @@
         value.to_string().into_bytes()
     };
     for (version, routes) in [(1, 1000), (2, 1001), (3, 1400)] {
-        let token = sim.call(version as usize, "PUT", "/configuration", &long_config(version, routes));
+        let token = sim.call(version as usize, "PUT", "/configuration", &long_configuration(version, routes));
         sim.run(S);
         expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(200)));
         for node in [0, 17, 79] {
@@ -60,8 +60,8 @@
 #[gtest]
 fn given_a_share_of_one_connection_when_a_database_recovers_then_it_returns_to_service() {
     let mut sim = Simulation::configured(3, 3);
-    let small_pool =
-        String::from_utf8_lossy(&Simulation::config(2)).replace("\"maxConnections\":100", "\"maxConnections\":3");
+    let small_pool = String::from_utf8_lossy(&Simulation::configuration(2))
+        .replace("\"maxConnections\":100", "\"maxConnections\":3");
     sim.call(0, "PUT", "/configuration", small_pool.as_bytes());
     sim.start_load(3, "p");
     sim.start_load(3, "b");
@@ -84,7 +84,7 @@
     let services: Vec<String> = (0..12).map(|at| format!("m{at}")).collect();
     let mut sim = Simulation::with_services(6, 3, &services);
     sim.run(2 * S);
-    sim.call(0, "PUT", "/configuration", &Simulation::config_for(1, &services));
+    sim.call(0, "PUT", "/configuration", &Simulation::configuration_for(1, &services));
     sim.run(3 * S);
     sim
 }
--- a/crates/wv-simulation/tests/scenario/mod.rs
+++ b/crates/wv-simulation/tests/scenario/mod.rs
@@ -19,18 +19,18 @@
 }
 
 /// Sends a configuration and returns the response status, or 0 if none arrived.
-pub fn put_config(sim: &mut Simulation, control: usize, body: &[u8]) -> u16 {
+pub fn put_configuration(sim: &mut Simulation, control: usize, body: &[u8]) -> u16 {
     let token = sim.call(control, "PUT", "/configuration", body);
     sim.run(1200 * MS);
     sim.responses.get(&token).map_or(0, |ret| ret.0)
 }
 
 /// Sends the default configuration under this version.
-pub fn put_config_version(sim: &mut Simulation, control: usize, version: u64) -> u16 {
-    put_config(sim, control, &Simulation::config(version))
+pub fn put_configuration_version(sim: &mut Simulation, control: usize, version: u64) -> u16 {
+    put_configuration(sim, control, &Simulation::configuration(version))
 }
 
-pub fn get_config(sim: &mut Simulation, control: usize) -> (u16, Vec<u8>) {
+pub fn get_configuration(sim: &mut Simulation, control: usize) -> (u16, Vec<u8>) {
     let token = sim.call(control, "GET", "/configuration", b"");
     sim.run(1200 * MS);
     sim.responses.get(&token).cloned().unwrap_or_default()
--- a/crates/wv-simulation/tests/sessions.rs
+++ b/crates/wv-simulation/tests/sessions.rs
@@ -39,7 +39,7 @@
     sim.run(2 * S);
     let client = sim.open_client(0, "p");
     expect_that!(sim.take_lines(client), is_empty());
-    sim.call(0, "PUT", "/configuration", &Simulation::config(1));
+    sim.call(0, "PUT", "/configuration", &Simulation::configuration(1));
     sim.run(S);
     expect_that!(sim.take_lines(client), elements_are![eq("IDLE I -")]);
 }
--- a/crates/wv-simulation/tests/shard_ownership.rs
+++ b/crates/wv-simulation/tests/shard_ownership.rs
@@ -11,8 +11,8 @@
 }
 
 /// Four services; the first two access nodes belong to partner north, the others to partner south.
-fn config(version: u64, north: u64, south: u64) -> Vec<u8> {
-    let mut value: serde_json::Value = serde_json::from_slice(&Simulation::config_for(version, &services()))
+fn configuration(version: u64, north: u64, south: u64) -> Vec<u8> {
+    let mut value: serde_json::Value = serde_json::from_slice(&Simulation::configuration_for(version, &services()))
         .expect("the default configuration is valid JSON");
     value["partners"] = serde_json::json!([
         {"label": "north", "portion": north, "nodes": ["a0", "a1"]},
@@ -21,7 +21,7 @@
     value.to_string().into_bytes()
 }
 
-fn put_config(sim: &mut Simulation, body: &[u8]) {
+fn put_configuration(sim: &mut Simulation, body: &[u8]) {
     let token = sim.call(1, "PUT", "/configuration", body);
     sim.run(S);
     assert_eq!(sim.responses.get(&token).map(|ret| ret.0), Some(200), "portions accepted");
@@ -30,7 +30,7 @@
 fn fleet() -> Simulation {
     let mut sim = Simulation::with_services(4, 3, &services());
     sim.run(2 * S);
-    put_config(&mut sim, &config(1, 1, 1));
+    put_configuration(&mut sim, &configuration(1, 1, 1));
     sim.run(5 * S);
     sim
 }
@@ -127,7 +127,7 @@
 fn given_portions_changed_under_load_then_ownership_follows_without_stalls() {
     let mut sim = fleet();
     start_load(&mut sim);
-    put_config(&mut sim, &config(2, 3, 1));
+    put_configuration(&mut sim, &configuration(2, 3, 1));
     let (done, failed) = completed_during(&mut sim, 4 * S);
     let owned = owners(&mut sim, 0);
     expect_that!((count_owned(&owned, ["a0", "a1"]), count_owned(&owned, ["a2", "a3"])), eq((3, 1)));
--- a/crates/wv-simulation/tests/split.rs
+++ b/crates/wv-simulation/tests/split.rs
@@ -2,7 +2,7 @@
 mod split_test;
 
 use googletest::prelude::*;
-use split_test::{planned_config, SplitTest};
+use split_test::{planned_configuration, SplitTest};
 use wv_internal_protocol::SplitPhase;
 use wv_simulation::{Simulation, MS, S};
 
@@ -29,11 +29,11 @@
     let mut split = SplitTest::start();
     split.request_split();
     expect_that!(split.wait_for_phase(SplitPhase::Copying, 20 * S), eq(true));
-    let ret = split.call("PUT", "/configuration", &planned_config(2, |_| {}));
+    let ret = split.call("PUT", "/configuration", &planned_configuration(2, |_| {}));
     expect_that!(ret.0, eq(200));
     expect_that!(split.wait_for_move(60 * S), eq(true));
     // The plan cannot be removed now: it locates the moved slots.
-    let ret = split.call("PUT", "/configuration", &wv_simulation::Simulation::config(3));
+    let ret = split.call("PUT", "/configuration", &wv_simulation::Simulation::configuration(3));
     expect_that!(ret.0, eq(400));
     expect_that!(ret.1, contains_substring("slots of s have moved"));
     expect_that!(split.finish_and_check(), is_empty());
@@ -132,7 +132,7 @@
     let map = split.sim.slot_map("s");
     expect_that!((map.phase, map.moving.is_none(), map.moved.is_empty()), eq((SplitPhase::Resting, true, true)));
     expect_that!(split.sim.now, gt(requested_at));
-    let ret = split.call("PUT", "/configuration", &planned_config(2, |_| {}));
+    let ret = split.call("PUT", "/configuration", &planned_configuration(2, |_| {}));
     expect_that!(ret.0, eq(200));
     split.request_split();
     expect_that!(split.wait_for_move(60 * S), eq(true));
@@ -153,8 +153,8 @@
     503
 }
 
-fn config_without_plan(version: u64) -> Vec<u8> {
-    let planned = planned_config(version, |_| {});
+fn configuration_without_plan(version: u64) -> Vec<u8> {
+    let planned = planned_configuration(version, |_| {});
     let mut value: serde_json::Value =
         serde_json::from_slice(&planned).expect("the planned configuration is valid JSON");
     value["shardPlans"] = serde_json::json!([]);
@@ -172,7 +172,7 @@
     assert_that!(split.wait_for_move(20 * S), eq(true));
     let known = split.sim.controls[other].core.as_ref().and_then(|core| core.slot_map("s"));
     expect_that!(known.is_none_or(|map| map.moved.is_empty()), eq(true));
-    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
+    expect_that!(put_until_answered(&mut split.sim, other, &configuration_without_plan(9)), eq(400));
     split.sim.dropped_one_way.clear();
     expect_that!(split.finish_and_check(), is_empty());
 }
@@ -188,14 +188,14 @@
     split.request_split();
     assert_that!(split.wait_for_move(20 * S), eq(true));
     split.sim.dropped_links.clear();
-    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
+    expect_that!(put_until_answered(&mut split.sim, other, &configuration_without_plan(9)), eq(400));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
 #[gtest]
 fn given_a_plan_without_moved_slots_then_it_can_be_removed() {
     let mut split = SplitTest::start();
-    expect_that!(put_until_answered(&mut split.sim, 1, &config_without_plan(9)), eq(200));
+    expect_that!(put_until_answered(&mut split.sim, 1, &configuration_without_plan(9)), eq(200));
     expect_that!(split.finish_and_check(), is_empty());
 }
 
@@ -203,11 +203,11 @@
 fn given_a_node_that_does_not_know_the_plan_then_a_configuration_without_it_is_decided_after_catch_up() {
     let mut split = SplitTest::start();
     let other = (split.duty_holder() + 1) % 3;
-    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(2)), eq(200));
+    expect_that!(put_until_answered(&mut split.sim, other, &configuration_without_plan(2)), eq(200));
     for at in (0..3).filter(|at| *at != other) {
         split.sim.dropped_links.insert((format!("c{other}"), format!("c{at}")));
     }
-    let planned = planned_config(3, |_| {});
+    let planned = planned_configuration(3, |_| {});
     expect_that!(put_until_answered(&mut split.sim, (other + 1) % 3, &planned), eq(200));
     split.sim.run(14 * S);
     split.request_split();
@@ -220,6 +220,6 @@
         split.sim.run(MS / 10);
     }
     expect_that!(split.sim.controls[other].core.as_ref().map(|core| core.is_caught_up()), some(eq(false)));
-    expect_that!(put_until_answered(&mut split.sim, other, &config_without_plan(9)), eq(400));
+    expect_that!(put_until_answered(&mut split.sim, other, &configuration_without_plan(9)), eq(400));
     expect_that!(split.finish_and_check(), is_empty());
 }
--- a/crates/wv-simulation/tests/split_test/mod.rs
+++ b/crates/wv-simulation/tests/split_test/mod.rs
@@ -2,9 +2,9 @@
 use wv_simulation::{Simulation, MS, S};
 
 /// A configuration with a split plan for shard `s`, adjusted by `change`.
-pub fn planned_config(version: u64, change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
+pub fn planned_configuration(version: u64, change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&Simulation::config(version)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::configuration(version)).expect("the default configuration is valid JSON");
     let target = serde_json::json!({"label": "t", "maxConnections": 100, "syncReplicas": 1});
     value["services"].as_array_mut().expect("services is an array").push(target);
     let mut plan =
@@ -33,7 +33,7 @@
         let mut sim = Simulation::with_services(3, 3, &["s".to_owned(), "t".to_owned()]);
         (sim.key_count, sim.epoch_us) = (200, epoch_us);
         sim.run(2 * S);
-        let token = sim.call(0, "PUT", "/configuration", &planned_config(1, change));
+        let token = sim.call(0, "PUT", "/configuration", &planned_configuration(1, change));
         sim.run(2 * S);
         assert_eq!(
             sim.responses.get(&token).map(|ret| ret.0),
--- a/crates/wv-simulation/tests/state_transfer.rs
+++ b/crates/wv-simulation/tests/state_transfer.rs
@@ -8,8 +8,8 @@
 /// Upper bound of a part including its framing.
 const PART_MAX_BYTES: u64 = 66 << 10;
 
-fn put_config_version(sim: &mut Simulation, control: usize, version: u64) -> u16 {
-    let token = sim.call(control, "PUT", "/configuration", &Simulation::config(version));
+fn put_configuration_version(sim: &mut Simulation, control: usize, version: u64) -> u16 {
+    let token = sim.call(control, "PUT", "/configuration", &Simulation::configuration(version));
     sim.run(100 * MS);
     sim.responses.get(&token).map_or(0, |ret| ret.0)
 }
@@ -106,7 +106,7 @@
     sim.kill_control(2);
     sim.run(6 * S);
     for version in 2..1002 {
-        expect_that!(put_config_version(&mut sim, (version % 2) as usize, version), eq(200));
+        expect_that!(put_configuration_version(&mut sim, (version % 2) as usize, version), eq(200));
     }
     sim.traffic = Some(Default::default());
     sim.start_control(2, false);
@@ -124,7 +124,7 @@
     sim.run(2 * S);
     sim.traffic = Some(Default::default());
     for version in 2..40 {
-        expect_that!(put_config_version(&mut sim, (version % 3) as usize, version), eq(200));
+        expect_that!(put_configuration_version(&mut sim, (version % 3) as usize, version), eq(200));
         expect_that!(is_ready(&sim, LEARNER), eq(true), "{version}");
     }
     // After the maximum age of a comparison, nothing is missing.
--- a/crates/wv-simulation/tests/tenants.rs
+++ b/crates/wv-simulation/tests/tenants.rs
@@ -3,9 +3,9 @@
 use wv_simulation::{Simulation, MS, S};
 
 /// Tenant `scans` on routes `p` and `b`, tenant `apps` on `x`; without `shares` there are no tenants.
-fn config(version: u64, shares: Option<(u64, u64)>) -> Vec<u8> {
+fn configuration(version: u64, shares: Option<(u64, u64)>) -> Vec<u8> {
     let mut value: serde_json::Value =
-        serde_json::from_slice(&Simulation::config(version)).expect("the default configuration is valid JSON");
+        serde_json::from_slice(&Simulation::configuration(version)).expect("the default configuration is valid JSON");
     let mut route = value["routing"][0].clone();
     (route["label"], route["host"]) = ("x".into(), "x".into());
     value["routing"].as_array_mut().expect("routing is an array").push(route);
@@ -21,7 +21,7 @@
 
 fn fleet(shares: Option<(u64, u64)>) -> Simulation {
     let mut sim = Simulation::configured(2, 3);
-    let token = sim.call(0, "PUT", "/configuration", &config(2, shares));
+    let token = sim.call(0, "PUT", "/configuration", &configuration(2, shares));
     sim.run(S);
     assert_eq!(sim.responses.get(&token).map(|ret| ret.0), Some(200), "shares accepted");
     sim.databases.iter_mut().for_each(|db| db.statement_us = 8 * MS);
@@ -111,7 +111,7 @@
     let mut sim = fleet(Some((1, 1)));
     sim.start_load(60, "x");
     sim.start_load(60, "p");
-    let token = sim.call(0, "PUT", "/configuration", &config(3, Some((4, 1))));
+    let token = sim.call(0, "PUT", "/configuration", &configuration(3, Some((4, 1))));
     sim.run(2 * S);
     expect_that!(sim.responses.get(&token).map(|ret| ret.0), some(eq(200)));
     let weights = |sim: &Simulation| {
@@ -138,7 +138,7 @@
         ("{\"label\":\"a\"}", "tenants"),
     ] {
         let mut value: serde_json::Value =
-            serde_json::from_slice(&Simulation::config(9)).expect("the default configuration is valid JSON");
+            serde_json::from_slice(&Simulation::configuration(9)).expect("the default configuration is valid JSON");
         value["tenants"] = serde_json::from_str(invalid_section).expect("valid JSON");
         let token = sim.call(0, "PUT", "/configuration", value.to_string().as_bytes());
         sim.run(200 * MS);
--- a/crates/wv-simulation/tests/voter_shutdown.rs
+++ b/crates/wv-simulation/tests/voter_shutdown.rs
@@ -2,7 +2,7 @@
 mod scenario;
 
 use googletest::prelude::*;
-use scenario::put_config_version;
+use scenario::put_configuration_version;
 use wv_simulation::{Simulation, MS, S};
 
 /// The number of the voter set known to `control`, and its members as JSON.
@@ -35,7 +35,7 @@
 fn given_a_voter_of_three_that_shuts_down_with_a_learner_then_it_is_replaced_before_it_exits() {
     for stopped in 0..3 {
         let mut sim = Simulation::configured(1, 4);
-        expect_that!(put_config_version(&mut sim, stopped, 20), eq(200));
+        expect_that!(put_configuration_version(&mut sim, stopped, 20), eq(200));
         expect_that!(shut_down(&mut sim, stopped), le(1700 * MS), "stopped {stopped}");
         let other = (stopped + 1) % 3;
         let (number, members) = voter_set(&mut sim, other);
@@ -44,10 +44,10 @@
         // A second voter fails as the first one exits.
         sim.kill_control((stopped + 2) % 3);
         sim.run(500 * MS);
-        expect_that!(put_config_version(&mut sim, other, 21), eq(200), "stopped {stopped}");
+        expect_that!(put_configuration_version(&mut sim, other, 21), eq(200), "stopped {stopped}");
         let token = sim.call(3, "GET", "/configuration", b"");
         sim.run(1200 * MS);
-        expect_that!(sim.responses.get(&token), some(eq(&(200, Simulation::config(21)))), "stopped {stopped}");
+        expect_that!(sim.responses.get(&token), some(eq(&(200, Simulation::configuration(21)))), "stopped {stopped}");
     }
 }
 
@@ -62,7 +62,7 @@
         sim.run(300 * MS);
         sim.start_control(at, false);
         sim.run(S);
-        expect_that!(put_config_version(&mut sim, (at + 1) % 8, 20 + at as u64), eq(200), "control {at}");
+        expect_that!(put_configuration_version(&mut sim, (at + 1) % 8, 20 + at as u64), eq(200), "control {at}");
     }
     expect_that!(voter_set(&mut sim, 0), eq(&before));
 }
@@ -73,7 +73,7 @@
     expect_that!(shut_down(&mut sim, 1), le(1700 * MS));
     sim.run(4 * S);
     expect_that!(voter_set(&mut sim, 0).0, eq(1));
-    expect_that!(put_config_version(&mut sim, 2, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 2, 20), eq(200));
 }
 
 #[gtest]
@@ -117,14 +117,14 @@
             sim.run(3 * S + step * 31 * MS);
             let now = sim.now;
             sim.controls[stopped].core.iter_mut().for_each(|core| core.begin_shutdown(now));
-            let token = sim.call(stopped, "PUT", "/configuration", &Simulation::config(20));
+            let token = sim.call(stopped, "PUT", "/configuration", &Simulation::configuration(20));
             sim.run(2 * MS);
             // The link between the exiting voter and one of the others is cut.
             sim.dropped_links.insert((format!("c{stopped}"), format!("c{missing}")));
             let (mut tokens, mut acked) = (vec![(20, token)], 0);
             while [other, missing].iter().all(|at| read_disk(&sim, *at).1.number == 1) && tokens.len() < 400 {
                 let version = 20 + tokens.len() as u64;
-                tokens.push((version, sim.call(stopped, "PUT", "/configuration", &Simulation::config(version))));
+                tokens.push((version, sim.call(stopped, "PUT", "/configuration", &Simulation::configuration(version))));
                 sim.run(MS / 2);
                 let is_acked = |(_, token): &&(u64, u64)| sim.responses.get(token).is_some_and(|ret| ret.0 == 200);
                 acked = tokens.iter().filter(is_acked).map(|(version, _)| *version).max().unwrap_or(acked);
--- a/crates/wv-simulation/tests/voters.rs
+++ b/crates/wv-simulation/tests/voters.rs
@@ -2,18 +2,18 @@
 mod scenario;
 
 use googletest::prelude::*;
-use scenario::{put_config_version, voter_set};
+use scenario::{put_configuration_version, voter_set};
 use wv_simulation::{Simulation, MS, S};
 
-fn get_config(sim: &mut Simulation, control: usize) -> (u16, String) {
+fn get_configuration(sim: &mut Simulation, control: usize) -> (u16, String) {
     let token = sim.call(control, "GET", "/configuration", b"");
     sim.run(1200 * MS);
     let (status, body) = sim.responses.get(&token).cloned().unwrap_or_default();
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
-fn config_text(version: u64) -> String {
-    String::from_utf8_lossy(&Simulation::config(version)).into_owned()
+fn configuration_text(version: u64) -> String {
+    String::from_utf8_lossy(&Simulation::configuration(version)).into_owned()
 }
 
 /// Kills a control node for good and adds an empty machine at another address a second later. Returns its index.
@@ -29,7 +29,7 @@
 fn given_any_voter_replaced_then_the_voter_set_is_updated_and_no_acknowledged_write_is_lost() {
     for lost in 0..3 {
         let mut sim = Simulation::configured(2, 3);
-        expect_that!(put_config_version(&mut sim, (lost + 1) % 3, 20), eq(200));
+        expect_that!(put_configuration_version(&mut sim, (lost + 1) % 3, 20), eq(200));
         let new = replace_machine(&mut sim, lost);
         sim.run(3 * S);
         let (number, addrs) = voter_set(&mut sim, new);
@@ -38,9 +38,9 @@
         expect_that!(addrs.contains(&sim.controls[lost].addr), eq(false), "lost {lost}");
         // After a further loss the new voter and one other form a majority.
         sim.kill_control((lost + 1) % 3);
-        expect_that!(get_config(&mut sim, new), eq(&(200, config_text(20))), "lost {lost}");
+        expect_that!(get_configuration(&mut sim, new), eq(&(200, configuration_text(20))), "lost {lost}");
         sim.run(2 * S);
-        expect_that!(put_config_version(&mut sim, new, 21), eq(200), "lost {lost}");
+        expect_that!(put_configuration_version(&mut sim, new, 21), eq(200), "lost {lost}");
     }
 }
 
@@ -50,18 +50,18 @@
     let mut new = Vec::new();
     for lost in 0..3 {
         let writer = if lost < 2 { lost + 1 } else { new[0] };
-        expect_that!(put_config_version(&mut sim, writer, 30 + lost as u64), eq(200));
+        expect_that!(put_configuration_version(&mut sim, writer, 30 + lost as u64), eq(200));
         new.push(replace_machine(&mut sim, lost));
         sim.run(3500 * MS);
     }
-    expect_that!(put_config_version(&mut sim, new[1], 40), eq(200));
+    expect_that!(put_configuration_version(&mut sim, new[1], 40), eq(200));
     new.iter().for_each(|at| sim.kill_control(*at));
     sim.run(S);
     // None of their seeds runs any more: they find each other by the addresses on their disks.
     new.iter().for_each(|at| sim.start_control(*at, false));
     sim.run(3 * S);
     for at in new {
-        expect_that!(get_config(&mut sim, at), eq(&(200, config_text(40))), "control {at}");
+        expect_that!(get_configuration(&mut sim, at), eq(&(200, configuration_text(40))), "control {at}");
     }
 }
 
@@ -72,7 +72,7 @@
     let (number, addrs) = voter_set(&mut sim, 7);
     expect_that!(number, eq(3));
     expect_that!(addrs.len(), eq(7));
-    expect_that!(put_config_version(&mut sim, 0, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 0, 20), eq(200));
     // Two lose their disks while a third is down.
     for at in [0, 1] {
         sim.kill_control(at);
@@ -80,11 +80,11 @@
     }
     sim.kill_control(2);
     sim.run(500 * MS);
-    expect_that!(get_config(&mut sim, 5), eq(&(200, config_text(20))));
-    expect_that!(put_config_version(&mut sim, 6, 21), eq(200));
+    expect_that!(get_configuration(&mut sim, 5), eq(&(200, configuration_text(20))));
+    expect_that!(put_configuration_version(&mut sim, 6, 21), eq(200));
     [0, 1].into_iter().for_each(|at| sim.start_control(at, false));
     sim.run(4 * S);
-    expect_that!(get_config(&mut sim, 0), eq(&(200, config_text(21))));
+    expect_that!(get_configuration(&mut sim, 0), eq(&(200, configuration_text(21))));
     let (_, addrs) = voter_set(&mut sim, 0);
     expect_that!(addrs.len(), eq(7));
 }
@@ -108,7 +108,7 @@
             (0..7).filter(|at| *at != (round % 3) as usize).map(|at| voter_set(&mut sim, at)).collect();
         expect_that!(all.iter().all(|set| *set == all[0]), eq(true), "round {round}: {all:?}");
         expect_that!(all[0].1.len() % 2, eq(1));
-        expect_that!(put_config_version(&mut sim, 3, 20), eq(200), "round {round}");
+        expect_that!(put_configuration_version(&mut sim, 3, 20), eq(200), "round {round}");
     }
 }
 
@@ -117,7 +117,7 @@
     // A change takes about ten messages of half a millisecond each; the steps cover its whole duration.
     for step in 0..24u64 {
         let mut sim = Simulation::configured(1, 4);
-        expect_that!(put_config_version(&mut sim, 1, 20), eq(200));
+        expect_that!(put_configuration_version(&mut sim, 1, 20), eq(200));
         sim.kill_control(0);
         sim.run(1900 * MS);
         let change_driver = |sim: &Simulation| (1..4).find(|at| sim.is_changing_voters(*at));
@@ -134,8 +134,8 @@
         sim.run(500 * MS);
         sim.start_control(duty_holder, false);
         sim.run(6 * S);
-        expect_that!(get_config(&mut sim, new), eq(&(200, config_text(20))), "step {step}");
-        expect_that!(put_config_version(&mut sim, new, 22), eq(200), "step {step}");
+        expect_that!(get_configuration(&mut sim, new), eq(&(200, configuration_text(20))), "step {step}");
+        expect_that!(put_configuration_version(&mut sim, new, 22), eq(200), "step {step}");
     }
 }
 
@@ -150,7 +150,7 @@
     let mut last = 0;
     for version in 50..62 {
         let writer = if version % 2 == 0 { 0 } else { 2 };
-        let token = sim.call(writer, "PUT", "/configuration", &Simulation::config(version));
+        let token = sim.call(writer, "PUT", "/configuration", &Simulation::configuration(version));
         sim.run(237 * MS);
         if sim.responses.get(&token).is_some_and(|ret| ret.0 == 200) {
             last = version;
@@ -158,7 +158,7 @@
     }
     sim.run(3 * S);
     expect_that!(last, ge(55));
-    expect_that!(get_config(&mut sim, new).1, any![eq(&config_text(last)), eq(&config_text(61))]);
+    expect_that!(get_configuration(&mut sim, new).1, any![eq(&configuration_text(last)), eq(&configuration_text(61))]);
     expect_that!(sim.primary(), not(eq(0)));
     sim.revive(0);
     sim.stop_load();
@@ -177,23 +177,23 @@
     let (number, addrs) = voter_set(&mut sim, 2);
     expect_that!(number, eq(2));
     expect_that!(addrs.contains(&sim.controls[0].addr), eq(false));
-    expect_that!(put_config_version(&mut sim, 3, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 3, 20), eq(200));
     // Its state is stale: together with only one of the others it must not count as a majority.
     sim.kill_control(2);
     sim.kill_control(3);
     sim.dropped_links.clear();
     sim.run(S);
-    expect_that!(get_config(&mut sim, 0).0, eq(503));
-    expect_that!(put_config_version(&mut sim, 0, 19), eq(503));
+    expect_that!(get_configuration(&mut sim, 0).0, eq(503));
+    expect_that!(put_configuration_version(&mut sim, 0, 19), eq(503));
     sim.start_control(3, false);
     sim.run(3 * S);
-    expect_that!(get_config(&mut sim, 0), eq(&(200, config_text(20))));
+    expect_that!(get_configuration(&mut sim, 0), eq(&(200, configuration_text(20))));
 }
 
 #[gtest]
 fn given_a_voter_that_returns_with_an_empty_disk_then_it_rejoins_at_its_old_address() {
     let mut sim = Simulation::configured(1, 3);
-    expect_that!(put_config_version(&mut sim, 0, 20), eq(200));
+    expect_that!(put_configuration_version(&mut sim, 0, 20), eq(200));
     sim.kill_control(2);
     sim.controls[2].files.files.borrow_mut().clear();
     sim.start_control(2, false);
@@ -202,7 +202,7 @@
     expect_that!(number, eq(2));
     expect_that!(addrs.len(), eq(3));
     sim.kill_control(0);
-    expect_that!(get_config(&mut sim, 2), eq(&(200, config_text(20))));
+    expect_that!(get_configuration(&mut sim, 2), eq(&(200, configuration_text(20))));
 }
 
 #[gtest]
@@ -218,7 +218,7 @@
     expect_that!(addrs.contains(&sim.controls[3].addr), eq(true));
     // Long bodies are not sent over its low-bandwidth link: the caller is redirected to a voter.
     for (method, body, ret) in
-        [("PUT", Simulation::config(20), b"{}".to_vec()), ("GET", Vec::new(), Simulation::config(20))]
+        [("PUT", Simulation::configuration(20), b"{}".to_vec()), ("GET", Vec::new(), Simulation::configuration(20))]
     {
         let token = sim.call(2, method, "/configuration", &body);
         let (status, location) = sim.responses.get(&token).cloned().unwrap_or_default();
