--- a/crates/windvalve/examples/change.rs
+++ b/crates/windvalve/examples/change.rs
@@ -2,6 +2,7 @@
 //! `cargo run --release -p windvalve --example change [ROUTES|ROUTES/SERVICES...]` prints one line of JSON for
 //! each size. The default is 120 services.
 use std::time::Instant;
+use wv_internal_protocol::Message;
 
 const CHANGES: u64 = 40;
 
@@ -66,7 +67,7 @@
     let bodies: Vec<Vec<u8>> = (1..=CHANGES + 1).map(|version| configuration(version, (routes, services))).collect();
     let (mut control, mut access) = (single_control_node(), wv_access::Core::new("z", 6_000_000));
     let link = control.accept_link(2);
-    let hello = wv_internal_protocol::Message::Hello {
+    let hello = Message::Hello {
         node: "a".to_owned(),
         control_address: String::new(),
         zone: "z".to_owned(),
@@ -74,18 +75,17 @@
         incarnation: 1,
     };
     control.handle_message(link, hello, 3);
-    control.handle_message(link, wv_internal_protocol::Message::Subscribe { incarnation: 0, position: 0 }, 4);
+    control.handle_message(link, Message::Subscribe { incarnation: 0, position: 0 }, 4);
     control.tick(200_000);
     let (mut put_times, mut apply_times, mut bytes, mut now) = (Vec::new(), Vec::new(), 0, 300_000);
     for (at, body) in bodies.iter().enumerate() {
         now += 1_000_000;
         let put_time = time_us(|| control.handle_call(at as u64 + (1 << 40), "PUT", "/configuration", Some(body), now));
         control.tick(now + 1);
-        let sent = control.take_effects().into_iter().filter_map(|action| match action {
-            wv_control::Effect::Send {
-                msg: msg @ (wv_internal_protocol::Message::Update { .. } | wv_internal_protocol::Message::Snapshot { .. }),
-                ..
-            } => Some(msg),
+        let sent = control.take_effects().into_iter().filter_map(|effect| match effect {
+            wv_control::Effect::Send { msg: msg @ (Message::Update { .. } | Message::Snapshot { .. }), .. } => {
+                Some(msg)
+            }
             _ => None,
         });
         for msg in sent {
--- a/crates/wv-consensus/examples/store.rs
+++ b/crates/wv-consensus/examples/store.rs
@@ -40,7 +40,8 @@
     let open = start.elapsed().as_micros();
     let log = files.read("log")?.map_or(0, |log| log.len());
     println!(
-        "{changes} changes of a state of {size} bytes: {} on the disk, {most} at most, log {log}; {each} written and {spent} us a change; {open} us to open",
+        "{changes} changes of a state of {size} bytes: {} on the disk, {most} at most, log {log}; \
+         {each} written and {spent} us a change; {open} us to open",
         disk_usage(&files)
     );
     Ok(())
--- a/crates/wv-consensus/src/proposer.rs
+++ b/crates/wv-consensus/src/proposer.rs
@@ -81,7 +81,8 @@
         self.next_request
     }
 
-    /// Raises the round to that of `ballot`. Ballots of a set not known here yet are ignored, or ours could match them.
+    /// Raises the round to that of `ballot`. Ballots of a set not known here yet are ignored, as ballots of this node
+    /// could match them.
     pub fn observe_ballot(&mut self, ballot: Ballot) {
         if voter_set_number(ballot) <= self.voters.number {
             self.round = self.round.max(ballot.round);
--- a/crates/wv-consensus/tests/disk/mod.rs
+++ b/crates/wv-consensus/tests/disk/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Default)]
 pub struct Disk {
     files: Rc<RefCell<BTreeMap<String, File>>>,
-    /// Number of operations left; the last write is done by half.
+    /// Number of operations left; of the last write only the first half is applied.
     pub calls: Rc<Cell<usize>>,
     /// Operations that fail temporarily, by the number of operations left when they are called.
     pub failing_calls: BTreeSet<usize>,
@@ -152,7 +152,7 @@
         let is_partial = self.calls.get() == 0 || self.failing_calls.contains(&self.calls.get());
         let mut files = self.files.borrow_mut();
         let file = files.get_mut(name).ok_or(std::io::ErrorKind::NotFound)?;
-        // A write that fails is done by half.
+        // Only the first half of a failing write is applied.
         let bytes = if is_partial { &bytes[..bytes.len() / 2] } else { bytes };
         file.changes.push(Change::Written { at: file.visible.len(), bytes: bytes.to_vec() });
         file.visible.extend_from_slice(bytes);
--- a/crates/wv-promotion/src/candidate.rs
+++ b/crates/wv-promotion/src/candidate.rs
@@ -78,12 +78,12 @@
     // The replica went down before the time of a fenced position that the candidate has reached: the candidate has all
     // commits acknowledged until then, and the replica cannot have received later ones.
     let cannot_be_ahead = |database: &Database| {
-        // The successor of a departed database has its log, and its own status counts.
+        // The successor of a departed database has its log, so the status of the successor counts instead.
         let successor = database.departed.as_ref().and_then(|departed| departed.successor.as_ref());
         if successor.and_then(|successor| statuses.get(successor)).is_some_and(Result::is_ok) {
             return true;
         }
-        // A departed database may go on receiving until it has stopped.
+        // A departed database may keep receiving until it has stopped.
         let down_for_us = match &database.departed {
             Some(departed) => departed.stopped_for_us,
             None => database.refused_for_us.filter(|_| statuses.get(&database.id) == Some(&Err(StatusError::Refused))),
--- a/crates/wv-promotion/src/events.rs
+++ b/crates/wv-promotion/src/events.rs
@@ -113,7 +113,7 @@
         // Only a log position proves that a term was led. Terms of suspensions and calls may never have started, and a
         // valid primary must not be told to yield for them.
         let known = view.fenced_position.map_or(0, |(_, position)| position.term);
-        // A replica that leads ends the attempt. Without an own fence its term must be newer than any known one.
+        // A replica that leads ends the attempt. Without a fence of this node, its term must be newer than any known.
         let min_term = if self.fence.is_some() { known } else { known.max(view.term) + 1 };
         let is_leader =
             |reply: &crate::StatusReply| reply.is_ok_and(|status| status.is_primary && status.term >= min_term);
@@ -159,7 +159,7 @@
             Choice::Candidate(candidate) => candidate,
             Choice::Blocked(reason) => return self.handle_blocked(reason, view),
         };
-        // The candidate goes on receiving, so that it has what the old primary can still get acknowledged.
+        // The candidate keeps receiving, so that it has all commits that the old primary may still get acknowledged.
         let others: Vec<String> = replicas(view).into_iter().filter(|id| *id != candidate).collect();
         let queried = others.iter().filter(|id| self.statuses.get(*id).is_some_and(Result::is_ok)).cloned().collect();
         self.suspend_replicas(queried, view);
@@ -199,7 +199,7 @@
                 if unsuspended.is_empty() {
                     return self.confirm_promotion(candidate, view.now);
                 }
-                // A replica that goes on receiving may only seem behind because its status is older: query it once
+                // A replica that keeps receiving may only seem behind because its status is older: query it once
                 // more.
                 if !std::mem::replace(&mut self.was_requeried, true) {
                     unsuspended.iter().for_each(|id| {
--- a/crates/wv-simulation/examples/standin.rs
+++ b/crates/wv-simulation/examples/standin.rs
@@ -19,7 +19,8 @@
     let mut stream = TcpStream::connect(control)?;
     write!(
         stream,
-        "PUT {path} HTTP/1.1\r\nHost: {control}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        "PUT {path} HTTP/1.1\r\nHost: {control}\r\nContent-Type: application/json\r\n\
+         Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len()
     )?;
     stream.read_to_end(&mut Vec::new()).map(|_| ())
--- a/crates/wv-simulation/examples/standins.rs
+++ b/crates/wv-simulation/examples/standins.rs
@@ -21,13 +21,15 @@
         instance.sequence += 1;
         let role = if instance.is_primary { "primary" } else { "replica" };
         let body = serde_json::json!({"destination": instance.service, "address": instance.addr, "zone": "here",
-            "issue": "v1", "capacity": 10, "state": "in_service", "coldLeftMs": 0, "dbRole": role, "sequence": instance.sequence});
+            "issue": "v1", "capacity": 10, "state": "in_service", "coldLeftMs": 0, "dbRole": role,
+            "sequence": instance.sequence});
         (format!("/instances/{}", instance.id), body.to_string())
     };
     let mut stream = TcpStream::connect(control)?;
     write!(
         stream,
-        "PUT {path} HTTP/1.1\r\nHost: {control}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        "PUT {path} HTTP/1.1\r\nHost: {control}\r\nContent-Type: application/json\r\n\
+         Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
         body.len()
     )?;
     stream.read_to_end(&mut Vec::new()).map(|_| ())
--- a/crates/wv-simulation/src/control_nodes.rs
+++ b/crates/wv-simulation/src/control_nodes.rs
@@ -10,7 +10,7 @@
         self.record_fault(&self.controls[at].name.clone());
         let node = &mut self.controls[at];
         let is_new = std::mem::replace(&mut node.incarnation, self.last_incarnation) == 0;
-        node.far_ends.clear();
+        node.peer_ends.clear();
         let start = wv_control::Start {
             address: node.addr.clone(),
             node: node.name.clone(),
@@ -37,7 +37,7 @@
     pub fn kill_control(&mut self, at: usize) {
         self.controls[at].core = None;
         self.record_fault(&self.controls[at].name.clone());
-        let peers: Vec<LinkEnd> = std::mem::take(&mut self.controls[at].far_ends).into_values().collect();
+        let peers: Vec<LinkEnd> = std::mem::take(&mut self.controls[at].peer_ends).into_values().collect();
         peers.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
     }
 
@@ -63,12 +63,12 @@
         match effect {
             ControlEffect::Send { link, msg } => {
                 self.log_owner_change(&msg);
-                if let Some(to) = self.controls[at].far_ends.get(&link).copied() {
+                if let Some(to) = self.controls[at].peer_ends.get(&link).copied() {
                     self.schedule(LINK_DELAY_US, Event::LinkMessage { to, msg });
                 }
             }
             ControlEffect::Close { link } => {
-                let peers = self.controls[at].far_ends.remove(&link);
+                let peers = self.controls[at].peer_ends.remove(&link);
                 peers.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
             }
             ControlEffect::Dial { link, addr } => self.dial(at, link, &addr),
@@ -99,7 +99,7 @@
                 );
             }
             ControlEffect::RunStatements { request: run, id, statements, .. } => {
-                self.send_own_statements(at, run, &id, &statements)
+                self.send_control_statements(at, run, &id, &statements)
             }
             ControlEffect::PromoteDatabase { request, service, id, fence, .. } => {
                 self.call_promotion(at, request, service, (id, fence))
--- a/crates/wv-simulation/src/events.rs
+++ b/crates/wv-simulation/src/events.rs
@@ -240,7 +240,7 @@
             Event::RequestRetry { session, attempt } => self.retry_request(session, attempt),
             Event::ClientLine { client, line } => self.send_line(client, &line),
             Event::RunStatements { control, run, database, connection_id, statements } => {
-                self.run_own_statements(control, run, database, connection_id, &statements)
+                self.run_control_statements(control, run, database, connection_id, &statements)
             }
             Event::StatementsDone { control, run, replies } => {
                 self.with_control(control, |core, now| core.on_texts_run(run, replies, now));
--- a/crates/wv-simulation/src/links.rs
+++ b/crates/wv-simulation/src/links.rs
@@ -41,7 +41,7 @@
         let Some(core) = self.controls[to].core.as_mut().filter(|_| !is_unreachable) else { return };
         let link = core.accept_link(now);
         let end = LinkEnd::Control { at: to, link, incarnation: self.controls[to].incarnation };
-        self.controls[to].far_ends.insert(link, LinkEnd::Access { at, incarnation, attempt });
+        self.controls[to].peer_ends.insert(link, LinkEnd::Access { at, incarnation, attempt });
         (self.access[at].session, self.access[at].last_received_us) = (Some(end), now);
         self.schedule(
             LINK_DELAY_US,
@@ -81,9 +81,9 @@
         let to = to.filter(|to| self.controls[*to].core.is_some() && !is_unavailable(to));
         let Some(to) = to else { return self.schedule(2 * LINK_DELAY_US, Event::LinkDown { end }) };
         let Some(peer) = self.controls[to].core.as_mut().map(|core| core.accept_link(now)) else { return };
-        let far_end = LinkEnd::Control { at: to, link: peer, incarnation: self.controls[to].incarnation };
-        self.controls[at].far_ends.insert(link, far_end);
-        self.controls[to].far_ends.insert(peer, end);
+        let peer_end = LinkEnd::Control { at: to, link: peer, incarnation: self.controls[to].incarnation };
+        self.controls[at].peer_ends.insert(link, peer_end);
+        self.controls[to].peer_ends.insert(peer, end);
         self.schedule(2 * LINK_DELAY_US, Event::LinkUp { control: at, link });
     }
 
@@ -91,7 +91,7 @@
         match to {
             LinkEnd::Control { at, link, incarnation } if self.controls[at].incarnation == incarnation => {
                 self.controls[at].last_received_us.insert(link, self.now);
-                let peer = self.controls[at].far_ends.get(&link).copied();
+                let peer = self.controls[at].peer_ends.get(&link).copied();
                 let is_dropped = peer.is_some_and(|peer| self.is_message_dropped(peer, to));
                 if !is_dropped {
                     let name = self.controls[at].name.clone();
@@ -157,7 +157,7 @@
         totals.configurations += u64::from(matches!(msg, Message::Update { update, .. } if is_configuration(update)));
     }
 
-    /// Whether no connection can be opened between the two: that takes both directions.
+    /// Whether no connection can be opened between the two, because messages are lost in at least one direction.
     fn is_unconnectable(&self, one: &str, other: &str) -> bool {
         let is_one_way_dropped =
             |from: &str, to: &str| self.dropped_one_way.contains(&(from.to_owned(), to.to_owned()));
@@ -185,7 +185,7 @@
     pub(crate) fn link_down(&mut self, end: LinkEnd) {
         match end {
             LinkEnd::Control { at, link, incarnation } if self.controls[at].incarnation == incarnation => {
-                self.controls[at].far_ends.remove(&link);
+                self.controls[at].peer_ends.remove(&link);
                 self.with_control(at, |core, now| core.link_down(link, now));
             }
             LinkEnd::Access { at, incarnation, attempt }
--- a/crates/wv-simulation/src/load_clients.rs
+++ b/crates/wv-simulation/src/load_clients.rs
@@ -4,7 +4,7 @@
 use crate::{Rng, MS};
 use std::collections::BTreeMap;
 
-/// A client that runs one operation after the other and goes on after failures.
+/// A client that runs operations one at a time and continues after failures.
 pub struct LoadClient {
     client: usize,
     route: String,
--- a/crates/wv-simulation/src/nodes.rs
+++ b/crates/wv-simulation/src/nodes.rs
@@ -33,7 +33,7 @@
     pub files: wv_consensus::MemoryFiles,
     pub has_disk: bool,
     pub(crate) incarnation: u64,
-    pub(crate) far_ends: BTreeMap<u64, LinkEnd>,
+    pub(crate) peer_ends: BTreeMap<u64, LinkEnd>,
     /// When each link last delivered a message.
     pub(crate) last_received_us: BTreeMap<u64, u64>,
     pub disk_faults: crate::disk::DiskFaults,
@@ -67,7 +67,7 @@
             files: wv_consensus::MemoryFiles::default(),
             has_disk: true,
             incarnation: 0,
-            far_ends: BTreeMap::new(),
+            peer_ends: BTreeMap::new(),
             last_received_us: BTreeMap::new(),
             disk_faults: Default::default(),
             clock_offset_us: 0,
@@ -104,7 +104,7 @@
         self.close_peer_links(at);
         let session = self.access[at].session.take();
         session.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
-        // Workload sessions see the disconnect and reconnect elsewhere.
+        // Workload sessions are disconnected and reconnect to another access node.
         let is_load = |client: &crate::clients::Client| self.has_link_timeouts && client.load.is_some();
         let is_notified = |client: &&crate::clients::Client| client.session.is_some() || is_load(client);
         let disconnected = self.clients.iter().filter(|client| client.node == at).filter(is_notified);
--- a/crates/wv-simulation/src/partitions.rs
+++ b/crates/wv-simulation/src/partitions.rs
@@ -65,7 +65,7 @@
     fn opposite_end(&self, end: LinkEnd) -> Option<LinkEnd> {
         match end {
             LinkEnd::Control { at, link, incarnation } if self.controls[at].incarnation == incarnation => {
-                self.controls[at].far_ends.get(&link).copied()
+                self.controls[at].peer_ends.get(&link).copied()
             }
             LinkEnd::Access { at, incarnation, attempt }
                 if self.access[at].incarnation == incarnation && self.access[at].attempt == attempt =>
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The node that handles an event, if it is one.
+    /// The node that handles an event; `None` if the receiver is not a node.
     pub(crate) fn handling_node(&self, event: &Event) -> Option<NodeId> {
         Some(match event {
             Event::Delayed(event) => return self.handling_node(event),
@@ -185,15 +185,15 @@
     pub(crate) fn close_silent_links(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.controls[at];
-        let (far_ends, last_received) = (&node.far_ends, &mut node.last_received_us);
-        last_received.retain(|link, _| far_ends.contains_key(link));
-        let silent: Vec<u64> = far_ends
+        let (peer_ends, last_received) = (&node.peer_ends, &mut node.last_received_us);
+        last_received.retain(|link, _| peer_ends.contains_key(link));
+        let silent: Vec<u64> = peer_ends
             .keys()
             .copied()
             .filter(|link| *last_received.entry(*link).or_insert(now) + LINK_TIMEOUT_US < now)
             .collect();
         for link in silent {
-            let peer = self.controls[at].far_ends.remove(&link);
+            let peer = self.controls[at].peer_ends.remove(&link);
             self.with_control(at, |core, now| core.link_down(link, now));
             peer.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
         }
@@ -203,7 +203,8 @@
     pub fn reset_links(&mut self, at: usize, other: &str) {
         self.record_fault(&self.controls[at].name.clone());
         self.record_fault(other);
-        let peers: Vec<(u64, LinkEnd)> = self.controls[at].far_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
+        let peers: Vec<(u64, LinkEnd)> =
+            self.controls[at].peer_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
         let peers: Vec<(u64, LinkEnd)> = peers.into_iter().filter(|(_, peer)| self.end_name(*peer) == other).collect();
         for (link, peer) in peers {
             let end = LinkEnd::Control { at, link, incarnation: self.controls[at].incarnation };
@@ -217,7 +218,7 @@
         self.record_fault(&self.controls[at].name.clone());
         let node = &mut self.controls[at];
         node.core = None;
-        node.far_ends.clear();
+        node.peer_ends.clear();
         node.disk_faults.power_off(&node.files, draw);
     }
 }
--- a/crates/wv-simulation/src/simulation.rs
+++ b/crates/wv-simulation/src/simulation.rs
@@ -69,7 +69,7 @@
     pub(crate) promotion_callers: Vec<(u64, usize, u64)>,
     /// Delay of a control node's own statements.
     pub statements_delay_us: u64,
-    /// Delay of own statements that copy rows.
+    /// Delay of a control node's statements that copy rows.
     pub copy_delay_us: u64,
     /// Wall-clock time at virtual time 0.
     pub epoch_us: u64,
--- a/crates/wv-simulation/src/split_checks.rs
+++ b/crates/wv-simulation/src/split_checks.rs
@@ -12,14 +12,14 @@
 
 impl Simulation {
     /// Sends a control node's own statements: the connection opens now, the statements arrive later.
-    pub(crate) fn send_own_statements(&mut self, control: usize, run: u64, id: &str, statements: &[String]) {
+    pub(crate) fn send_control_statements(&mut self, control: usize, run: u64, id: &str, statements: &[String]) {
         let name = self.controls[control].name.clone();
         let is_open = |at: &usize| {
             let database = &self.databases[*at];
             database.is_up && !database.is_unreachable && !self.is_disconnected(&name, &database.id)
         };
         let Some(database) = self.database_index(id).filter(is_open) else {
-            // Without a connection no statement was sent: the empty list of replies says so.
+            // Without a connection no statement was sent, which an empty list of replies reports.
             return self.schedule(100 * MS, Event::StatementsDone { control, run, replies: Some(Vec::new()) });
         };
         self.next_connection_id += 1;
@@ -33,7 +33,7 @@
         );
     }
 
-    pub(crate) fn run_own_statements(
+    pub(crate) fn run_control_statements(
         &mut self,
         control: usize,
         run: u64,
@@ -43,7 +43,7 @@
     ) {
         let mut replies = Vec::new();
         for text in statements {
-            let Some(reply) = self.run_own_statement(database, connection_id, text) else {
+            let Some(reply) = self.run_control_statement(database, connection_id, text) else {
                 return self.schedule(LINK_DELAY_US, Event::StatementsDone { control, run, replies: None });
             };
             let is_over = reply.code.is_some();
@@ -58,7 +58,7 @@
         self.schedule(wait, Event::StatementsDone { control, run, replies: Some(replies) });
     }
 
-    fn run_own_statement(&mut self, database: usize, connection_id: u64, text: &str) -> Option<Reply> {
+    fn run_control_statement(&mut self, database: usize, connection_id: u64, text: &str) -> Option<Reply> {
         if !self.databases[database].is_up || !self.databases[database].connections.contains_key(&connection_id) {
             return None;
         }
--- a/crates/wv-simulation/src/workload.rs
+++ b/crates/wv-simulation/src/workload.rs
@@ -19,7 +19,7 @@
     /// Not answered when the replay ended.
     Open,
     Served,
-    /// Not applied: each attempt until the deadline was answered with an error that says so.
+    /// Not applied: every attempt until the deadline failed with an error that guarantees this.
     Refused,
     /// The outcome is unknown to the client: the write may have been applied.
     Unclear,
--- a/crates/wv-simulation/tests/configuration_conflicts.rs
+++ b/crates/wv-simulation/tests/configuration_conflicts.rs
@@ -21,7 +21,7 @@
     sim.responses.get(&token).cloned().unwrap_or_default()
 }
 
-/// Retries a configuration write on one node after the other until the answer is neither missing nor 503.
+/// Retries a configuration write on each node in turn until a response other than 503 arrives.
 fn put_until_answered(sim: &mut Simulation, first: usize, body: &[u8]) -> u16 {
     let count = sim.controls.len();
     for attempt in 0..20 {
--- a/crates/wv-simulation/tests/control_plane.rs
+++ b/crates/wv-simulation/tests/control_plane.rs
@@ -142,11 +142,8 @@
     let current = get_configuration(&mut sim, 1).1;
     expect_that!(current, eq(if codes[0] == 200 { &one } else { &other }));
     for at in 0..3 {
-        expect_that!(
-            [put_configuration(&mut sim, at, &one), put_configuration(&mut sim, at, &other)],
-            eq(codes),
-            "at {at}"
-        );
+        let repeated = [put_configuration(&mut sim, at, &one), put_configuration(&mut sim, at, &other)];
+        expect_that!(repeated, eq(codes), "at {at}");
     }
     expect_that!(get_configuration(&mut sim, 0).1, eq(&current));
     expect_that!(get_configuration(&mut sim, 2).1, eq(&current));
@@ -156,7 +153,10 @@
 fn given_late_or_malformed_heartbeats_then_the_newest_valid_state_is_kept() {
     let mut sim = Simulation::configured(1, 3);
     let heartbeat = |sequence: u64, state: &str| {
-        format!("{{\"destination\":\"s\",\"address\":\"10.9.0.1:5001\",\"zone\":\"z0\",\"capacity\":10,\"state\":\"{state}\",\"dbRole\":\"primary\",\"sequence\":{sequence}}}")
+        format!(
+            "{{\"destination\":\"s\",\"address\":\"10.9.0.1:5001\",\"zone\":\"z0\",\"capacity\":10,\
+             \"state\":\"{state}\",\"dbRole\":\"primary\",\"sequence\":{sequence}}}"
+        )
     };
     let call = |sim: &mut Simulation, method: &str, path: &str, body: &str| {
         let token = sim.call(0, method, path, body.as_bytes());
