--- a/crates/wv-simulation/src/partitions.rs
+++ b/crates/wv-simulation/src/partitions.rs
@@ -65,7 +65,7 @@
     fn opposite_end(&self, end: LinkEnd) -> Option<LinkEnd> {
         match end {
             LinkEnd::Control { at, link, incarnation } if self.controls[at].incarnation == incarnation => {
-                self.controls[at].far_ends.get(&link).copied()
+                self.controls[at].peer_ends.get(&link).copied()
             }
             LinkEnd::Access { at, incarnation, attempt }
                 if self.access[at].incarnation == incarnation && self.access[at].attempt == attempt =>
@@ -82,21 +82,21 @@
             Event::LinkMessage { to: end, .. } | Event::LinkDown { end } => {
                 Some((self.end_name(self.opposite_end(*end)?), self.end_name(*end)))
             }
-            Event::DbIn { database, conn, .. } => {
-                let (access, _) = self.connection_owner(*database, *conn)?;
+            Event::DbIn { database, connection_id, .. } => {
+                let (access, _) = self.connection_owner(*database, *connection_id)?;
                 Some((self.access[access].name.clone(), self.databases[*database].id.clone()))
             }
             Event::DbOpened { access, db, .. }
             | Event::DbOut { access, db, .. }
             | Event::DbEnd { access, db, lost: ConnectionLoss::Closed, .. } => {
-                let (database, _) = self.db_conns.get(&(*access, *db))?;
+                let (database, _) = self.database_connections.get(&(*access, *db))?;
                 Some((self.databases[*database].id.clone(), self.access[*access].name.clone()))
             }
             _ => None,
         }
     }
 
-    /// The node that handles an event, if it is one.
+    /// The node that handles an event; `None` if the receiver is not a node.
     pub(crate) fn handling_node(&self, event: &Event) -> Option<NodeId> {
         Some(match event {
             Event::Delayed(event) => return self.handling_node(event),
@@ -153,7 +153,7 @@
 
     fn connection_of(&self, event: &Event) -> Option<(usize, u64)> {
         match event {
-            Event::DbIn { database, conn, .. } => self.connection_owner(*database, *conn),
+            Event::DbIn { database, connection_id, .. } => self.connection_owner(*database, *connection_id),
             Event::DbOpened { access, db, .. } | Event::DbOut { access, db, .. } => Some((*access, *db)),
             _ => None,
         }
@@ -168,9 +168,9 @@
         if self.access[access].incarnation != incarnation || !self.blocked_events.iter().any(has_timed_out) {
             return;
         }
-        if let Some((database, conn)) = self.remove_connection((access, db)) {
-            self.databases[database].conns.remove(&conn);
-            self.databases[database].busy.remove(&conn);
+        if let Some((database, connection_id)) = self.remove_connection((access, db)) {
+            self.databases[database].connections.remove(&connection_id);
+            self.databases[database].busy.remove(&connection_id);
         }
         self.schedule(0, Event::DbEnd { access, db, lost: ConnectionLoss::Unreachable, incarnation });
     }
@@ -185,15 +185,15 @@
     pub(crate) fn close_silent_links(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.controls[at];
-        let (far_ends, last_received) = (&node.far_ends, &mut node.last_received_us);
-        last_received.retain(|link, _| far_ends.contains_key(link));
-        let silent: Vec<u64> = far_ends
+        let (peer_ends, last_received) = (&node.peer_ends, &mut node.last_received_us);
+        last_received.retain(|link, _| peer_ends.contains_key(link));
+        let silent: Vec<u64> = peer_ends
             .keys()
             .copied()
             .filter(|link| *last_received.entry(*link).or_insert(now) + LINK_TIMEOUT_US < now)
             .collect();
         for link in silent {
-            let peer = self.controls[at].far_ends.remove(&link);
+            let peer = self.controls[at].peer_ends.remove(&link);
             self.with_control(at, |core, now| core.link_down(link, now));
             peer.into_iter().for_each(|end| self.schedule(LINK_DELAY_US, Event::LinkDown { end }));
         }
@@ -203,7 +203,8 @@
     pub fn reset_links(&mut self, at: usize, other: &str) {
         self.record_fault(&self.controls[at].name.clone());
         self.record_fault(other);
-        let peers: Vec<(u64, LinkEnd)> = self.controls[at].far_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
+        let peers: Vec<(u64, LinkEnd)> =
+            self.controls[at].peer_ends.iter().map(|(link, peer)| (*link, *peer)).collect();
         let peers: Vec<(u64, LinkEnd)> = peers.into_iter().filter(|(_, peer)| self.end_name(*peer) == other).collect();
         for (link, peer) in peers {
             let end = LinkEnd::Control { at, link, incarnation: self.controls[at].incarnation };
@@ -217,7 +218,7 @@
         self.record_fault(&self.controls[at].name.clone());
         let node = &mut self.controls[at];
         node.core = None;
-        node.far_ends.clear();
+        node.peer_ends.clear();
         node.disk_faults.power_off(&node.files, draw);
     }
 }
--- a/crates/wv-simulation/src/simulation.rs
+++ b/crates/wv-simulation/src/simulation.rs
@@ -25,13 +25,13 @@
     pub access: Vec<AccessNode>,
     pub controls: Vec<ControlNode>,
     pub databases: Vec<Database>,
-    pub(crate) db_conns: BTreeMap<(usize, u64), (usize, u64)>,
+    pub(crate) database_connections: BTreeMap<(usize, u64), (usize, u64)>,
     pub(crate) pending_commits: Vec<(usize, wv_wire_protocol::LogPosition, u64, String)>,
-    pub(crate) next_conn: u64,
+    pub(crate) next_connection_id: u64,
     pub(crate) clients: Vec<crate::clients::Client>,
     /// Clients by access node and session id, and connections by database and connection id.
     pub(crate) client_of: BTreeMap<(usize, u64), usize>,
-    pub(crate) conn_of: BTreeMap<(usize, u64), (usize, u64)>,
+    pub(crate) connection_owners: BTreeMap<(usize, u64), (usize, u64)>,
     pub workload: crate::Workload,
     pub(crate) loads: Vec<crate::LoadClient>,
     pub(crate) expectations: BTreeMap<String, crate::clients::Expectation>,
@@ -69,7 +69,7 @@
     pub(crate) promotion_callers: Vec<(u64, usize, u64)>,
     /// Delay of a control node's own statements.
     pub statements_delay_us: u64,
-    /// Delay of own statements that copy rows.
+    /// Delay of a control node's statements that copy rows.
     pub copy_delay_us: u64,
     /// Wall-clock time at virtual time 0.
     pub epoch_us: u64,
@@ -102,12 +102,12 @@
             access: Vec::new(),
             controls: Vec::new(),
             databases: services.iter().flat_map(|service| (0..3).map(|at| Database::new(service, at))).collect(),
-            db_conns: BTreeMap::new(),
+            database_connections: BTreeMap::new(),
             pending_commits: Vec::new(),
-            next_conn: 0,
+            next_connection_id: 0,
             clients: Vec::new(),
             client_of: BTreeMap::new(),
-            conn_of: BTreeMap::new(),
+            connection_owners: BTreeMap::new(),
             workload: Default::default(),
             loads: Vec::new(),
             expectations: BTreeMap::new(),
@@ -190,7 +190,7 @@
     pub fn configured(access: usize, controls: usize) -> Simulation {
         let mut simulation = Simulation::new(access, controls);
         simulation.run(2 * S);
-        let token = simulation.call(0, "PUT", "/configuration", &Simulation::config(1));
+        let token = simulation.call(0, "PUT", "/configuration", &Simulation::configuration(1));
         simulation.run(2 * S);
         assert_eq!(
             simulation.responses.get(&token).map(|ret| ret.0),
