--- a/crates/wv-shard-split/src/transitions.rs
+++ b/crates/wv-shard-split/src/transitions.rs
@@ -24,16 +24,16 @@
     }
 
     fn on_terms_read(&mut self, goal: Goal, probe: &TermProbe, view: &View<'_>) {
-        let (now, held) = (view.now_us, self.map.clone().unwrap_or_default());
-        let shard = view.plan.map_or(held.shard.clone(), |plan| plan.shard.clone());
+        let (now, current) = (view.now_us, self.map.clone().unwrap_or_default());
+        let shard = view.plan.map_or(current.shard.clone(), |plan| plan.shard.clone());
         if probe.source_term == 0 || (goal == Goal::Begin && probe.target_term == 0) {
             return;
         }
         if goal == Goal::Bind {
             self.bound_leader = view.source_leader.map(|(id, term)| (id.to_owned(), term));
-            let is_same = held.term == probe.source_term
-                && held.phase == SplitPhase::Resting
-                && held.superseded_term + held.superseded_target_term == 0;
+            let is_same = current.term == probe.source_term
+                && current.phase == SplitPhase::Resting
+                && current.superseded_term + current.superseded_target_term == 0;
             if is_same && !std::mem::take(&mut self.needs_rewrite) {
                 self.state = State::Resting { until_us: now };
                 return;
@@ -46,22 +46,22 @@
                 target_term: 0,
                 superseded_term: 0,
                 superseded_target_term: 0,
-                ..held
+                ..current
             };
             return self.write(map, AfterWrite::Rest, now);
         }
         // The source was promoted since the map was bound: rebind first.
-        if probe.source_term != held.term {
+        if probe.source_term != current.term {
             self.bound_leader = None;
             self.state = State::Resting { until_us: now };
             return;
         }
         let Some(plan) = view.plan else { return self.drop_ballot(now) };
         let until_us = view.deadline_us.unwrap_or(0);
-        if held.attempt_count >= MAX_ATTEMPTS && held.deadline_us == until_us {
+        if current.attempt_count >= MAX_ATTEMPTS && current.deadline_us == until_us {
             return self.pause(now, "given up for this window after too many tries");
         }
-        let Some(range) = slots_to_move(view.initial_slots, &held, &plan.target) else {
+        let Some(range) = slots_to_move(view.initial_slots, &current, &plan.target) else {
             return self.pause(now, "a single slot is left here");
         };
         if until_us < view.epoch_us + MIN_TIME_LEFT_US {
@@ -71,25 +71,25 @@
         self.writers.clear();
         let map = SlotMap {
             moving: Some(range),
-            superseded_term: held.term,
+            superseded_term: current.term,
             // Copies of an earlier attempt may still arrive at the target, so its current term is superseded too.
             superseded_target_term: probe.target_term,
             deadline_us: until_us,
-            attempt: held.version,
-            attempt_count: held.attempt_count + 1,
-            ..held
+            attempt: current.version,
+            attempt_count: current.attempt_count + 1,
+            ..current
         };
         self.write(map, AfterWrite::AwaitTerms(Goal::Begin), now);
     }
 
     /// Writes the map for `goal` once both primaries have passed the superseded terms.
     fn on_terms_reported(&mut self, goal: Goal, probe: &TermProbe, view: &View<'_>) {
-        let Some(held) = self.map.clone() else { return self.drop_ballot(view.now_us) };
-        if probe.source_term <= held.superseded_term || probe.target_term <= held.superseded_target_term {
+        let Some(current) = self.map.clone() else { return self.drop_ballot(view.now_us) };
+        if probe.source_term <= current.superseded_term || probe.target_term <= current.superseded_target_term {
             return;
         }
         self.bound_leader = None;
-        let next = SlotMap { term: probe.source_term, superseded_term: 0, superseded_target_term: 0, ..held };
+        let next = SlotMap { term: probe.source_term, superseded_term: 0, superseded_target_term: 0, ..current };
         match goal {
             Goal::Begin => {
                 let map = SlotMap { phase: SplitPhase::Copying, target_term: probe.target_term, ..next };
@@ -146,7 +146,7 @@
     /// Whether the feed reports another primary of the source, or another term of it, than the map was bound to.
     pub(crate) fn has_leader_changed(&self, view: &View<'_>) -> bool {
         view.source_leader.is_some_and(|(id, term)| {
-            self.bound_leader.as_ref().is_none_or(|held| (held.0.as_str(), held.1) != (id, term))
+            self.bound_leader.as_ref().is_none_or(|leader| (leader.0.as_str(), leader.1) != (id, term))
         })
     }
 
