--- a/crates/wv-consensus/tests/change_model/effects.rs
+++ b/crates/wv-consensus/tests/change_model/effects.rs
@@ -21,8 +21,8 @@
         Ok(())
     }
 
-    /// Like `Core::plan_change` in wv-control: the next set, or the same members again if a failed coordinator sealed
-    /// the set.
+    /// Like `Core::start_planned_change` in wv-control: the next set, or the same members again if a failed coordinator
+    /// sealed the set.
     pub(super) fn plan(&mut self, at: usize, lost: Option<usize>) -> bool {
         let voters = self.voter_state(at).voters.clone();
         let ignores_catch_up = self.setup.without == Without::CaughtUp;
--- a/crates/wv-consensus/tests/change_model/mod.rs
+++ b/crates/wv-consensus/tests/change_model/mod.rs
@@ -1,6 +1,6 @@
 //! A model of voter set changes with the real voter states, stores, plans and changes. Messages may be delivered at any
-//! time, repeatedly, or never. Coordination, handover and catch-up stand in for `voters.rs`, `handover.rs` and
-//! `takeover.rs` of wv-control.
+//! time, repeatedly, or never. Coordination, handover and catch-up stand in for `voter_set.rs`,
+//! `voter_handover.rs` and `voter_catch_up.rs` of wv-control.
 mod effects;
 mod invariants;
 mod steps;
--- a/crates/wv-consensus/tests/register_model/mod.rs
+++ b/crates/wv-consensus/tests/register_model/mod.rs
@@ -1,5 +1,5 @@
 //! A model of one register with the real proposers (`Proposer`) and stores (`Store`). Messages may be delivered at any
-//! time, repeatedly, or never. The voter stands in for `wv-control/src/voter.rs`.
+//! time, repeatedly, or never. The voter stands in for `wv-control/src/register_voter.rs`.
 mod history;
 mod setup;
 mod steps;
